--- a/clementinepass/direct/agent.py
+++ b/clementinepass/direct/agent.py
@@ -15,18 +15,18 @@
     start_reading,
 )
 from clementinepass.direct import (
-    aims,
+    announcer,
     background,
     cluster_state,
-    exchange,
     gauges,
     gossip,
     intake,
     loading,
     neighbours,
+    piece_server,
     records,
-    telling,
     uplink,
+    version_selector,
     weights,
 )
 
@@ -40,15 +40,15 @@
 
 #: Seconds between looks at the engine, and at what is wanted. Reports to its
 #: own machine cost the engine nothing.
-_BUSY_SECONDS = 0.1
+_POLL_SECONDS = 0.1
 #: Seconds between looks for other processes.
-_IDLE_SECONDS = 0.3
+_MEMBERSHIP_POLL_SECONDS = 0.3
 #: Seconds without a word of an entry after which the store is read instead.
-_ALONE_SECONDS = 2.5
+_NO_ENTRY_SECONDS = 2.5
 #: Seconds that an engine gets to finish what it runs before it loads. Half of
 #: the answers end in that time.
-_EMPTY_SECONDS = 0.7
-_HURRY_SECONDS = 0.3
+_IDLE_WAIT_SECONDS = 0.7
+_SHORT_IDLE_WAIT_SECONDS = 0.3
 
 
 class Boundary(typing.NamedTuple):
@@ -72,36 +72,38 @@
 
     def __init__(
         self,
-        own: node.Node,
+        local_node: node.Node,
         boundary: Boundary,
         registry: aioprometheus.Registry,
         rng: random.Random,
     ) -> None:
-        self._own = own
+        self._local_node = local_node
         self._boundary = boundary
         self._rng = rng
-        self.cluster = cluster_state.ClusterState(own)
-        taking = intake.Intake(self.cluster, boundary.readers)
-        self._followers = taking.followers(boundary.store, rng)
+        self.cluster = cluster_state.ClusterState(local_node)
+        record_intake = intake.Intake(self.cluster, boundary.readers)
+        self._followers = record_intake.followers(boundary.store, rng)
         self._neighbours = neighbours.Neighbours(
-            own,
+            local_node,
             self.cluster,
             boundary.origin,
         )
-        self._handout = exchange.Handout(
+        self._piece_server = piece_server.PieceServer(
             self,
-            uplink.Uplink(own.link_mbps, self._streams),
+            uplink.Uplink(local_node.link_mbps, self._active_requests),
         )
         self.peers = gossip.Peers(
-            own,
+            local_node,
             self._followers,
             self.cluster,
             rng,
-            self._handout.serve,
+            self._piece_server.serve,
         )
-        self._telling = telling.Telling(own, self.peers)
-        self._aims = aims.Aims(own, self.cluster, self._neighbours)
-        self._loading = loading.Loading(boundary.engine, self)
+        self._announcer = announcer.Announcer(local_node, self.peers)
+        self._version_selector = version_selector.VersionSelector(
+            local_node, self.cluster, self._neighbours
+        )
+        self._loader = loading.Loader(boundary.engine, self)
         #: The cluster state, as metrics.
         self.gauges = gauges.Gauges(
             registry,
@@ -111,9 +113,9 @@
         )
         self._turn_by_version: dict[int, float] = {}
         self._report: weights.EngineReport | None = None
-        self._trouble = ''
+        self._last_error = ''
         #: Whether the engine was asked for its state, and answered or failed.
-        self._engine_seen = False
+        self._has_queried_engine = False
 
     async def run(self) -> None:
         """Work until told to stop."""
@@ -121,27 +123,29 @@
         loop = asyncio.get_running_loop()
         loop.add_signal_handler(signal.SIGTERM, stop.set)
         await self.peers.listen()
-        logger.bind(node=self._own.name, engine=self._own.endpoint).info(
+        logger.bind(
+            node=self._local_node.name, engine=self._local_node.endpoint
+        ).info(
             'agent started',
         )
         async with asyncio.TaskGroup() as tasks:
-            works = (
-                self._keep_up,
-                self._keep_fetched,
-                self._keep_prepared,
-                self._keep_loaded,
-                self._tell_of_link,
+            workers = (
+                self._maintain_membership,
+                self._fetch_versions,
+                self._prepare_versions,
+                self._load_versions,
+                self._announce_congestion,
             )
             running = [
-                tasks.create_task(background.keep_running(work))
-                for work in works
+                tasks.create_task(background.keep_running(worker))
+                for worker in workers
             ]
             await stop.wait()
             for task in running:
                 task.cancel()
         if self._report is not None:
-            await self._telling.hold_to(self._report.weights)
-        logger.bind(node=self._own.name).info('stopped')
+            await self._announcer.withdraw_loading(self._report.weights)
+        logger.bind(node=self._local_node.name).info('stopped')
 
     # What handing out asks.
 
@@ -149,7 +153,7 @@
         """Return the pieces of a version that are here or on their way."""
         now = asyncio.get_running_loop().time()
         self.cluster.named(model, version, now)
-        return self._loading.pieces_of(model, version)
+        return self._loader.pieces_of(model, version)
 
     def has_loaded(self, version: int) -> bool:
         """Tell whether the engine serves that version."""
@@ -177,16 +181,16 @@
 
     # What loading asks.
 
-    def wanted(self) -> tuple[str, int]:
+    def version_to_fetch(self) -> tuple[str, int]:
         """Return the model and the version whose pieces to get now.
 
         Version 0 where nothing is to be got.
         """
-        return self._aims.wanted(self._loading)
+        return self._version_selector.version_to_fetch(self._loader)
 
-    def question(self, model: str, version: int) -> piece_chains.Question:
+    def plan_input(self, model: str, version: int) -> piece_chains.Question:
         """Return what choosing a source for pieces needs."""
-        return self._neighbours.question(version)
+        return self._neighbours.plan_input(version)
 
     def source(self, ip: str) -> weights.Source | None:
         """Return a source by its IP number, or the origin."""
@@ -194,44 +198,46 @@
 
     # Details.
 
-    def _streams(self) -> int:
+    def _active_requests(self) -> int:
         report = self._report
         return 0 if report is None else report.active
 
-    async def _keep_up(self) -> None:
+    async def _maintain_membership(self) -> None:
         """Speak to entries; read the store where none answers."""
         loop = asyncio.get_running_loop()
-        patience = start_reading.delay(self._own.ip, self._own.seeds, self._rng)
-        alone_since = loop.time() + patience - _ALONE_SECONDS
+        startup_delay = start_reading.delay(
+            self._local_node.ip, self._local_node.seeds, self._rng
+        )
+        no_entry_since = loop.time() + startup_delay - _NO_ENTRY_SECONDS
         while True:
             if self.peers.members.alive(loop.time()):
-                alone_since = loop.time()
-            elif loop.time() - alone_since >= _ALONE_SECONDS:
+                no_entry_since = loop.time()
+            elif loop.time() - no_entry_since >= _NO_ENTRY_SECONDS:
                 await self._read_store()
-                alone_since = loop.time()
+                no_entry_since = loop.time()
             self.cluster.forget(loop.time())
-            pause = _IDLE_SECONDS
+            pause = _MEMBERSHIP_POLL_SECONDS
             if self.peers.is_new:
                 pause = min(self.peers.ask(), pause)
             await asyncio.sleep(pause)
 
-    async def _tell_of_link(self) -> None:
+    async def _announce_congestion(self) -> None:
         """Tell entries while what comes to this machine comes late."""
         while True:
-            self._telling.congested(is_slow=self._loading.is_congested)
-            await asyncio.sleep(_BUSY_SECONDS)
+            self._announcer.update_congestion(is_slow=self._loader.is_congested)
+            await asyncio.sleep(_POLL_SECONDS)
 
     async def _read_store(self) -> None:
         store = self._boundary.store
         try:
-            for topic, own in self._followers.items():
-                own.take(await store.newest(topic))
+            for topic, follower in self._followers.items():
+                follower.take(await store.newest(topic))
             page = await store.newest(records.Topic.ENTRIES)
             self.peers.met(page.ips)
         except errors.ClementinepassError as error:
             logger.info('store not read: {}', error)
 
-    async def _keep_fetched(self) -> None:
+    async def _fetch_versions(self) -> None:
         """Get the pieces of each version that is wanted.
 
         Also while the engine doesn't answer, if others have the version: one
@@ -240,62 +246,64 @@
         when all start together, since they have what they are to serve.
         """
         while True:
-            model, version = self.wanted()
-            known = self._report is not None
-            if not known and self._engine_seen:
-                known = self._aims.is_in_use(version)
-            if known and version:
+            model, version = self.version_to_fetch()
+            can_fetch = self._report is not None
+            if not can_fetch and self._has_queried_engine:
+                can_fetch = self._version_selector.is_in_use(version)
+            if can_fetch and version:
                 try:
-                    await self._loading.fetch(model, version)
+                    await self._loader.fetch(model, version)
                 except errors.ClementinepassError as error:
-                    self._note_trouble(f'not fetched: {error}')
-            await asyncio.sleep(_BUSY_SECONDS)
+                    self._log_new_error(f'not fetched: {error}')
+            await asyncio.sleep(_POLL_SECONDS)
 
-    async def _keep_prepared(self) -> None:
+    async def _prepare_versions(self) -> None:
         """Get the manifest of a version that is to be got next."""
         while True:
-            model, version = self._aims.following(self._loading)
+            model, version = self._version_selector.version_to_prepare(
+                self._loader
+            )
             if version:
                 try:
-                    await self._loading.prepare(model, version)
+                    await self._loader.prepare(model, version)
                 except errors.ClementinepassError as error:
                     logger.bind(version=version).info('not prepared: {}', error)
-            await asyncio.sleep(_BUSY_SECONDS)
+            await asyncio.sleep(_POLL_SECONDS)
 
-    async def _keep_loaded(self) -> None:
+    async def _load_versions(self) -> None:
         """Have the engine load the newest version that is here whole."""
         while True:
             try:
-                await self._look()
+                await self._check_engine()
             except errors.ClementinepassError as error:
-                self._note_trouble(f'not loaded: {error}')
-            self._engine_seen = True
-            await asyncio.sleep(_BUSY_SECONDS)
+                self._log_new_error(f'not loaded: {error}')
+            self._has_queried_engine = True
+            await asyncio.sleep(_POLL_SECONDS)
 
-    def _note_trouble(self, trouble: str) -> None:
+    def _log_new_error(self, message: str) -> None:
         """Write what is in the way, once for each reason."""
-        if trouble and trouble != self._trouble:
-            logger.bind(node=self._own.name).info('{}', trouble)
-        self._trouble = trouble
+        if message and message != self._last_error:
+            logger.bind(node=self._local_node.name).info('{}', message)
+        self._last_error = message
 
-    async def _look(self) -> None:
+    async def _check_engine(self) -> None:
         """Look at the engine and do what is next."""
         report = await self._boundary.engine.report()
-        self._note_trouble('')
-        self._told_of(report)
+        self._log_new_error('')
+        self._record_report(report)
         engine = self._neighbours.engine()
         if engine is None or report.busy:
             return
-        version = self._loading.newest_whole(engine.model)
-        if not version or self._aims.has(version):
+        version = self._loader.newest_complete(engine.model)
+        if not version or self._version_selector.has_version_or_newer(version):
             return
-        if self._turn_has_come(engine, version):
-            self._telling.loads(version)
-            await self._emptied(engine, version, report.active)
-            if not await self._loading.load(engine.model, version):
-                self._telling.holds(report.weights, report.started)
+        if self._is_turn_to_load(engine, version):
+            self._announcer.announce_loading(version)
+            await self._wait_until_idle(engine, version, report.active)
+            if not await self._loader.load(engine.model, version):
+                self._announcer.announce_weights(report.weights, report.started)
 
-    async def _emptied(
+    async def _wait_until_idle(
         self,
         engine: routing.Engine,
         version: int,
@@ -309,16 +317,20 @@
         old weights any more, and callers wait for the first engine.
         """
         loop = asyncio.get_running_loop()
-        left = self._seconds_usable(engine, version)
-        seconds = _EMPTY_SECONDS if left > _EMPTY_SECONDS else _HURRY_SECONDS
-        until = loop.time() + seconds
-        while active and loop.time() < until:
-            await asyncio.sleep(_BUSY_SECONDS)
+        seconds_left = self._seconds_to_load(engine, version)
+        seconds = (
+            _IDLE_WAIT_SECONDS
+            if seconds_left > _IDLE_WAIT_SECONDS
+            else _SHORT_IDLE_WAIT_SECONDS
+        )
+        deadline = loop.time() + seconds
+        while active and loop.time() < deadline:
+            await asyncio.sleep(_POLL_SECONDS)
             report = await self._boundary.engine.report()
             active = report.active
-            self._telling.load(active, report.queued)
+            self._announcer.report_load(active, report.queued)
 
-    def _seconds_usable(self, engine: routing.Engine, version: int) -> float:
+    def _seconds_to_load(self, engine: routing.Engine, version: int) -> float:
         """Return the seconds until the engine has to have taken up a version.
 
         Failure: a version was dropped for a newer one four seconds after its
@@ -326,28 +338,32 @@
         held might be used only until that of the dropped one.
         """
         now = asyncio.get_running_loop().time()
-        held = self._aims.held
-        left = self.cluster.seconds_left(engine.model, version) or 0
-        if held is None:
-            return left
-        bound = self.cluster.begin_bound(engine, held.version)
-        return max(min(left, bound - now), 0)
-
-    def _turn_has_come(self, engine: routing.Engine, version: int) -> bool:
+        engine_weights = self._version_selector.engine_weights
+        seconds_left = self.cluster.seconds_left(engine.model, version) or 0
+        if engine_weights is None:
+            return seconds_left
+        bound = self.cluster.begin_bound(engine, engine_weights.version)
+        return max(min(seconds_left, bound - now), 0)
+
+    def _is_turn_to_load(self, engine: routing.Engine, version: int) -> bool:
         """Tell whether the engine takes up a version now."""
         now = asyncio.get_running_loop().time()
-        if not self._aims.has(1):
+        if not self._version_selector.has_version_or_newer(1):
             return True
         turn = self._turn_by_version.get(version)
         if turn is None:
-            left = self._seconds_usable(engine, version)
+            seconds_left = self._seconds_to_load(engine, version)
             turn = now + load_turns.delay(
-                load_turns.Peer(self._own.endpoint, self._own.domain),
+                load_turns.Peer(
+                    self._local_node.endpoint, self._local_node.domain
+                ),
                 [
-                    load_turns.Peer(one.listing.address, one.listing.domain)
-                    for one in self._neighbours.of_service()
+                    load_turns.Peer(
+                        endpoint.listing.address, endpoint.listing.domain
+                    )
+                    for endpoint in self._neighbours.service_endpoints()
                 ],
-                left,
+                seconds_left,
             )
             self._turn_by_version = {version: turn}
             logger.bind(version=version, wait=round(turn - now, 3)).info(
@@ -355,15 +371,15 @@
             )
         return now >= turn
 
-    def _told_of(self, report: weights.EngineReport) -> None:
+    def _record_report(self, report: weights.EngineReport) -> None:
         """Tell entries what the engine holds when that has changed."""
         before = self._report
         self._report = report
-        self._aims.held = report.weights
-        self._telling.load(report.active, report.queued)
-        if before is not None and _same_holding(before, report):
+        self._version_selector.engine_weights = report.weights
+        self._announcer.report_load(report.active, report.queued)
+        if before is not None and _has_same_weights(before, report):
             return
-        self._telling.holds(report.weights, report.started)
+        self._announcer.announce_weights(report.weights, report.started)
         logger.bind(
             version=report.weights.version,
             layers=report.weights.end - report.weights.first,
@@ -371,7 +387,7 @@
         ).info('engine holds weights')
 
 
-def _same_holding(
+def _has_same_weights(
     before: weights.EngineReport,
     report: weights.EngineReport,
 ) -> bool:
--- a/clementinepass/direct/chain_order.py
+++ b/clementinepass/direct/chain_order.py
@@ -9,13 +9,13 @@
 
 #: Seconds without a piece after which to go by what the source has. A source
 #: may send five to another agent first; that is no reason to give the order up.
-_STALLED = 0.7
+_STALLED_SECONDS = 0.7
 #: Pieces in a row that came in the order of the chain, after which to go by
 #: that again. At the start of a version the last of a chain wait longer than
 #: that; to ask for what is known to be there costs a quarter of the pace.
-_AGAIN_AFTER = 4
+_RESUME_AFTER_PIECES = 4
 #: Pieces that may overtake one another on their way.
-_OVERTAKING = 5
+_REORDER_WINDOW = 5
 
 
 class ChainOrder:
@@ -28,38 +28,40 @@
     :param now: monotonic seconds.
     """
 
-    __slots__ = ('_run', 'is_given_up', 'progress')
+    __slots__ = ('_in_order_count', 'is_suspended', 'last_piece_at')
 
     def __init__(self, now: float) -> None:
         #: When a piece came last.
-        self.progress = now
+        self.last_piece_at = now
         #: Whether to go by what sources have.
-        self.is_given_up = False
+        self.is_suspended = False
         #: Pieces in a row that came in order.
-        self._run = 0
+        self._in_order_count = 0
 
-    def begin_anew(self, now: float) -> None:
+    def reset(self, now: float) -> None:
         """Go by the order again, since pieces come from another source."""
-        self.progress = now
-        self.is_given_up = False
+        self.last_piece_at = now
+        self.is_suspended = False
 
-    def gives_up(self, now: float) -> bool:
+    def suspend_if_stalled(self, now: float) -> bool:
         """Give the order up where pieces stalled; tell if just now."""
-        if self.is_given_up or now - self.progress <= _STALLED:
+        if self.is_suspended or now - self.last_piece_at <= _STALLED_SECONDS:
             return False
-        self.is_given_up = True
-        self._run = 0
+        self.is_suspended = True
+        self._in_order_count = 0
         return True
 
-    def came(self, number: int, expected: Sequence[int], now: float) -> None:
+    def record_piece(
+        self, number: int, expected: Sequence[int], now: float
+    ) -> None:
         """Take a piece.
 
         :param expected: the numbers missing before it, in the chain's order.
         """
-        self.progress = now
-        if number in expected[:_OVERTAKING]:
-            self._run += 1
+        self.last_piece_at = now
+        if number in expected[:_REORDER_WINDOW]:
+            self._in_order_count += 1
         else:
-            self._run = 0
-        if self._run >= _AGAIN_AFTER:
-            self.is_given_up = False
+            self._in_order_count = 0
+        if self._in_order_count >= _RESUME_AFTER_PIECES:
+            self.is_suspended = False
--- a/clementinepass/direct/fetching.py
+++ b/clementinepass/direct/fetching.py
@@ -26,62 +26,64 @@
 #: Pieces asked for at once of one agent. It sends one at a time, so that only
 #: one is on the link; the others wait there so that it goes on without a
 #: pause, though questions and answers queue behind the pieces on both links.
-_ASKED_OF_AGENT = 5
+_MAX_IN_FLIGHT_ONE_AGENT = 5
 #: The same of several sources, which send at the same time: more of them hold
 #: up the engine's prompts and events.
-_ASKED_OF_SEVERAL = 2
+_MAX_IN_FLIGHT_SEVERAL = 2
 #: The same of an agent, beside pieces that enter the region here and don't fill
 #: the link, so that the rest of it isn't idle.
-_ASKED_BESIDE = 1
+_MAX_IN_FLIGHT_BESIDE = 1
 #: Pieces asked for that the source doesn't have yet, where what it has is
 #: followed: the next one and one behind it.
-_ASKED_AHEAD = 2
+_MAX_IN_FLIGHT_AHEAD = 2
 #: Seconds without a piece after which the origin and all agents are asked,
 #: and the same for each agent before in the chain. The origin has to send to
 #: two; where all agents turn to it none is done in time.
-_LOST = 8.0
-_LOST_EACH = 1.0
+_LOST_SECONDS = 8.0
+_LOST_SECONDS_PER_AGENT = 1.0
 #: Pieces by which a source is ahead that show the link here to be slow.
-_FAR_AHEAD = 4
+_MAX_PIECES_AHEAD = 4
 #: Seconds of one piece from an agent that show a link to be congested.
-_CONGESTED_PIECE = 0.4
+_CONGESTED_PIECE_SECONDS = 0.4
 #: Seconds that pieces on their way may keep the link busy.
 _QUEUE_SECONDS = 0.3
 #: Seconds between questions to a source that has nothing new.
-_PAUSE_SECONDS = 0.03
+_RETRY_SECONDS = 0.03
 #: Seconds between looks when nothing came, and after a failure.
-_LOOK_SECONDS = 0.1
-_FAILED_PAUSE = 0.2
+_POLL_SECONDS = 0.1
+_FAILURE_PAUSE_SECONDS = 0.2
 
 
-class View(typing.Protocol):
+class FetchContext(typing.Protocol):
     """What getting pieces asks of the rest of the agent."""
 
-    def question(self, model: str, version: int) -> piece_chains.Question:
+    def plan_input(self, model: str, version: int) -> piece_chains.Question:
         """Return what choosing a source needs."""
 
     def source(self, ip: str) -> weights.Source | None:
         """Return a source by its IP number, or the origin."""
 
-    def wanted(self) -> tuple[str, int]:
+    def version_to_fetch(self) -> tuple[str, int]:
         """Return the model and the version whose pieces to get now."""
 
 
-class Fetching:
+class Fetcher:
     """Get the pieces of one version.
 
     :param held: the pieces that are here; those missing are added.
     """
 
-    def __init__(self, held: pieces.Pieces, view: View) -> None:
-        self._held = held
-        self._view = view
-        self._suppliers = suppliers.Suppliers(view.source)
+    def __init__(
+        self, version_pieces: pieces.Pieces, context: FetchContext
+    ) -> None:
+        self._version_pieces = version_pieces
+        self._context = context
+        self._suppliers = suppliers.Suppliers(context.source)
         self._plan: piece_chains.Plan | None = None
         #: Whether to get pieces from those whose engines have the version.
-        self._by_holders = False
+        self._uses_holders = False
         self._changed = asyncio.Event()
-        self._order = chain_order.ChainOrder(
+        self._chain_order = chain_order.ChainOrder(
             asyncio.get_running_loop().time(),
         )
         #: Bytes got from the origin and from agents.
@@ -91,136 +93,160 @@
     async def run(self) -> None:
         """Get all missing pieces, or end when another version is wanted."""
         try:
-            while self._held.missing and not self._superseded():
-                self._start(asyncio.get_running_loop().time())
+            while self._version_pieces.missing and not self._is_superseded():
+                self._request_more(asyncio.get_running_loop().time())
                 self._changed.clear()
                 with contextlib.suppress(TimeoutError):
-                    async with asyncio.timeout(_LOOK_SECONDS):
+                    async with asyncio.timeout(_POLL_SECONDS):
                         await self._changed.wait()
         finally:
             self._suppliers.cancel()
-            self._held.fetch_ended()
+            self._version_pieces.clear_link_state()
 
     # What to get next.
 
-    def _start(self, now: float) -> None:
+    def _request_more(self, now: float) -> None:
         """Ask for pieces until enough are on their way."""
-        self._suppliers.judge(now, self._count_to_keep_up())
-        question = self._question(now)
-        plan = piece_chains.plan(question)
-        self._follow_plan(plan, now)
-        if self._order.gives_up(now):
-            self._by_holders = True
+        self._suppliers.skip_faulty(now, self._reference_piece_count())
+        plan_input = self._plan_input(now)
+        plan = piece_chains.plan(plan_input)
+        self._apply_plan(plan, now)
+        if self._chain_order.suspend_if_stalled(now):
+            self._uses_holders = True
             logger.bind(
                 sources=plan.sources,
                 partners=plan.partners[:1],
-                missing=len(self._held.missing),
+                missing=len(self._version_pieces.missing),
             ).info('pieces stalled')
-        if self._order.is_given_up:
-            self._ask_for_held(question, plan, now)
+        if self._chain_order.is_suspended:
+            self._request_available(plan_input, plan, now)
         else:
-            self._ask_in_order(plan, now)
+            self._request_in_order(plan, now)
 
-    def _follow_plan(self, plan: piece_chains.Plan, now: float) -> None:
+    def _apply_plan(self, plan: piece_chains.Plan, now: float) -> None:
         """Begin anew where pieces come from others than before."""
         if self._plan is not None and plan.sources != self._plan.sources:
             logger.bind(
                 sources=plan.sources,
                 before=self._plan.sources,
-                missing=len(self._held.missing),
+                missing=len(self._version_pieces.missing),
             ).info('sources changed')
-            self._order.begin_anew(now)
+            self._chain_order.reset(now)
         self._plan = plan
 
-    def _ask_in_order(self, plan: piece_chains.Plan, now: float) -> None:
+    def _request_in_order(self, plan: piece_chains.Plan, now: float) -> None:
         """Ask the planned sources for what comes next in their order.
 
         They are asked before they have it, and send each piece as it comes:
         to ask for what is there takes a question and an answer more, each
         behind a piece on the link.
         """
-        read = [one for one in plan.lanes if piece_chains.ORIGIN in one.sources]
-        entering = [one for one in plan.lanes if one.enters and one not in read]
-        beside = _ASKED_OF_AGENT
-        if self._ask_urgent(read, now):
-            beside = _ASKED_BESIDE if plan.has_room else 0
-        elif self._ask_urgent(entering, now):
-            beside = _ASKED_BESIDE
+        from_origin = [
+            lane for lane in plan.lanes if piece_chains.ORIGIN in lane.sources
+        ]
+        entering = [
+            lane
+            for lane in plan.lanes
+            if lane.enters and lane not in from_origin
+        ]
+        limit = _MAX_IN_FLIGHT_ONE_AGENT
+        if self._request_entering(from_origin, now):
+            limit = _MAX_IN_FLIGHT_BESIDE if plan.has_room else 0
+        elif self._request_entering(entering, now):
+            limit = _MAX_IN_FLIGHT_BESIDE
         for relayed in plan.lanes:
-            if not relayed.enters and beside:
-                most = min(self._most_asked(_most_asked_in([relayed])), beside)
-                self._ask_lane(relayed, most, now)
+            if not relayed.enters and limit:
+                lane_limit = min(
+                    self._limit_in_flight(_max_in_flight([relayed])), limit
+                )
+                self._request_lane(relayed, lane_limit, now)
 
-    def _ask_urgent(self, lanes: list[piece_chains.Lane], now: float) -> bool:
+    def _request_entering(
+        self, lanes: list[piece_chains.Lane], now: float
+    ) -> bool:
         """Ask for what others wait for; tell whether it comes."""
-        most = self._most_asked(_most_asked_in(lanes))
+        limit = self._limit_in_flight(_max_in_flight(lanes))
         for lane in lanes:
-            self._ask_lane(lane, most, now)
-        return any(self._flows(one, now) for one in lanes)
+            self._request_lane(lane, limit, now)
+        return any(self._is_delivering(entering, now) for entering in lanes)
 
-    def _ask_lane(self, lane: piece_chains.Lane, most: int, now: float) -> None:
+    def _request_lane(
+        self, lane: piece_chains.Lane, limit: int, now: float
+    ) -> None:
         """Ask for the next pieces of a lane.
 
         :param most: how many may be on their way from its sources.
         """
-        able = self._suppliers.usable(lane.sources, now)
-        most_in_all = self._most_asked(_ASKED_OF_AGENT)
-        for number in filter(lane.has, self._in_order()):
-            asked = sum(len(one.on_way) for one in able)
-            if not able or asked >= most:
+        usable = self._suppliers.usable(lane.sources, now)
+        total_limit = self._limit_in_flight(_MAX_IN_FLIGHT_ONE_AGENT)
+        for number in filter(lane.has, self._missing_not_in_flight()):
+            in_flight_count = sum(
+                len(supplier.in_flight) for supplier in usable
+            )
+            if not usable or in_flight_count >= limit:
                 return
-            if len(self._suppliers.on_way()) >= most_in_all:
+            if len(self._suppliers.in_flight()) >= total_limit:
                 return
-            self._ask(min(able, key=_next_after), number, now)
+            self._request_piece(
+                min(usable, key=_next_piece_seconds), number, now
+            )
 
-    def _flows(self, lane: piece_chains.Lane, now: float) -> bool:
+    def _is_delivering(self, lane: piece_chains.Lane, now: float) -> bool:
         """Tell whether pieces of a lane are still coming, and fast.
 
         Where they come slowly the others are asked, too: if theirs are slow
         as well, it is the link here, and another is to head the stripe.
         """
-        if not any(map(lane.has, self._held.missing)):
+        if not any(map(lane.has, self._version_pieces.missing)):
             return False
         return any(
-            one.flows(now) and one.piece_seconds <= suppliers.SLOW_PIECE
-            for one in self._suppliers.usable(lane.sources, now)
+            supplier.is_delivering(now)
+            and supplier.piece_seconds <= suppliers.SLOW_PIECE_SECONDS
+            for supplier in self._suppliers.usable(lane.sources, now)
         )
 
-    def _ask_for_held(
+    def _request_available(
         self,
-        question: piece_chains.Question,
+        plan_input: piece_chains.Question,
         plan: piece_chains.Plan,
         now: float,
     ) -> None:
         """Ask for what sources say that they have."""
-        sources = self._sources(plan, now)
-        self._learn(question, sources)
-        ordered = self._in_order()
-        self._ask_known(sources, ordered, now)
-        for one in sources:
-            if one.ip == piece_chains.ORIGIN:
-                self._ask_origin(one, ordered, sources, now)
-        agents = [each for each in sources if each.ip != piece_chains.ORIGIN]
-        self._ask_ahead(agents[:1], now)
-
-    def _ask_known(
+        sources = self._usable_suppliers(plan, now)
+        self._watch_suppliers(plan_input, sources)
+        ordered = self._missing_not_in_flight()
+        self._request_known(sources, ordered, now)
+        for supplier in sources:
+            if supplier.ip == piece_chains.ORIGIN:
+                self._request_from_origin(supplier, ordered, sources, now)
+        agents = [agent for agent in sources if agent.ip != piece_chains.ORIGIN]
+        self._request_ahead(agents[:1], now)
+
+    def _request_known(
         self,
         sources: list[suppliers.Supplier],
         ordered: list[int],
         now: float,
     ) -> None:
         """Ask for pieces that sources are known to have."""
-        room = self._most_asked(_ASKED_OF_SEVERAL)
-        room -= sum(len(one.has.intersection(one.on_way)) for one in sources)
+        remaining = self._limit_in_flight(_MAX_IN_FLIGHT_SEVERAL)
+        remaining -= sum(
+            len(supplier.available.intersection(supplier.in_flight))
+            for supplier in sources
+        )
         for number in ordered:
-            if room <= 0:
+            if remaining <= 0:
                 return
-            able = [one for one in sources if number in one.has]
-            if able:
-                self._ask(min(able, key=_next_after), number, now)
-                room -= 1
+            holders = [
+                supplier for supplier in sources if number in supplier.available
+            ]
+            if holders:
+                self._request_piece(
+                    min(holders, key=_next_piece_seconds), number, now
+                )
+                remaining -= 1
 
-    def _ask_ahead(
+    def _request_ahead(
         self,
         sources: list[suppliers.Supplier],
         now: float,
@@ -229,14 +255,20 @@
 
         So that pieces flow without a pause again once there are new ones.
         """
-        for one in sources:
-            ahead = [each for each in one.on_way if each not in one.has]
-            most = self._most_asked(_ASKED_AHEAD) - len(ahead)
-            for number in self._in_order()[: max(most, 0)]:
-                if number not in one.has:
-                    self._ask(one, number, now)
-
-    def _ask_origin(
+        for supplier in sources:
+            queued_ahead = [
+                queued
+                for queued in supplier.in_flight
+                if queued not in supplier.available
+            ]
+            remaining = self._limit_in_flight(_MAX_IN_FLIGHT_AHEAD) - len(
+                queued_ahead
+            )
+            for number in self._missing_not_in_flight()[: max(remaining, 0)]:
+                if number not in supplier.available:
+                    self._request_piece(supplier, number, now)
+
+    def _request_from_origin(
         self,
         origin: suppliers.Supplier,
         ordered: list[int],
@@ -244,62 +276,76 @@
         now: float,
     ) -> None:
         """Ask the origin for pieces that nobody else has."""
-        elsewhere = frozenset().union(*(one.has for one in sources))
+        available_elsewhere = frozenset().union(
+            *(supplier.available for supplier in sources)
+        )
         for number in ordered:
-            if len(origin.on_way) >= _ASKED_OF_SEVERAL:
+            if len(origin.in_flight) >= _MAX_IN_FLIGHT_SEVERAL:
                 return
-            if number not in elsewhere:
-                self._ask(origin, number, now)
+            if number not in available_elsewhere:
+                self._request_piece(origin, number, now)
 
-    def _sources(
+    def _usable_suppliers(
         self,
         plan: piece_chains.Plan,
         now: float,
     ) -> list[suppliers.Supplier]:
         """Return whom to ask for what they have."""
         partners = self._suppliers.usable(plan.partners, now)[:1]
-        found = [*self._suppliers.usable(plan.sources, now), *partners]
-        if now - self._order.progress > _LOST + plan.place * _LOST_EACH:
+        suppliers_found = [
+            *self._suppliers.usable(plan.sources, now),
+            *partners,
+        ]
+        if (
+            now - self._chain_order.last_piece_at
+            > _LOST_SECONDS + plan.place * _LOST_SECONDS_PER_AGENT
+        ):
             others = (*plan.anyone, piece_chains.ORIGIN)
-            found.extend(
-                one
-                for one in self._suppliers.usable(others, now)
-                if one not in found
+            suppliers_found.extend(
+                supplier
+                for supplier in self._suppliers.usable(others, now)
+                if supplier not in suppliers_found
             )
-        return found
+        return suppliers_found
 
-    def _in_order(self) -> list[int]:
+    def _missing_not_in_flight(self) -> list[int]:
         """Return the numbers to ask for, in the order in which they come."""
-        on_way = self._suppliers.on_way()
-        return [one for one in self._missing() if one not in on_way]
-
-    def _missing(self) -> list[int]:
+        in_flight = self._suppliers.in_flight()
+        return [
+            number
+            for number in self._missing_in_order()
+            if number not in in_flight
+        ]
+
+    def _missing_in_order(self) -> list[int]:
         """Return the missing numbers in the order in which they come."""
-        missing = self._held.missing
+        missing = self._version_pieces.missing
         return missing if self._plan is None else self._plan.in_order(missing)
 
-    def _question(self, now: float) -> piece_chains.Question:
+    def _plan_input(self, now: float) -> piece_chains.Question:
         """Return who there is, and who is passed over."""
-        manifest = self._held.manifest
-        question = self._view.question(manifest.model, manifest.version)
+        manifest = self._version_pieces.manifest
+        plan_input = self._context.plan_input(manifest.model, manifest.version)
         if self._plan is None:
-            self._by_holders = any(peer.holds for peer in question.peers)
-        avoided = self._suppliers.passed_over(now)
-        return question._replace(
-            peers=question.peers if self._by_holders else _newcomers(question),
+            self._uses_holders = any(peer.holds for peer in plan_input.peers)
+        avoided = self._suppliers.skipped(now)
+        return plan_input._replace(
+            peers=plan_input.peers
+            if self._uses_holders
+            else _without_holders(plan_input),
             avoided=avoided,
         )
 
-    def _count_to_keep_up(self) -> int:
+    def _reference_piece_count(self) -> int:
         """Return how many pieces sources should have, more or less.
 
         Where pieces come in stripes, those before wait for other pieces than
         this agent has, and say so themselves when their link is slow.
         """
         is_striped = self._plan is not None and self._plan.is_striped
-        return 0 if is_striped else len(self._held.numbers)
+        return 0 if is_striped else len(self._version_pieces.numbers)
 
-    def _most_asked(self, most: int) -> int:
+    def _limit_in_flight(self, limit: int) -> int:
         """Return how many pieces to ask for at once.
 
         Failure: on a link narrowed to a quarter five pieces take more than a
@@ -307,97 +353,114 @@
         their callers have left. Fewer are asked for the slower they come.
         """
         return max(
-            min(most, round(_QUEUE_SECONDS / self._suppliers.piece_seconds)), 1
+            min(limit, round(_QUEUE_SECONDS / self._suppliers.piece_seconds)), 1
         )
 
     # Who has what.
 
-    def _learn(
+    def _watch_suppliers(
         self,
-        question: piece_chains.Question,
+        plan_input: piece_chains.Question,
         sources: list[suppliers.Supplier],
     ) -> None:
         """Follow what sources have; those whose engine has it have all."""
-        holders = {peer.ip for peer in question.peers if peer.holds}
-        for one in sources:
-            if one.ip in holders:
-                one.has = frozenset(range(len(self._held.manifest.digests)))
-            elif one.ip != piece_chains.ORIGIN and one.watcher is None:
-                one.watcher = asyncio.create_task(self._watch(one))
-
-    async def _watch(self, one: suppliers.Supplier) -> None:
+        holders = {peer.ip for peer in plan_input.peers if peer.holds}
+        for supplier in sources:
+            if supplier.ip in holders:
+                supplier.available = frozenset(
+                    range(len(self._version_pieces.manifest.digests))
+                )
+            elif (
+                supplier.ip != piece_chains.ORIGIN
+                and supplier.watch_task is None
+            ):
+                supplier.watch_task = asyncio.create_task(
+                    self._watch_availability(supplier)
+                )
+
+    async def _watch_availability(self, supplier: suppliers.Supplier) -> None:
         loop = asyncio.get_running_loop()
-        manifest = self._held.manifest
+        manifest = self._version_pieces.manifest
         while True:
-            one.asked(loop.time())
+            supplier.record_request(loop.time())
             try:
-                holding = await one.source.numbers(
+                availability = await supplier.source.available_pieces(
                     manifest.model,
                     manifest.version,
-                    len(one.has),
+                    len(supplier.available),
                 )
             except errors.ClementinepassError as error:
-                self._failed(one, error)
-                await asyncio.sleep(_FAILED_PAUSE)
+                self._record_failure(supplier, error)
+                await asyncio.sleep(_FAILURE_PAUSE_SECONDS)
                 continue
-            one.answered(
+            supplier.record_response(
                 loop.time(),
-                slow=holding.slow,
-                count=holding.total,
+                is_slow=availability.is_slow,
+                piece_count=availability.total,
             )
-            if holding.numbers != one.has:
-                one.has = holding.numbers
+            if availability.numbers != supplier.available:
+                supplier.available = availability.numbers
                 self._changed.set()
-            await asyncio.sleep(_PAUSE_SECONDS)
+            await asyncio.sleep(_RETRY_SECONDS)
 
     # Getting a piece.
 
-    def _ask(self, one: suppliers.Supplier, number: int, now: float) -> None:
-        one.asked(now)
-        one.on_way[number] = asyncio.create_task(self._get(one, number))
+    def _request_piece(
+        self, supplier: suppliers.Supplier, number: int, now: float
+    ) -> None:
+        supplier.record_request(now)
+        supplier.in_flight[number] = asyncio.create_task(
+            self._run_request(supplier, number)
+        )
 
-    async def _get(self, one: suppliers.Supplier, number: int) -> None:
+    async def _run_request(
+        self, supplier: suppliers.Supplier, number: int
+    ) -> None:
         try:
-            piece = await self._get_from(one, number)
+            piece = await self._fetch_piece(supplier, number)
         except errors.ClementinepassError as error:
-            self._failed(one, error)
-            await asyncio.sleep(_FAILED_PAUSE)
+            self._record_failure(supplier, error)
+            await asyncio.sleep(_FAILURE_PAUSE_SECONDS)
         else:
             if piece is None:
-                await asyncio.sleep(_PAUSE_SECONDS)
+                await asyncio.sleep(_RETRY_SECONDS)
         finally:
-            if one.on_way.get(number) is asyncio.current_task():
-                one.done(number)
+            if supplier.in_flight.get(number) is asyncio.current_task():
+                supplier.finish_request(number)
             self._changed.set()
 
-    async def _get_from(
+    async def _fetch_piece(
         self,
-        one: suppliers.Supplier,
+        supplier: suppliers.Supplier,
         number: int,
     ) -> weights.Piece | None:
-        manifest = self._held.manifest
-        piece = await one.source.piece(
+        manifest = self._version_pieces.manifest
+        piece = await supplier.source.piece(
             manifest.model,
             manifest.version,
             number,
         )
         now = asyncio.get_running_loop().time()
-        one.answered(now, slow=piece.slow, count=piece.others)
+        supplier.record_response(
+            now,
+            is_slow=piece.is_source_slow,
+            piece_count=piece.source_piece_count,
+        )
         if piece.payload is None:
             return None
-        expected = self._missing()
-        if not self._held.take(number, piece.payload):
-            logger.bind(piece=number, source=one.ip or 'origin').warning(
+        expected = self._missing_in_order()
+        if not self._version_pieces.add(number, piece.payload):
+            logger.bind(piece=number, source=supplier.ip or 'origin').warning(
                 'piece is spoilt',
             )
             return None
-        self._order.came(number, expected, now)
-        self._came(one, piece)
+        self._chain_order.record_piece(number, expected, now)
+        self._record_piece(supplier, piece)
         return piece
 
-    def _came(
+    def _record_piece(
         self,
-        one: suppliers.Supplier,
+        supplier: suppliers.Supplier,
         piece: weights.Piece,
     ) -> None:
         """Note how long pieces take on the link.
@@ -411,23 +474,28 @@
         narrowed to an eighth. Nothing told it from an origin that is slow, and
         all others waited for that stripe until the version's bound.
         """
-        one.took(piece.seconds, asyncio.get_running_loop().time())
-        ahead = (piece.others or 0) - len(self._held.numbers)
-        has_evidence = ahead > _FAR_AHEAD or self._suppliers.several_bring()
-        self._held.slow = (
-            self._suppliers.piece_seconds > suppliers.SLOW_PIECE
+        supplier.record_piece(piece.seconds, asyncio.get_running_loop().time())
+        pieces_ahead = (piece.source_piece_count or 0) - len(
+            self._version_pieces.numbers
+        )
+        has_evidence = (
+            pieces_ahead > _MAX_PIECES_AHEAD
+            or self._suppliers.have_several_delivered()
+        )
+        self._version_pieces.is_slow = (
+            self._suppliers.piece_seconds > suppliers.SLOW_PIECE_SECONDS
             and has_evidence
-            and not piece.slow
+            and not piece.is_source_slow
         )
-        self._note_congestion(one, piece)
-        if one.ip == piece_chains.ORIGIN:
+        self._update_congestion(supplier, piece)
+        if supplier.ip == piece_chains.ORIGIN:
             self.from_origin += len(piece.payload or b'')
         else:
             self.from_agents += len(piece.payload or b'')
 
-    def _note_congestion(
+    def _update_congestion(
         self,
-        one: suppliers.Supplier,
+        supplier: suppliers.Supplier,
         piece: weights.Piece,
     ) -> None:
         """Note at the first slow piece that the link may be narrow.
@@ -440,45 +508,56 @@
         sound again as soon as pieces came from the origin. Requests sent there
         reached the engine after their callers had left.
         """
-        is_agent = one.ip != piece_chains.ORIGIN
-        if is_agent and piece.seconds > _CONGESTED_PIECE and not piece.slow:
-            self._held.is_congested = True
-        elif piece.seconds < suppliers.SLOW_PIECE:
-            self._held.is_congested = False
-
-    def _failed(self, one: suppliers.Supplier, error: Exception) -> None:
-        one.failures += 1
+        is_agent = supplier.ip != piece_chains.ORIGIN
+        if (
+            is_agent
+            and piece.seconds > _CONGESTED_PIECE_SECONDS
+            and not piece.is_source_slow
+        ):
+            self._version_pieces.is_congested = True
+        elif piece.seconds < suppliers.SLOW_PIECE_SECONDS:
+            self._version_pieces.is_congested = False
+
+    def _record_failure(
+        self, supplier: suppliers.Supplier, error: Exception
+    ) -> None:
+        supplier.failures += 1
         self._changed.set()
-        if one.failures == 1:
-            logger.bind(source=one.ip or 'origin').info('no answer: {}', error)
+        if supplier.failures == 1:
+            logger.bind(source=supplier.ip or 'origin').info(
+                'no answer: {}', error
+            )
 
-    def _superseded(self) -> bool:
-        manifest = self._held.manifest
-        return self._view.wanted() != (manifest.model, manifest.version)
+    def _is_superseded(self) -> bool:
+        manifest = self._version_pieces.manifest
+        return self._context.version_to_fetch() != (
+            manifest.model,
+            manifest.version,
+        )
 
 
-def _newcomers(
-    question: piece_chains.Question,
+def _without_holders(
+    plan_input: piece_chains.Question,
 ) -> list[piece_chains.Peer]:
     """Return all peers as if no engine had the version yet.
 
     Failure: as soon as one engine had loaded a version, all agents of other
     regions that lacked some pieces turned to the one beside it.
     """
-    return [peer._replace(holds=False) for peer in question.peers]
+    return [peer._replace(holds=False) for peer in plan_input.peers]
 
 
-def _most_asked_in(lanes: list[piece_chains.Lane]) -> int:
+def _max_in_flight(lanes: list[piece_chains.Lane]) -> int:
     """Return how many pieces to ask for at once of the sources of each lane.
 
     Failure: an agent alone in its region got one stripe after the other, each
     at half of its link's rate, and had all after 8.0 s in place of 5.4 s.
     """
-    every = [source for lane in lanes for source in lane.sources]
-    if len(every) > 1 or piece_chains.ORIGIN in every:
-        return _ASKED_OF_SEVERAL
-    return _ASKED_OF_AGENT
+    sources = [source for lane in lanes for source in lane.sources]
+    if len(sources) > 1 or piece_chains.ORIGIN in sources:
+        return _MAX_IN_FLIGHT_SEVERAL
+    return _MAX_IN_FLIGHT_ONE_AGENT
 
 
-def _next_after(one: suppliers.Supplier) -> float:
-    return one.next_after
+def _next_piece_seconds(supplier: suppliers.Supplier) -> float:
+    return supplier.next_piece_seconds
--- a/clementinepass/direct/loading.py
+++ b/clementinepass/direct/loading.py
@@ -18,18 +18,18 @@
 from clementinepass.direct import fetching, manifests, pieces, weights
 
 #: Versions whose pieces are kept, for the engine and for other agents.
-_MOST_VERSIONS = 3
+_MAX_VERSIONS = 3
 #: Seconds after an order without an answer in which nothing else is staged.
-_UNKNOWN_SECONDS = 1.0
+_UNKNOWN_ORDER_SECONDS = 1.0
 #: Seconds between tries to read what lies staged.
 _RETRY_SECONDS = 0.3
 #: Seconds from the first piece read back to the order, by a clock that also
 #: counts time in which the machine stood still. Pieces may have turned bad
 #: since they were read; the rules excuse three seconds.
-_FRESH_SECONDS = 2.2
+_MAX_READ_BACK_SECONDS = 2.2
 
 
-class Loading:
+class Loader:
     """The versions of one model on one machine.
 
     :param engine: the engine on this machine.
@@ -37,37 +37,40 @@
     """
 
     __slots__ = (
+        '_context',
         '_engine',
-        '_manifests',
+        '_manifest_finder',
         '_pieces_by_version',
-        '_staging',
-        '_view',
+        '_staging_lock',
     )
 
-    def __init__(self, engine: weights.Engine, view: fetching.View) -> None:
+    def __init__(
+        self, engine: weights.Engine, context: fetching.FetchContext
+    ) -> None:
         self._engine = engine
-        self._view = view
-        self._manifests = manifests.Manifests(view)
+        self._context = context
+        self._manifest_finder = manifests.ManifestFinder(context)
         self._pieces_by_version: dict[int, pieces.Pieces] = {}
         #: Held while a piece is staged, and from the first piece read back to
         #: the order: an engine loads whatever lies there when it accepts, and
         #: pieces of the next version must not come between.
-        self._staging = asyncio.Lock()
+        self._staging_lock = asyncio.Lock()
 
     def pieces_of(self, model: str, version: int) -> pieces.Pieces | None:
         """Return the pieces of a version that are here or on their way."""
-        held = self._pieces_by_version.get(version)
-        if held is None or held.manifest.model != model:
+        version_pieces = self._pieces_by_version.get(version)
+        if version_pieces is None or version_pieces.manifest.model != model:
             return None
-        return held
+        return version_pieces
 
-    def newest_whole(self, model: str) -> int:
+    def newest_complete(self, model: str) -> int:
         """Return the newest version of which all pieces are here; or 0."""
         return max(
             (
                 version
-                for version, held in self._pieces_by_version.items()
-                if held.manifest.model == model and not held.missing
+                for version, version_pieces in self._pieces_by_version.items()
+                if version_pieces.manifest.model == model
+                and not version_pieces.missing
             ),
             default=0,
         )
@@ -76,8 +79,8 @@
     def is_congested(self) -> bool:
         """Tell whether pieces come here slowly at present."""
         return any(
-            held.slow or held.is_congested
-            for held in self._pieces_by_version.values()
+            version_pieces.is_slow or version_pieces.is_congested
+            for version_pieces in self._pieces_by_version.values()
         )
 
     async def prepare(self, model: str, version: int) -> None:
@@ -89,7 +92,7 @@
 
         :raises ClementinepassError: nobody has the manifest.
         """
-        await self._manifest(model, version)
+        await self._ensure_pieces(model, version)
 
     async def fetch(self, model: str, version: int) -> None:
         """Get the pieces of a version that are missing.
@@ -100,30 +103,34 @@
             doesn't answer.
         """
         is_first = not self._pieces_by_version
-        held = await self._manifest(model, version)
-        begun = asyncio.get_running_loop().time()
-        logger.bind(version=version, missing=len(held.missing)).info(
+        version_pieces = await self._ensure_pieces(model, version)
+        started_at = asyncio.get_running_loop().time()
+        logger.bind(version=version, missing=len(version_pieces.missing)).info(
             'getting pieces',
         )
         if is_first:
             # An agent that was killed finds here what it had got.
-            held.reads_staged = True
+            version_pieces.is_reading_staged = True
             try:
-                await self._read_staged(held)
+                await self._read_staged(version_pieces)
             finally:
-                held.reads_staged = False
-        fetch = fetching.Fetching(held, self._view)
-        staging = asyncio.create_task(self._keep_staged(held))
+                version_pieces.is_reading_staged = False
+        fetcher = fetching.Fetcher(version_pieces, self._context)
+        staging_task = asyncio.create_task(
+            self._stage_as_fetched(version_pieces)
+        )
         try:
-            await fetch.run()
+            await fetcher.run()
         finally:
-            staging.cancel()
+            staging_task.cancel()
             logger.bind(
                 version=version,
-                missing=len(held.missing),
-                from_origin=fetch.from_origin,
-                from_agents=fetch.from_agents,
-                seconds=round(asyncio.get_running_loop().time() - begun, 3),
+                missing=len(version_pieces.missing),
+                from_origin=fetcher.from_origin,
+                from_agents=fetcher.from_agents,
+                seconds=round(
+                    asyncio.get_running_loop().time() - started_at, 3
+                ),
             ).info('pieces got')
 
     async def load(self, model: str, version: int) -> bool:
@@ -131,41 +138,41 @@
 
         :raises ClementinepassError: the engine doesn't answer.
         """
-        held = self._pieces_by_version[version]
+        version_pieces = self._pieces_by_version[version]
         report = await self._engine.report()
         if report.busy:
             return False
-        async with self._staging:
-            return await self._load(held, report)
+        async with self._staging_lock:
+            return await self._load(version_pieces, report)
 
     async def _load(
         self,
-        held: pieces.Pieces,
+        version_pieces: pieces.Pieces,
         report: weights.EngineReport,
     ) -> bool:
-        model = held.manifest.model
-        version = held.manifest.version
-        begun = _now_with_standstill()
-        for number, _ in enumerate(held.manifest.digests):
-            await self._stage(held, number)
-        if self.newest_whole(model) != version:
+        model = version_pieces.manifest.model
+        version = version_pieces.manifest.version
+        started_at = _boot_time()
+        for number, _ in enumerate(version_pieces.manifest.digests):
+            await self._stage(version_pieces, number)
+        if self.newest_complete(model) != version:
             return False
-        if _now_with_standstill() - begun > _FRESH_SECONDS:
+        if _boot_time() - started_at > _MAX_READ_BACK_SECONDS:
             logger.bind(version=version).info('staged too long ago')
             return False
         if await self._has_restarted(report):
             logger.bind(version=version).info('the engine has restarted')
             return False
-        ordered = await self._engine.load(model, version, report)
+        result = await self._engine.load(model, version, report)
         logger.bind(
             version=version,
             orders=report.orders,
             active=report.active,
-            answer=ordered.value,
+            answer=result.value,
         ).info('ordered to load')
-        if ordered is weights.Ordered.UNKNOWN:
+        if result is weights.OrderResult.UNKNOWN:
             # It may be accepted yet, with what lies staged then.
-            await asyncio.sleep(_UNKNOWN_SECONDS)
+            await asyncio.sleep(_UNKNOWN_ORDER_SECONDS)
         return True
 
     async def _has_restarted(self, report: weights.EngineReport) -> bool:
@@ -175,28 +182,28 @@
         pieces read back and the order. The order named none, which the new
         start had begun as well, and was taken with pieces missing.
         """
-        fresh = await self._engine.report()
-        return fresh.started != report.started
-
-    async def _manifest(self, model: str, version: int) -> pieces.Pieces:
-        known = self.pieces_of(model, version)
-        if known is not None:
-            return known
-        manifest = await self._manifests.find(model, version)
-        known = self.pieces_of(model, version)
-        if known is not None:
+        latest = await self._engine.report()
+        return latest.started != report.started
+
+    async def _ensure_pieces(self, model: str, version: int) -> pieces.Pieces:
+        existing = self.pieces_of(model, version)
+        if existing is not None:
+            return existing
+        manifest = await self._manifest_finder.find(model, version)
+        existing = self.pieces_of(model, version)
+        if existing is not None:
             # It was prepared meanwhile.
-            return known
-        held = pieces.Pieces(manifest)
-        self._pieces_by_version[version] = held
-        self._forget()
-        return held
-
-    def _forget(self) -> None:
-        while len(self._pieces_by_version) > _MOST_VERSIONS:
+            return existing
+        version_pieces = pieces.Pieces(manifest)
+        self._pieces_by_version[version] = version_pieces
+        self._drop_oldest()
+        return version_pieces
+
+    def _drop_oldest(self) -> None:
+        while len(self._pieces_by_version) > _MAX_VERSIONS:
             del self._pieces_by_version[min(self._pieces_by_version)]
 
-    async def _keep_staged(self, held: pieces.Pieces) -> None:
+    async def _stage_as_fetched(self, version_pieces: pieces.Pieces) -> None:
         """Keep staged pieces that this version has too, and stage the others.
 
         Staged as they come, since what is in memory goes with the process:
@@ -204,54 +211,58 @@
         and their engines served nothing for six seconds more. Tried until the
         engine answers: one that starts anew is down for seconds.
         """
-        while not await self._read_staged(held):
+        while not await self._read_staged(version_pieces):
             await asyncio.sleep(_RETRY_SECONDS)
         staged: set[int] = set()
         while True:
-            for number in set(held.numbers) - staged:
+            for number in set(version_pieces.numbers) - staged:
                 try:
                     # Ended only with its answer: given up, it could take
                     # effect while the next version is read back.
-                    await asyncio.shield(self._stage_alone(held, number))
+                    await asyncio.shield(
+                        self._stage_with_lock(version_pieces, number)
+                    )
                 except errors.ClementinepassError as error:
                     logger.info('piece not staged: {}', error)
                     await asyncio.sleep(_RETRY_SECONDS)
                 else:
                     staged.add(number)
-            await held.wait_for_more(len(staged), _RETRY_SECONDS)
+            await version_pieces.wait_for_more(len(staged), _RETRY_SECONDS)
 
-    async def _read_staged(self, held: pieces.Pieces) -> bool:
+    async def _read_staged(self, version_pieces: pieces.Pieces) -> bool:
         """Take what lies staged and fits; tell whether the engine answered."""
-        model = held.manifest.model
+        model = version_pieces.manifest.model
         try:
-            staged = await self._engine.staged(model)
-            for number in staged.intersection(held.missing):
+            numbers = await self._engine.staged_numbers(model)
+            for number in numbers.intersection(version_pieces.missing):
                 piece = await self._engine.staged_piece(model, number)
                 if piece is not None:
-                    held.take(number, piece)
+                    version_pieces.add(number, piece)
         except errors.ClementinepassError as error:
             logger.info('staged pieces not read: {}', error)
             return False
         return True
 
-    async def _stage_alone(self, held: pieces.Pieces, number: int) -> None:
-        async with self._staging:
-            await self._stage(held, number)
+    async def _stage_with_lock(
+        self, version_pieces: pieces.Pieces, number: int
+    ) -> None:
+        async with self._staging_lock:
+            await self._stage(version_pieces, number)
 
-    async def _stage(self, held: pieces.Pieces, number: int) -> None:
+    async def _stage(self, version_pieces: pieces.Pieces, number: int) -> None:
         """Have a piece lie staged, and read it back.
 
         One that is there already stays: each write is another chance for it
         to be spoilt on the way.
         """
-        model = held.manifest.model
-        piece = held.get(number)
-        lying = await self._engine.staged_piece(model, number)
-        if piece is None or lying == piece:
+        model = version_pieces.manifest.model
+        piece = version_pieces.get(number)
+        staged = await self._engine.staged_piece(model, number)
+        if piece is None or staged == piece:
             return
         await self._engine.stage(model, number, piece)
-        lying = await self._engine.staged_piece(model, number)
-        if lying != piece:
+        staged = await self._engine.staged_piece(model, number)
+        if staged != piece:
             raise errors.ChunkCorruptError(
                 f'piece {number} is spoilt where it was staged',
                 step='stage',
@@ -259,5 +270,5 @@
             )
 
 
-def _now_with_standstill() -> float:
+def _boot_time() -> float:
     return time.clock_gettime(time.CLOCK_BOOTTIME)
--- a/clementinepass/direct/manifests.py
+++ b/clementinepass/direct/manifests.py
@@ -19,68 +19,70 @@
 _ROUND_SECONDS = 1.5
 
 
-class Manifests:
+class ManifestFinder:
     """Ask for manifests, a round at a time.
 
     :param view: who else there is.
     """
 
-    __slots__ = ('_rounds_by_version', '_view')
+    __slots__ = ('_context', '_failed_rounds_by_version')
 
-    def __init__(self, view: fetching.View) -> None:
-        self._view = view
+    def __init__(self, context: fetching.FetchContext) -> None:
+        self._context = context
         #: Rounds that brought nothing.
-        self._rounds_by_version: dict[int, int] = {}
+        self._failed_rounds_by_version: dict[int, int] = {}
 
     async def find(self, model: str, version: int) -> weights.Manifest:
         """Return the manifest, as the first that was asked has it.
 
         :raises ContentMissingError: nobody that was asked has it.
         """
-        number = self._rounds_by_version.get(version, 0)
-        plan = piece_chains.plan(self._view.question(model, version))
-        asked = manifest_round.choose(plan, number)
-        found = await self._first(asked, model, version)
-        if found is None:
-            self._rounds_by_version[version] = number + 1
+        round_number = self._failed_rounds_by_version.get(version, 0)
+        plan = piece_chains.plan(self._context.plan_input(model, version))
+        ips = manifest_round.choose(plan, round_number)
+        manifest = await self._first_manifest(ips, model, version)
+        if manifest is None:
+            self._failed_rounds_by_version[version] = round_number + 1
             raise errors.ContentMissingError(
                 f'nobody has the manifest of version {version}',
                 step='manifest',
                 peer=model,
             )
-        self._rounds_by_version.pop(version, None)
-        logger.bind(version=version, rounds=number).info('manifest found')
-        return found
+        self._failed_rounds_by_version.pop(version, None)
+        logger.bind(version=version, rounds=round_number).info('manifest found')
+        return manifest
 
-    async def _first(
+    async def _first_manifest(
         self,
-        asked: typing.Iterable[str],
+        ips: typing.Iterable[str],
         model: str,
         version: int,
     ) -> weights.Manifest | None:
         """Return the first manifest that comes, and give up the others."""
-        asking = [
-            asyncio.create_task(self._ask(ip, model, version)) for ip in asked
+        requests = [
+            asyncio.create_task(self._request(ip, model, version)) for ip in ips
         ]
         try:
-            for answer in asyncio.as_completed(asking, timeout=_ROUND_SECONDS):
-                manifest = await answer
+            for response in asyncio.as_completed(
+                requests, timeout=_ROUND_SECONDS
+            ):
+                manifest = await response
                 if manifest is not None:
                     return manifest
         except TimeoutError:
             logger.bind(version=version).info('no manifest: a round is over')
         finally:
-            for one in asking:
-                one.cancel()
+            for request in requests:
+                request.cancel()
         return None
 
-    async def _ask(
+    async def _request(
         self,
         ip: str,
         model: str,
         version: int,
     ) -> weights.Manifest | None:
-        source = self._view.source(ip)
+        source = self._context.source(ip)
         if source is None:
             return None
         try:
--- a/clementinepass/direct/peer_source.py
+++ b/clementinepass/direct/peer_source.py
@@ -7,17 +7,17 @@
 import msgspec
 
 from clementinepass import errors
-from clementinepass.direct import piece_words, weights
+from clementinepass.direct import piece_protocol, weights
 from clementinepass.http import channel, messages, pool
 
 _OK = 200
-_NUMBERS_SECONDS = 3.0
+_AVAILABILITY_SECONDS = 3.0
 #: Seconds for a piece from another agent: those before it are sent first, and
 #: on a link narrowed to a tenth five of them take as long.
 _PIECE_SECONDS = 4.0
 _MANIFEST_SECONDS = 2.5
 #: Connections to one agent.
-_MOST_CONNECTIONS = 8
+_MAX_CONNECTIONS = 8
 
 
 class PeerSource:
@@ -31,10 +31,10 @@
 
     def __init__(self, ip: str, port: int) -> None:
         self._ip = ip
-        self._pool = pool.Pool(ip, port, _MOST_CONNECTIONS)
+        self._pool = pool.Pool(ip, port, _MAX_CONNECTIONS)
 
     @property
-    def heard(self) -> float:
+    def last_received_at(self) -> float:
         """Return the monotonic seconds at which a byte of it last came."""
         return self._pool.heard
 
@@ -48,33 +48,33 @@
         :raises PeerUnavailableError: the agent doesn't answer.
         :raises MalformedMessageError: it answers with something else.
         """
-        target = f'/{piece_words.MANIFESTS}/{model}/{version}'
-        found = await self._get(target, _MANIFEST_SECONDS)
-        if found is None:
+        target = f'/{piece_protocol.MANIFESTS}/{model}/{version}'
+        body = await self._fetch_body(target, _MANIFEST_SECONDS)
+        if body is None:
             return None
-        digests = self._decode(found, tuple[str, ...])
+        digests = self._decode(body, tuple[str, ...])
         return weights.Manifest(model, version, digests)
 
-    async def numbers(
+    async def available_pieces(
         self,
         model: str,
         version: int,
-        known: int,
-    ) -> weights.Holding:
+        known_count: int,
+    ) -> weights.Availability:
         """Return what it has, soon after there is more than known.
 
         :raises PeerUnavailableError: the agent doesn't answer.
         :raises MalformedMessageError: it answers with something else.
         """
-        target = f'/{piece_words.NUMBERS}/{model}/{version}/{known}'
-        found = await self._get(target, _NUMBERS_SECONDS)
-        if found is None:
-            return weights.Holding()
-        state = self._decode(found, piece_words.State)
-        return weights.Holding(
-            frozenset(state.numbers),
-            state.slow,
-            len(state.numbers),
+        target = f'/{piece_protocol.NUMBERS}/{model}/{version}/{known_count}'
+        body = await self._fetch_body(target, _AVAILABILITY_SECONDS)
+        if body is None:
+            return weights.Availability()
+        reply = self._decode(body, piece_protocol.AvailabilityReply)
+        return weights.Availability(
+            frozenset(reply.numbers),
+            reply.slow,
+            len(reply.numbers),
         )
 
     async def piece(
@@ -87,14 +87,17 @@
 
         :raises PeerUnavailableError: the agent doesn't answer.
         """
-        target = f'/{piece_words.PIECES}/{model}/{version}/{number}'
-        fetched = await self._fetch(target, _PIECE_SECONDS)
-        headers = fetched.headers
+        target = f'/{piece_protocol.PIECES}/{model}/{version}/{number}'
+        response = await self._request(target, _PIECE_SECONDS)
+        headers = response.headers
         return weights.Piece(
-            fetched.body if fetched.status == _OK else None,
-            others=_count(headers.get(piece_words.OTHERS.lower())),
-            seconds=fetched.seconds,
-            slow=headers.get(piece_words.SLOW.lower()) == b'1',
+            response.body if response.status == _OK else None,
+            source_piece_count=_parse_count(
+                headers.get(piece_protocol.PIECE_COUNT_HEADER.lower())
+            ),
+            seconds=response.seconds,
+            is_source_slow=headers.get(piece_protocol.SLOW_HEADER.lower())
+            == b'1',
         )
 
     def _decode(self, found: bytes, kind: typing.Any) -> typing.Any:
@@ -107,11 +110,11 @@
                 peer=self._ip,
             ) from error
 
-    async def _get(self, target: str, seconds: float) -> bytes | None:
-        fetched = await self._fetch(target, seconds)
-        return fetched.body if fetched.status == _OK else None
+    async def _fetch_body(self, target: str, seconds: float) -> bytes | None:
+        response = await self._request(target, seconds)
+        return response.body if response.status == _OK else None
 
-    async def _fetch(self, target: str, seconds: float) -> pool.Fetched:
+    async def _request(self, target: str, seconds: float) -> pool.Fetched:
         request = messages.request_bytes(
             b'GET',
             target.encode(),
@@ -128,5 +131,5 @@
             ) from error
 
 
-def _count(told: bytes | None) -> int | None:
-    return int(told) if told is not None and told.isdigit() else None
+def _parse_count(value: bytes | None) -> int | None:
+    return int(value) if value is not None and value.isdigit() else None
--- a/clementinepass/direct/piece_words.py
+++ b/clementinepass/direct/piece_protocol.py
@@ -11,11 +11,11 @@
 PIECES = 'pieces'
 #: How many pieces of the version the answering agent has, and whether they
 #: come slowly to it.
-OTHERS = b'Clementinepass-Pieces'
-SLOW = b'Clementinepass-Slow'
+PIECE_COUNT_HEADER = b'Clementinepass-Pieces'
+SLOW_HEADER = b'Clementinepass-Slow'
 
 
-class State(msgspec.Struct):
+class AvailabilityReply(msgspec.Struct):
     """What an agent that gets pieces says of them."""
 
     numbers: tuple[int, ...]
--- a/clementinepass/direct/suppliers.py
+++ b/clementinepass/direct/suppliers.py
@@ -17,36 +17,36 @@
 #: Seconds without a byte of a source that was asked, after which it is passed
 #: over. A source answers within a third of a second, if only to say that it
 #: has nothing yet; the rest is for answers that queue behind pieces.
-_SILENT_AFTER = 0.75
+_SILENT_SECONDS = 0.75
 #: The same while another source's pieces are coming: on a narrow link answers
 #: queue behind them for seconds, and every source looks silent.
-_SILENT_BESIDE = 2.5
+_SILENT_SECONDS_WHILE_SENDING = 2.5
 #: Seconds since a byte of it came in which a source counts as sending.
-_SENDING = 0.3
+_SENDING_SECONDS = 0.3
 #: Seconds since its last piece, or since it was first asked, after which a
 #: source brings nothing at present. Pieces come each 60 to 80 ms.
-_FLOWING = 0.35
+_DELIVERING_SECONDS = 0.35
 #: Failures in a row that say the same: refused connections, mostly.
-_MOST_FAILURES = 3
+_MAX_FAILURES = 3
 #: Seconds for which a source is passed over: its machine wakes meanwhile or is
 #: dropped from the list, and all that want the version have it, mostly.
-_PASSED_OVER = 8.0
+_SKIP_SECONDS = 8.0
 #: The same at first of one that refuses or breaks connections: its process may
 #: start again within the second. Twice as long each time after that.
-_FAILING_PASSED_OVER = 1.0
+_FIRST_SKIP_SECONDS = 1.0
 #: Seconds that a piece takes on a slow link, three times the usual, and how
 #: many times as long as on another's.
-SLOW_PIECE = 0.22
-_SLOWER = 2.5
+SLOW_PIECE_SECONDS = 0.22
+_SLOWER_FACTOR = 2.5
 #: Pieces by which a source may have fewer and still be one: they come in
 #: another order where both have had some before.
-_FAR_BEHIND = 12
+_MAX_PIECES_BEHIND = 12
 #: Seconds that a piece takes on the link: at first, and the longest that is
 #: learnt from.
-_USUAL_PIECE = 0.06
-_LONGEST_PIECE = 0.6
+_DEFAULT_PIECE_SECONDS = 0.06
+_MAX_PIECE_SECONDS = 0.6
 #: The weight of a new piece's time; the last three or so count.
-_GAIN = 0.35
+_SMOOTHING = 0.35
 
 
 class Supplier:
@@ -57,51 +57,53 @@
     """
 
     __slots__ = (
-        'asked_since',
+        'available',
         'backoff',
-        'count',
         'failures',
-        'flowed_at',
-        'has',
-        'has_brought',
+        'has_delivered',
+        'in_flight',
         'ip',
         'is_slow',
-        'on_way',
-        'passed_over_until',
+        'last_piece_at',
+        'piece_count',
         'piece_seconds',
+        'skipped_until',
         'source',
-        'watcher',
+        'waiting_since',
+        'watch_task',
     )
 
     def __init__(self, ip: str, source: weights.Source) -> None:
         self.ip = ip
         self.source = source
         #: The numbers of the pieces that it is known to have.
-        self.has: frozenset[int] = frozenset()
+        self.available: frozenset[int] = frozenset()
         #: How many pieces it says that it has; ``None`` if untold.
-        self.count: int | None = None
+        self.piece_count: int | None = None
         #: Whether it says that pieces come to it slowly.
         self.is_slow = False
         #: Questions in a row that it failed to answer.
         self.failures = 0
         #: Monotonic seconds of the oldest question without an answer since
         #: there was none; ``None`` while there is none.
-        self.asked_since: float | None = None
-        self.passed_over_until = float('-inf')
+        self.waiting_since: float | None = None
+        self.skipped_until = float('-inf')
         #: Seconds for which it is passed over when it fails the next time.
-        self.backoff = _FAILING_PASSED_OVER
+        self.backoff = _FIRST_SKIP_SECONDS
         #: When its last piece came, or it was first asked; ``None`` before.
-        self.flowed_at: float | None = None
+        self.last_piece_at: float | None = None
         #: Whether a piece of it came.
-        self.has_brought = False
+        self.has_delivered = False
         #: Seconds that a piece of it takes on the links between.
-        self.piece_seconds = _USUAL_PIECE
+        self.piece_seconds = _DEFAULT_PIECE_SECONDS
         #: The pieces on their way from it.
-        self.on_way: dict[int, asyncio.Task[None]] = {}
+        self.in_flight: dict[int, asyncio.Task[None]] = {}
         #: Learns what it has, where that is followed.
-        self.watcher: asyncio.Task[None] | None = None
+        self.watch_task: asyncio.Task[None] | None = None
 
-    def trouble(self, now: float, held: int, patience: float) -> str:
+    def skip_reason(
+        self, now: float, held_count: int, timeout_seconds: float
+    ) -> str:
         """Return why it should be passed over; empty if it need not be.
 
         :param held: how many pieces the asking agent has.
@@ -112,58 +114,69 @@
             return ''
         if self.is_slow:
             return 'slow'
-        if self.failures >= _MOST_FAILURES:
+        if self.failures >= _MAX_FAILURES:
             return 'failing'
-        if self.asked_since is None:
+        if self.waiting_since is None:
             return ''
-        if self.count is not None and self.count < held - _FAR_BEHIND:
+        if (
+            self.piece_count is not None
+            and self.piece_count < held_count - _MAX_PIECES_BEHIND
+        ):
             return 'behind'
-        heard = max(self.asked_since, self.source.heard)
-        return 'silent' if now - heard > patience else ''
+        last_received_at = max(self.waiting_since, self.source.last_received_at)
+        return 'silent' if now - last_received_at > timeout_seconds else ''
 
-    def is_slower(self, fastest: float) -> bool:
+    def is_slower_than(self, fastest: float) -> bool:
         """Tell whether its link is slow, as pieces of others show.
 
         Failure: on a link narrowed to an eighth an agent's word that it is
         slow waited behind its pieces, for two seconds.
         """
-        if self.ip == piece_chains.ORIGIN or not self.on_way:
+        if self.ip == piece_chains.ORIGIN or not self.in_flight:
             return False
-        return self.piece_seconds > max(SLOW_PIECE, fastest * _SLOWER)
+        return self.piece_seconds > max(
+            SLOW_PIECE_SECONDS, fastest * _SLOWER_FACTOR
+        )
 
     @property
-    def next_after(self) -> float:
+    def next_piece_seconds(self) -> float:
         """Return the seconds until a further piece of it would be here."""
-        return (len(self.on_way) + 1) * self.piece_seconds
+        return (len(self.in_flight) + 1) * self.piece_seconds
 
-    def took(self, seconds: float, now: float) -> None:
+    def record_piece(self, seconds: float, now: float) -> None:
         """Note a piece, and how long it took."""
-        self.flowed_at = now
-        self.has_brought = True
-        bounded = min(seconds, _LONGEST_PIECE)
-        self.piece_seconds += _GAIN * (bounded - self.piece_seconds)
+        self.last_piece_at = now
+        self.has_delivered = True
+        bounded = min(seconds, _MAX_PIECE_SECONDS)
+        self.piece_seconds += _SMOOTHING * (bounded - self.piece_seconds)
 
-    def flows(self, now: float) -> bool:
+    def is_delivering(self, now: float) -> bool:
         """Tell whether pieces of it come, or it was asked just now."""
-        return self.flowed_at is None or now - self.flowed_at < _FLOWING
+        return (
+            self.last_piece_at is None
+            or now - self.last_piece_at < _DELIVERING_SECONDS
+        )
 
-    def sends(self, now: float) -> bool:
+    def is_sending(self, now: float) -> bool:
         """Tell whether a piece is coming from it."""
-        return bool(self.on_way) and now - self.source.heard < _SENDING
+        return (
+            bool(self.in_flight)
+            and now - self.source.last_received_at < _SENDING_SECONDS
+        )
 
-    def asked(self, now: float) -> None:
+    def record_request(self, now: float) -> None:
         """Note that a question goes out."""
-        if self.asked_since is None:
-            self.asked_since = now
-        if self.flowed_at is None:
-            self.flowed_at = now
+        if self.waiting_since is None:
+            self.waiting_since = now
+        if self.last_piece_at is None:
+            self.last_piece_at = now
 
-    def answered(
+    def record_response(
         self,
         now: float,
         *,
-        slow: bool,
-        count: int | None,
+        is_slow: bool,
+        piece_count: int | None,
     ) -> None:
         """Note an answer, whatever it says."""
         if self.failures:
@@ -172,50 +185,50 @@
                 failures=self.failures,
             ).info('source answers again')
         self.failures = 0
-        self.is_slow = slow
-        self.count = count
-        self.asked_since = now if self.on_way else None
+        self.is_slow = is_slow
+        self.piece_count = piece_count
+        self.waiting_since = now if self.in_flight else None
 
-    def done(self, number: int) -> None:
+    def finish_request(self, number: int) -> None:
         """Note that a piece is no longer on its way.
 
         Failure: a source that had sent all that it was asked for said nothing
         more, so that it looked silent and ever further behind, and was passed
         over.
         """
-        del self.on_way[number]
-        if self.on_way:
+        del self.in_flight[number]
+        if self.in_flight:
             return
-        self.count = None
-        if self.watcher is None:
-            self.asked_since = None
+        self.piece_count = None
+        if self.watch_task is None:
+            self.waiting_since = None
 
-    def pass_over(self, now: float) -> None:
+    def skip(self, now: float) -> None:
         """Stop using it for a while.
 
         Failure: agents were killed and back within a second. Each was passed
         over for eight by the one after it, which shared a source with it: both
         got pieces at half the rate, and all after them, too.
         """
-        seconds = _PASSED_OVER
-        if self.failures >= _MOST_FAILURES:
-            seconds = min(self.backoff, _PASSED_OVER)
+        seconds = _SKIP_SECONDS
+        if self.failures >= _MAX_FAILURES:
+            seconds = min(self.backoff, _SKIP_SECONDS)
             self.backoff = seconds * 2
-        self.passed_over_until = now + seconds
+        self.skipped_until = now + seconds
         self.failures = 0
         self.is_slow = False
-        self.count = None
+        self.piece_count = None
         self.cancel()
 
     def cancel(self) -> None:
         """Give up what was asked of it."""
-        self.asked_since = None
-        for task in self.on_way.values():
+        self.waiting_since = None
+        for task in self.in_flight.values():
             task.cancel()
-        self.on_way.clear()
-        if self.watcher is not None:
-            self.watcher.cancel()
-            self.watcher = None
+        self.in_flight.clear()
+        if self.watch_task is not None:
+            self.watch_task.cancel()
+            self.watch_task = None
 
 
 class Suppliers:
@@ -224,42 +237,44 @@
     :param source: returns a source by its IP number, if there is one.
     """
 
-    __slots__ = ('_by_ip', '_source')
+    __slots__ = ('_find_source', '_suppliers_by_ip')
 
     def __init__(
         self,
-        source: typing.Callable[[str], weights.Source | None],
+        find_source: typing.Callable[[str], weights.Source | None],
     ) -> None:
-        self._source = source
-        self._by_ip: dict[str, Supplier] = {}
+        self._find_source = find_source
+        self._suppliers_by_ip: dict[str, Supplier] = {}
 
     def __iter__(self) -> typing.Iterator[Supplier]:
         """Go through all that were used."""
-        return iter(self._by_ip.values())
+        return iter(self._suppliers_by_ip.values())
 
     def get(self, ip: str) -> Supplier | None:
         """Return a supplier; ``None`` if nobody is known there."""
-        source = self._source(ip)
+        source = self._find_source(ip)
         if source is None:
             return None
-        known = self._by_ip.get(ip)
-        if known is None or known.source is not source:
-            known = Supplier(ip, source)
-            self._by_ip[ip] = known
-        return known
+        supplier = self._suppliers_by_ip.get(ip)
+        if supplier is None or supplier.source is not source:
+            supplier = Supplier(ip, source)
+            self._suppliers_by_ip[ip] = supplier
+        return supplier
 
     def usable(self, ips: Iterable[str], now: float) -> list[Supplier]:
         """Return those of some that aren't passed over."""
-        found = [self.get(ip) for ip in ips]
+        suppliers = [self.get(ip) for ip in ips]
         return [
-            one
-            for one in found
-            if one is not None and one.passed_over_until <= now
+            supplier
+            for supplier in suppliers
+            if supplier is not None and supplier.skipped_until <= now
         ]
 
-    def passed_over(self, now: float) -> frozenset[str]:
+    def skipped(self, now: float) -> frozenset[str]:
         """Return those that are passed over."""
-        return frozenset(one.ip for one in self if one.passed_over_until > now)
+        return frozenset(
+            supplier.ip for supplier in self if supplier.skipped_until > now
+        )
 
     @property
     def piece_seconds(self) -> float:
@@ -272,30 +287,37 @@
         """
         return min(
             (
-                one.piece_seconds
-                for one in self
-                if one.has_brought and (one.on_way or one.has)
+                supplier.piece_seconds
+                for supplier in self
+                if supplier.has_delivered
+                and (supplier.in_flight or supplier.available)
             ),
-            default=_USUAL_PIECE,
+            default=_DEFAULT_PIECE_SECONDS,
         )
 
     @property
-    def fastest_piece(self) -> float:
+    def fastest_piece_seconds(self) -> float:
         """Return what a piece takes from the fastest that brought one."""
         return min(
-            (one.piece_seconds for one in self if one.has_brought),
-            default=_USUAL_PIECE,
+            (
+                supplier.piece_seconds
+                for supplier in self
+                if supplier.has_delivered
+            ),
+            default=_DEFAULT_PIECE_SECONDS,
         )
 
-    def several_bring(self) -> bool:
+    def have_several_delivered(self) -> bool:
         """Tell whether pieces came from more than one."""
-        return sum(one.has_brought for one in self) > 1
+        return sum(supplier.has_delivered for supplier in self) > 1
 
-    def on_way(self) -> frozenset[int]:
+    def in_flight(self) -> frozenset[int]:
         """Return the numbers of the pieces on their way."""
-        return frozenset(number for one in self for number in one.on_way)
+        return frozenset(
+            number for supplier in self for number in supplier.in_flight
+        )
 
-    def judge(self, now: float, held: int) -> None:
+    def skip_faulty(self, now: float, held_count: int) -> None:
         """Pass over those that are slow, failing, silent or far behind.
 
         Failure: a machine in the middle of a chain stood still, or had its
@@ -306,20 +328,28 @@
 
         :param held: how many pieces the asking agent has.
         """
-        fastest = self.fastest_piece
-        for one in self:
-            beside = any(each.sends(now) for each in self if each is not one)
-            patience = _SILENT_BESIDE if beside else _SILENT_AFTER
-            trouble = one.trouble(now, held, patience)
-            if not trouble and one.is_slower(fastest):
-                trouble = 'slower'
-            if trouble:
-                logger.bind(source=one.ip, trouble=trouble).info(
+        fastest = self.fastest_piece_seconds
+        for supplier in self:
+            is_other_sending = any(
+                other_supplier.is_sending(now)
+                for other_supplier in self
+                if other_supplier is not supplier
+            )
+            timeout_seconds = (
+                _SILENT_SECONDS_WHILE_SENDING
+                if is_other_sending
+                else _SILENT_SECONDS
+            )
+            reason = supplier.skip_reason(now, held_count, timeout_seconds)
+            if not reason and supplier.is_slower_than(fastest):
+                reason = 'slower'
+            if reason:
+                logger.bind(source=supplier.ip, trouble=reason).info(
                     'source passed over',
                 )
-                one.pass_over(now)
+                supplier.skip(now)
 
     def cancel(self) -> None:
         """Give up all that was asked."""
-        for one in self:
-            one.cancel()
+        for supplier in self:
+            supplier.cancel()
--- a/clementinepass/direct/aims.py
+++ b/clementinepass/direct/version_selector.py
@@ -16,15 +16,15 @@
         routing,
     )
 
-_BITS = 8
-_MEGA = 1_000_000
+_BITS_PER_BYTE = 8
+_BITS_PER_MEGABIT = 1_000_000
 #: Time for a version's pieces against the time that their bytes take on a
 #: link that carries nothing else: heads, prompts and events. A piece of 24,576
 #: bytes takes 58 ms on a link of 3.65 Mbit/s.
-_OVERHEAD = 1.08
+_OVERHEAD_FACTOR = 1.08
 
 
-class Aims:
+class VersionSelector:
     """What the engine on this machine should have next.
 
     :param own: who the agent is.
@@ -35,38 +35,40 @@
     __slots__ = (
         '_cluster',
         '_fetching',
+        '_local_node',
         '_neighbours',
-        '_own',
         '_postponed',
-        'held',
+        'engine_weights',
     )
 
     def __init__(
         self,
-        own: node.Node,
-        known: cluster_state.ClusterState,
-        near: neighbours.Neighbours,
+        local_node: node.Node,
+        cluster: cluster_state.ClusterState,
+        neighbours: neighbours.Neighbours,
     ) -> None:
-        self._own = own
-        self._cluster = known
-        self._neighbours = near
+        self._local_node = local_node
+        self._cluster = cluster
+        self._neighbours = neighbours
         #: The version whose pieces are being got.
         self._fetching = 0
         #: The newer version that waits until that one is whole; 0 for none.
         self._postponed = 0
         #: What the engine said last that it holds; ``None`` until it did.
-        self.held: endpoints.Weights | None = None
+        self.engine_weights: endpoints.Weights | None = None
 
-    def has(self, version: int) -> bool:
+    def has_version_or_newer(self, version: int) -> bool:
         """Tell whether the engine holds all layers of a version, or newer."""
         engine = self._neighbours.engine()
-        held = self.held
-        if engine is None or held is None:
+        engine_weights = self.engine_weights
+        if engine is None or engine_weights is None:
             return False
-        whole = held.first == 0 and held.end >= engine.layers
-        return whole and held.version >= version
+        is_complete = (
+            engine_weights.first == 0 and engine_weights.end >= engine.layers
+        )
+        return is_complete and engine_weights.version >= version
 
-    def wanted(self, ready: loading.Loading) -> tuple[str, int]:
+    def version_to_fetch(self, loader: loading.Loader) -> tuple[str, int]:
         """Return the model and the version whose pieces to get now.
 
         Version 0 where nothing is to be got.
@@ -74,13 +76,13 @@
         engine = self._neighbours.engine()
         if engine is None:
             return '', 0
-        version = self._aimed_at(engine, ready)
-        here = ready.newest_whole(engine.model)
-        if version <= here or self.has(version):
+        version = self._target_version(engine, loader)
+        newest_fetched = loader.newest_complete(engine.model)
+        if version <= newest_fetched or self.has_version_or_newer(version):
             return engine.model, 0
         return engine.model, version
 
-    def following(self, ready: loading.Loading) -> tuple[str, int]:
+    def version_to_prepare(self, loader: loading.Loader) -> tuple[str, int]:
         """Return the model and the version to get after the one on its way.
 
         Version 0 where there is none.
@@ -88,61 +90,70 @@
         engine = self._neighbours.engine()
         if engine is None:
             return '', 0
-        named = self._cluster.wanted_version(engine.model)
-        is_next = bool(self._fetching) and named > self._fetching
-        known = ready.pieces_of(engine.model, named)
-        return engine.model, named if is_next and known is None else 0
+        desired_version = self._cluster.wanted_version(engine.model)
+        is_next = bool(self._fetching) and desired_version > self._fetching
+        version_pieces = loader.pieces_of(engine.model, desired_version)
+        return (
+            engine.model,
+            desired_version if is_next and version_pieces is None else 0,
+        )
 
     def is_in_use(self, version: int) -> bool:
         """Tell whether the operator named a version or some engine has it."""
         engine = self._neighbours.engine()
         if engine is None:
             return False
-        endpoints = self._neighbours.of_service()
-        held = max((one.weights.version for one in endpoints), default=0)
-        named = self._cluster.wanted_version(engine.model)
-        return 0 < version <= max(held, named)
+        endpoints = self._neighbours.service_endpoints()
+        newest_loaded = max(
+            (endpoint.weights.version for endpoint in endpoints), default=0
+        )
+        desired_version = self._cluster.wanted_version(engine.model)
+        return 0 < version <= max(newest_loaded, desired_version)
 
-    def _aimed_at(
+    def _target_version(
         self,
         engine: routing.Engine,
-        ready: loading.Loading,
+        loader: loading.Loader,
     ) -> int:
         """Return the version that the engine should have next.
 
         Where none was named, whatever other engines have.
         """
-        named = self._cluster.wanted_version(engine.model)
-        if not named:
-            endpoints = self._neighbours.of_service()
-            held = [peer.weights.version for peer in endpoints]
-            named = max(held, default=0) or 1
-        elif self._finishes_first(engine, ready, named):
+        desired_version = self._cluster.wanted_version(engine.model)
+        if not desired_version:
+            endpoints = self._neighbours.service_endpoints()
+            versions = [peer.weights.version for peer in endpoints]
+            desired_version = max(versions, default=0) or 1
+        elif self._should_finish_current(engine, loader, desired_version):
             return self._fetching
-        self._fetching = named
-        return named
+        self._fetching = desired_version
+        return desired_version
 
-    def _finishes_first(
+    def _should_finish_current(
         self,
         engine: routing.Engine,
-        ready: loading.Loading,
+        loader: loading.Loader,
         newest: int,
     ) -> bool:
         """Tell whether to finish the version begun before the newest one."""
         current = self._fetching
-        begun = ready.pieces_of(engine.model, current)
-        if begun is None or not begun.missing or current >= newest:
+        version_pieces = loader.pieces_of(engine.model, current)
+        if (
+            version_pieces is None
+            or not version_pieces.missing
+            or current >= newest
+        ):
             return False
         left = self._cluster.seconds_left(engine.model, current)
         if left is None:
             return False
         finishes = superseding.finish_first(
             superseding.Transfer(
-                self._seconds(engine, len(begun.missing)),
+                self._transfer_seconds(engine, len(version_pieces.missing)),
                 left,
             ),
             superseding.Transfer(
-                self._seconds(engine, engine.chunks),
+                self._transfer_seconds(engine, engine.chunks),
                 self._cluster.seconds_left(engine.model, newest) or 0,
             ),
             is_decided=self._postponed == newest,
@@ -150,7 +161,11 @@
         self._postponed = newest if finishes else 0
         return finishes
 
-    def _seconds(self, engine: routing.Engine, chunks: int) -> float:
+    def _transfer_seconds(self, engine: routing.Engine, chunks: int) -> float:
         """Return how long pieces take over this machine's link."""
-        bits = chunks * engine.chunk_bytes * _BITS
-        return _OVERHEAD * bits / (self._own.link_mbps * _MEGA)
+        bits = chunks * engine.chunk_bytes * _BITS_PER_BYTE
+        return (
+            _OVERHEAD_FACTOR
+            * bits
+            / (self._local_node.link_mbps * _BITS_PER_MEGABIT)
+        )
--- a/clementinepass/direct/weights.py
+++ b/clementinepass/direct/weights.py
@@ -36,12 +36,12 @@
     """
 
     payload: bytes | None
-    others: int | None = None
+    source_piece_count: int | None = None
     seconds: float = 0
-    slow: bool = False
+    is_source_slow: bool = False
 
 
-class Holding(typing.NamedTuple):
+class Availability(typing.NamedTuple):
     """What an agent that gets pieces has of them.
 
     :param slow: whether they come slowly to it.
@@ -49,7 +49,7 @@
     """
 
     numbers: frozenset[int] = frozenset()
-    slow: bool = False
+    is_slow: bool = False
     total: int | None = None
 
 
@@ -61,7 +61,7 @@
     digests: tuple[str, ...]
 
 
-class Ordered(enum.Enum):
+class OrderResult(enum.Enum):
     """What an engine said to an order."""
 
     ACCEPTED = 'accepted'
@@ -82,7 +82,7 @@
         :raises PeerUnavailableError: it doesn't answer.
         """
 
-    async def staged(self, model: str) -> frozenset[int]:
+    async def staged_numbers(self, model: str) -> frozenset[int]:
         """Return the numbers of the pieces that lie staged.
 
         :raises PeerUnavailableError: it doesn't answer.
@@ -105,7 +105,7 @@
         model: str,
         version: int,
         report: EngineReport,
-    ) -> Ordered:
+    ) -> OrderResult:
         """Order it to load what is staged, if it is still as reported."""
 
 
@@ -119,15 +119,15 @@
         """
 
     @property
-    def heard(self) -> float:
+    def last_received_at(self) -> float:
         """Return the monotonic seconds at which a byte of it last came."""
 
-    async def numbers(
+    async def available_pieces(
         self,
         model: str,
         version: int,
-        known: int,
-    ) -> Holding:
+        known_count: int,
+    ) -> Availability:
         """Return what it has, soon after there is more than known.
 
         :raises PeerUnavailableError: it doesn't answer.
--- a/clementinepass/platform/engine.py
+++ b/clementinepass/platform/engine.py
@@ -164,7 +164,7 @@
             registry.started(report.born),
         )
 
-    async def staged(self, model: str) -> frozenset[int]:
+    async def staged_numbers(self, model: str) -> frozenset[int]:
         """Return the numbers of the pieces that lie staged.
 
         :raises PeerUnavailableError: the engine doesn't answer.
@@ -206,7 +206,7 @@
         model: str,
         version: int,
         report: weights.EngineReport,
-    ) -> weights.Ordered:
+    ) -> weights.OrderResult:
         """Order the engine to load what is staged.
 
         It names the number of orders that the engine had begun when it was
@@ -219,12 +219,12 @@
         try:
             fetched = await self._caller.call(b'POST', '/api/order', body)
         except errors.PeerUnavailableError:
-            return weights.Ordered.UNKNOWN
+            return weights.OrderResult.UNKNOWN
         if fetched.status == _ACCEPTED:
-            return weights.Ordered.ACCEPTED
+            return weights.OrderResult.ACCEPTED
         if fetched.status == _OK:
-            return weights.Ordered.DONE
-        return weights.Ordered.REJECTED
+            return weights.OrderResult.DONE
+        return weights.OrderResult.REJECTED
 
 
 class HttpOrigin:
@@ -239,7 +239,7 @@
         self._caller = _Caller(address, most=4)
 
     @property
-    def heard(self) -> float:
+    def last_received_at(self) -> float:
         """Return the monotonic seconds at which a byte of it last came."""
         return self._caller.heard
 
@@ -269,14 +269,14 @@
             tuple(manifest.digests),
         )
 
-    async def numbers(
+    async def available_pieces(
         self,
         model: str,
         version: int,
-        known: int,
-    ) -> weights.Holding:
+        known_count: int,
+    ) -> weights.Availability:
         """Return nothing: the origin has all pieces, and isn't asked."""
-        return weights.Holding()
+        return weights.Availability()
 
     async def piece(
         self,
--- a/tests/direct/test_telling.py
+++ b/tests/direct/test_announcer.py
@@ -9,12 +9,12 @@
 
 from clementinepass.decisions import incarnations
 from clementinepass.direct import (
+    announcer,
     cluster_state,
     endpoints,
     heartbeats,
     members,
     node,
-    telling,
 )
 from clementinepass.wire import heartbeats as wire_heartbeats
 
@@ -51,13 +51,13 @@
 
     def play(
         self,
-        story: typing.Callable[[telling.Telling], None],
+        story: typing.Callable[[announcer.Announcer], None],
     ) -> list[heartbeats.Held]:
         """Tell a story and return what was sent first after each word."""
         peers = _Peers()
 
         async def played() -> None:
-            story(telling.Telling(OWN, typing.cast('typing.Any', peers)))
+            story(announcer.Announcer(OWN, typing.cast('typing.Any', peers)))
             await asyncio.sleep(0.01)
 
         asyncio.run(played())
@@ -65,7 +65,7 @@
 
     def test_loads(self) -> None:
         """While it loads no layers are told of."""
-        told = self.play(lambda own: own.loads(3))
+        told = self.play(lambda own: own.announce_loading(3))
         self.assertEqual((3, 0, 0), told[-1][1:4])
 
     def test_congestion_keeps_the_rest(self) -> None:
@@ -74,10 +74,10 @@
         The word of the link must not bring back what the engine held before.
         """
 
-        def story(own: telling.Telling) -> None:
-            own.holds(HELD, incarnations.UNTOLD)
-            own.loads(3)
-            own.congested(is_slow=True)
+        def story(own: announcer.Announcer) -> None:
+            own.announce_weights(HELD, incarnations.UNTOLD)
+            own.announce_loading(3)
+            own.update_congestion(is_slow=True)
 
         told = self.play(story)
         self.assertEqual(
@@ -91,10 +91,10 @@
         start before must not be taken for a word of the new one.
         """
 
-        def story(own: telling.Telling) -> None:
-            own.holds(HELD, 1000)
-            own.loads(3)
-            own.congested(is_slow=True)
+        def story(own: announcer.Announcer) -> None:
+            own.announce_weights(HELD, 1000)
+            own.announce_loading(3)
+            own.update_congestion(is_slow=True)
 
         told = self.play(story)
         self.assertEqual({1000}, {word.started for word in told})
@@ -107,11 +107,11 @@
     def test_congestion_over(self) -> None:
         """It is told once that the link is sound again."""
 
-        def story(own: telling.Telling) -> None:
-            own.holds(HELD, incarnations.UNTOLD)
-            own.congested(is_slow=True)
-            own.congested(is_slow=False)
-            own.congested(is_slow=False)
+        def story(own: announcer.Announcer) -> None:
+            own.announce_weights(HELD, incarnations.UNTOLD)
+            own.update_congestion(is_slow=True)
+            own.update_congestion(is_slow=False)
+            own.update_congestion(is_slow=False)
 
         told = self.play(story)
         self.assertFalse(told[-1].congested)
@@ -151,10 +151,10 @@
         peers = _Peers()
 
         async def played() -> None:
-            own = telling.Telling(OWN, typing.cast('typing.Any', peers))
-            own.holds(HELD, 1000)
-            own.loads(3)
-            await own.hold_to(HELD)
+            own = announcer.Announcer(OWN, typing.cast('typing.Any', peers))
+            own.announce_weights(HELD, 1000)
+            own.announce_loading(3)
+            await own.withdraw_loading(HELD)
 
         asyncio.run(played())
         self.assertEqual({1000}, {one.started for one in peers.told})
--- a/tests/direct/test_fetching.py
+++ b/tests/direct/test_fetching.py
@@ -36,13 +36,13 @@
         self.askers: list[str] = []
 
     @property
-    def heard(self) -> float:
+    def last_received_at(self) -> float:
         """Return the time of the last byte."""
         return asyncio.get_running_loop().time()
 
-    async def numbers(self, *asked: object) -> weights.Holding:
+    async def available_pieces(self, *asked: object) -> weights.Availability:
         """Return nothing."""
-        return weights.Holding()
+        return weights.Availability()
 
     async def piece(
         self,
@@ -76,7 +76,7 @@
         #: Those that asked it for a piece.
         self.asked_by: set[str] = set()
 
-    def question(self, model: str, version: int) -> piece_chains.Question:
+    def plan_input(self, model: str, version: int) -> piece_chains.Question:
         """Return who there is."""
         others = [one.peer for one in self._world.agents if one is not self]
         return piece_chains.Question(self.peer, others, 'north')
@@ -87,7 +87,7 @@
             return self._from_origin
         return self._world.link(self, ip)
 
-    def wanted(self) -> tuple[str, int]:
+    def version_to_fetch(self) -> tuple[str, int]:
         """Return what is wanted."""
         return MODEL, 2
 
@@ -101,13 +101,13 @@
         self._turn = asyncio.Lock()
 
     @property
-    def heard(self) -> float:
+    def last_received_at(self) -> float:
         """Return the time of the last byte."""
-        return self._origin.heard
+        return self._origin.last_received_at
 
-    async def numbers(self, *asked: object) -> weights.Holding:
+    async def available_pieces(self, *asked: object) -> weights.Availability:
         """Return nothing."""
-        return weights.Holding()
+        return weights.Availability()
 
     async def piece(
         self,
@@ -131,20 +131,20 @@
         self._asker = asker
         self._asked = asked
         self._turn = asyncio.Lock()
-        self.heard: float = 0
+        self.last_received_at: float = 0
 
-    async def numbers(
+    async def available_pieces(
         self,
         model: str,
         version: int,
         known: int,
-    ) -> weights.Holding:
+    ) -> weights.Availability:
         """Return what it has."""
         await self._thaw()
         await self._asked.held.wait_for_more(known, WAIT)
         self._hear()
         numbers = frozenset(self._asked.held.numbers)
-        return weights.Holding(numbers, self._asked.held.slow)
+        return weights.Availability(numbers, self._asked.held.is_slow)
 
     async def piece(
         self,
@@ -156,21 +156,21 @@
         self._asked.asked_by.add(self._asker.peer.ip)
         await self._thaw()
         held = self._asked.held
-        payload = await held.wait_for(number, 0 if held.slow else WAIT)
+        payload = await held.wait_for_piece(number, 0 if held.is_slow else WAIT)
         seconds = max(self._asker.piece_seconds, self._asked.piece_seconds)
         if payload is not None:
             async with self._turn:
                 await asyncio.sleep(seconds)
             self._asked.sent += 1
         self._hear()
-        return weights.Piece(payload, len(held.numbers), seconds, held.slow)
+        return weights.Piece(payload, len(held.numbers), seconds, held.is_slow)
 
     async def _thaw(self) -> None:
         while self._asked.frozen:
             await asyncio.sleep(PIECE)
 
     def _hear(self) -> None:
-        self.heard = asyncio.get_running_loop().time()
+        self.last_received_at = asyncio.get_running_loop().time()
 
 
 class _World:
@@ -197,7 +197,7 @@
     def start(self) -> list[asyncio.Task[None]]:
         """Have all agents get the pieces."""
         return [
-            asyncio.create_task(fetching.Fetching(one.held, one).run())
+            asyncio.create_task(fetching.Fetcher(one.held, one).run())
             for one in self.agents
         ]
 
@@ -206,7 +206,7 @@
         one = self.agents[number]
         one.peer = one.peer._replace(holds=True)
         for each, payload in enumerate(PAYLOADS):
-            one.held.take(each, payload)
+            one.held.add(each, payload)
         return one
 
     async def all_have(self, count: int, without: _Agent | None = None) -> None:
@@ -347,7 +347,7 @@
                 one.peer.ip
                 for one in world.agents
                 if own.peer.ip
-                in piece_chains.plan(one.question(MODEL, 2)).sources
+                in piece_chains.plan(one.plan_input(MODEL, 2)).sources
             }
             await world.all_have(CHUNKS // 4)
             world.hold(0)
@@ -379,8 +379,8 @@
             world = _World(2, 0)
             own = world.agents[0]
             link = world.link(own, world.agents[1].peer.ip)
-            fetch = fetching.Fetching(held, own)
-            fetch._came(
+            fetch = fetching.Fetcher(held, own)
+            fetch._record_piece(
                 suppliers.Supplier(ip, link),
                 weights.Piece(b'', 0, seconds, is_source_slow),
             )
@@ -422,13 +422,13 @@
             world = _World(2, 0)
             link = world.link(world.agents[0], world.agents[1].peer.ip)
             one = suppliers.Supplier('10.0.0.1', link)
-            one.asked(0)
-            one.on_way[3] = asyncio.create_task(asyncio.sleep(0))
-            one.answered(1, slow=False, count=2)
-            self.assertEqual('behind', one.trouble(1, CHUNKS, 1))
-            self.assertEqual('silent', one.trouble(3, 0, 1))
-            one.done(3)
-            self.assertEqual('', one.trouble(3, CHUNKS, 1))
+            one.record_request(0)
+            one.in_flight[3] = asyncio.create_task(asyncio.sleep(0))
+            one.record_response(1, is_slow=False, piece_count=2)
+            self.assertEqual('behind', one.skip_reason(1, CHUNKS, 1))
+            self.assertEqual('silent', one.skip_reason(3, 0, 1))
+            one.finish_request(3)
+            self.assertEqual('', one.skip_reason(3, CHUNKS, 1))
 
         asyncio.run(story())
 
@@ -466,11 +466,11 @@
             world = _World(2, 0)
             link = world.link(world.agents[0], world.agents[1].peer.ip)
             one = suppliers.Supplier('10.0.0.1', link)
-            one.on_way[3] = asyncio.create_task(asyncio.sleep(0))
+            one.in_flight[3] = asyncio.create_task(asyncio.sleep(0))
             for _ in range(4):
-                one.took(0.5, 0)
-            self.assertTrue(one.is_slower(0.07))
+                one.record_piece(0.5, 0)
+            self.assertTrue(one.is_slower_than(0.07))
             # All are slow: the link here is, or the origin.
-            self.assertFalse(one.is_slower(0.4))
+            self.assertFalse(one.is_slower_than(0.4))
 
         asyncio.run(story())
--- a/tests/direct/test_loading.py
+++ b/tests/direct/test_loading.py
@@ -44,7 +44,7 @@
         begun = len(self.orders)
         return weights.EngineReport(held, False, begun, 0, 0, self.started)
 
-    async def staged(self, model: str) -> frozenset[int]:
+    async def staged_numbers(self, model: str) -> frozenset[int]:
         """Return what lies staged."""
         return frozenset(self.lying)
 
@@ -79,17 +79,17 @@
         model: str,
         version: int,
         report: weights.EngineReport,
-    ) -> weights.Ordered:
+    ) -> weights.OrderResult:
         """Take an order."""
         await asyncio.sleep(STEP)
         self.orders.append((version, dict(self.lying)))
-        return weights.Ordered.ACCEPTED
+        return weights.OrderResult.ACCEPTED
 
 
 class Origin:
     """Hands out all versions, but no piece from some number on."""
 
-    heard: float = 0
+    last_received_at: float = 0
 
     def __init__(self, end: int = CHUNKS) -> None:
         self.end = end
@@ -112,9 +112,9 @@
         )
         return weights.Manifest(model, version, tuple(digests))
 
-    async def numbers(self, *asked: object) -> weights.Holding:
+    async def available_pieces(self, *asked: object) -> weights.Availability:
         """Return nothing."""
-        return weights.Holding()
+        return weights.Availability()
 
     async def piece(
         self,
@@ -137,7 +137,7 @@
         self._origin = origin
         self.version = 2
 
-    def question(self, model: str, version: int) -> piece_chains.Question:
+    def plan_input(self, model: str, version: int) -> piece_chains.Question:
         """Return that there is nobody else."""
         own = piece_chains.Peer('north', 'north-1', '10.0.0.1')
         return piece_chains.Question(own, [], 'north')
@@ -146,7 +146,7 @@
         """Return the origin."""
         return self._origin if ip == piece_chains.ORIGIN else None
 
-    def wanted(self) -> tuple[str, int]:
+    def version_to_fetch(self) -> tuple[str, int]:
         """Return the version that is got now."""
         return MODEL, self.version
 
@@ -174,7 +174,7 @@
         engine = Engine()
         origin = Origin()
         view = _View(origin)
-        own = loading.Loading(engine, view)
+        own = loading.Loader(engine, view)
 
         async def story() -> None:
             await own.fetch(MODEL, 2)
@@ -201,7 +201,7 @@
         """
         origin = Origin()
         view = _View(origin)
-        own = loading.Loading(Engine(), view)
+        own = loading.Loader(Engine(), view)
 
         async def story() -> None:
             fetching = asyncio.create_task(own.fetch(MODEL, 2))
@@ -212,11 +212,11 @@
             await own.fetch(MODEL, 3)
 
         run(story())
-        self.assertEqual(3, own.newest_whole(MODEL))
+        self.assertEqual(3, own.newest_complete(MODEL))
 
     def test_prepared_meanwhile(self) -> None:
         """Pieces that have come stay, whoever asked for the manifest too."""
-        own = loading.Loading(Engine(), _View(Origin()))
+        own = loading.Loader(Engine(), _View(Origin()))
 
         async def story() -> None:
             await asyncio.gather(
@@ -225,7 +225,7 @@
             )
 
         run(story())
-        self.assertEqual(2, own.newest_whole(MODEL))
+        self.assertEqual(2, own.newest_complete(MODEL))
 
     def test_staging_given_up(self) -> None:
         """Getting version 3 ended while one of its pieces was being staged.
@@ -236,7 +236,7 @@
         engine = Engine()
         origin = Origin()
         view = _View(origin)
-        own = loading.Loading(engine, view)
+        own = loading.Loader(engine, view)
 
         async def story() -> None:
             await own.fetch(MODEL, 2)
@@ -264,7 +264,7 @@
         took the order, with nothing staged.
         """
         engine = Engine()
-        own = loading.Loading(engine, _View(Origin()))
+        own = loading.Loader(engine, _View(Origin()))
 
         async def story() -> None:
             await own.fetch(MODEL, 2)
@@ -288,13 +288,13 @@
 
         async def story() -> None:
             killed = asyncio.create_task(
-                loading.Loading(engine, _View(first)).fetch(MODEL, 2),
+                loading.Loader(engine, _View(first)).fetch(MODEL, 2),
             )
             while len(engine.lying) < CHUNKS // 2:
                 await asyncio.sleep(STEP)
             killed.cancel()
             second = Origin()
-            await loading.Loading(engine, _View(second)).fetch(MODEL, 2)
+            await loading.Loader(engine, _View(second)).fetch(MODEL, 2)
             self.assertEqual(
                 list(range(CHUNKS // 2, CHUNKS)),
                 sorted(second.asked),
--- a/tests/direct/test_manifests.py
+++ b/tests/direct/test_manifests.py
@@ -61,7 +61,7 @@
         self._origin = origin
         self._agent = _WaitingAgent()
 
-    def question(self, model: str, version: int) -> piece_chains.Question:
+    def plan_input(self, model: str, version: int) -> piece_chains.Question:
         """Return all agents as equals."""
         own = piece_chains.Peer('north', 'north-1', '10.0.0.0')
         others = [
@@ -74,7 +74,7 @@
         """Return the origin or another agent."""
         return self._origin if ip == piece_chains.ORIGIN else self._agent
 
-    def wanted(self) -> tuple[str, int]:
+    def version_to_fetch(self) -> tuple[str, int]:
         """Return the version that is got now."""
         return test_loading.MODEL, 2
 
@@ -97,8 +97,8 @@
             loop = asyncio.get_running_loop()
             back_at = loop.time() + ORIGIN_BACK
             origin = _ReturningOrigin(back_at)
-            own = loading.Loading(test_loading.Engine(), _View(origin))
-            while own.newest_whole(test_loading.MODEL) != 2:
+            own = loading.Loader(test_loading.Engine(), _View(origin))
+            while own.newest_complete(test_loading.MODEL) != 2:
                 try:
                     await own.fetch(test_loading.MODEL, 2)
                 except errors.ContentMissingError:
--- a/tests/direct/test_exchange.py
+++ b/tests/direct/test_piece_server.py
@@ -9,8 +9,8 @@
 import testtools
 
 from clementinepass.direct import (
-    exchange,
     peer_source,
+    piece_server,
     pieces,
     uplink,
     weights,
@@ -92,7 +92,7 @@
             hashlib.sha256(b'%d' % number).hexdigest() for number in range(9)
         )
         self.held = pieces.Pieces(weights.Manifest('m', 1, digests))
-        self.held.take(3, b'3')
+        self.held.add(3, b'3')
 
     def pieces_of(self, model: str, version: int) -> pieces.Pieces:
         """Return what is in memory."""
@@ -123,15 +123,17 @@
         passed them over and got pieces over the border.
         """
 
-        async def played() -> weights.Holding:
+        async def played() -> weights.Availability:
             link = uplink.Uplink(LINK, lambda: 0)
-            handout = exchange.Handout(_Holder(), link)
+            handout = piece_server.PieceServer(_Holder(), link)
             listener = front.Front(handout.serve)
             port = await listener.listen('127.0.0.1', 0)
             source = peer_source.PeerSource('127.0.0.1', port)
             piece = await source.piece('m', 1, 5)
-            self.assertEqual((b'5', 9), (piece.payload, piece.others))
-            holding = await source.numbers('m', 1, 0)
+            self.assertEqual(
+                (b'5', 9), (piece.payload, piece.source_piece_count)
+            )
+            holding = await source.available_pieces('m', 1, 0)
             await listener.close()
             return holding
 
@@ -148,15 +150,15 @@
 
         async def played() -> int | None:
             holder = _Holder()
-            holder.held.reads_staged = True
+            holder.held.is_reading_staged = True
             link = uplink.Uplink(LINK, lambda: 0)
-            handout = exchange.Handout(holder, link)
+            handout = piece_server.PieceServer(holder, link)
             listener = front.Front(handout.serve)
             port = await listener.listen('127.0.0.1', 0)
             source = peer_source.PeerSource('127.0.0.1', port)
             piece = await source.piece('m', 2, 3)
             await listener.close()
             self.assertEqual(b'3', piece.payload)
-            return piece.others
+            return piece.source_piece_count
 
         self.assertIsNone(asyncio.run(played()))
--- a/tests/direct/test_suppliers.py
+++ b/tests/direct/test_suppliers.py
@@ -21,12 +21,12 @@
     def passed_over_for(self, now: float, failures: int) -> float:
         """Return for how long, after so many failures in a row."""
         (one,) = self.known.usable([IP], now)
-        one.asked(now)
+        one.record_request(now)
         one.failures = failures
         one.is_slow = not failures
-        self.known.judge(now, 0)
+        self.known.skip_faulty(now, 0)
         self.assertEqual([], self.known.usable([IP], now))
-        return one.passed_over_until - now
+        return one.skipped_until - now
 
     def test_killed_and_back(self) -> None:
         """Agents were killed and back within a second.
