--- a/clementinepass/direct/agent.py
+++ b/clementinepass/direct/agent.py
@@ -317,10 +317,10 @@
         old weights any more, and callers wait for the first engine.
         """
         loop = asyncio.get_running_loop()
-        seconds_left = self._seconds_to_load(engine, version)
+        time_left = self._seconds_to_load(engine, version)
         seconds = (
             _IDLE_WAIT_SECONDS
-            if seconds_left > _IDLE_WAIT_SECONDS
+            if time_left > _IDLE_WAIT_SECONDS
             else _SHORT_IDLE_WAIT_SECONDS
         )
         deadline = loop.time() + seconds
@@ -339,11 +339,11 @@
         """
         now = asyncio.get_running_loop().time()
         engine_weights = self._version_selector.engine_weights
-        seconds_left = self.cluster.seconds_left(engine.model, version) or 0
+        time_left = self.cluster.seconds_left(engine.model, version) or 0
         if engine_weights is None:
-            return seconds_left
+            return time_left
         bound = self.cluster.begin_bound(engine, engine_weights.version)
-        return max(min(seconds_left, bound - now), 0)
+        return max(min(time_left, bound - now), 0)
 
     def _is_turn_to_load(self, engine: routing.Engine, version: int) -> bool:
         """Tell whether the engine takes up a version now."""
@@ -352,18 +352,19 @@
             return True
         turn = self._turn_by_version.get(version)
         if turn is None:
-            seconds_left = self._seconds_to_load(engine, version)
+            time_left = self._seconds_to_load(engine, version)
             turn = now + load_turns.delay(
                 load_turns.Peer(
                     self._local_node.endpoint, self._local_node.domain
                 ),
                 [
                     load_turns.Peer(
-                        endpoint.listing.address, endpoint.listing.domain
+                        service_endpoint.listing.address,
+                        service_endpoint.listing.domain,
                     )
-                    for endpoint in self._neighbours.service_endpoints()
+                    for service_endpoint in self._neighbours.service_endpoints()
                 ],
-                seconds_left,
+                time_left,
             )
             self._turn_by_version = {version: turn}
             logger.bind(version=version, wait=round(turn - now, 3)).info(
--- a/clementinepass/direct/announcer.py
+++ b/clementinepass/direct/announcer.py
@@ -102,7 +102,7 @@
     def _schedule_announcements(self) -> None:
         if self._weights is None:
             return
-        held = heartbeats.Held(
+        announcement = heartbeats.Held(
             self._local_node.endpoint,
             self._weights.version,
             self._weights.first,
@@ -110,7 +110,7 @@
             self._congestion_sent_at is not None,
             self._started,
         )
-        self._peers.held = (held,)
+        self._peers.held = (announcement,)
         loop = asyncio.get_running_loop()
         for repetition in range(_REPETITIONS):
             loop.call_later(repetition * _REPETITION_SECONDS, self._announce)
--- a/clementinepass/direct/fetching.py
+++ b/clementinepass/direct/fetching.py
@@ -177,18 +177,18 @@
 
         :param most: how many may be on their way from its sources.
         """
-        usable = self._suppliers.usable(lane.sources, now)
+        usable_suppliers = self._suppliers.usable(lane.sources, now)
         total_limit = self._limit_in_flight(_MAX_IN_FLIGHT_ONE_AGENT)
         for number in filter(lane.has, self._missing_not_in_flight()):
             in_flight_count = sum(
-                len(supplier.in_flight) for supplier in usable
+                len(supplier.in_flight) for supplier in usable_suppliers
             )
-            if not usable or in_flight_count >= limit:
+            if not usable_suppliers or in_flight_count >= limit:
                 return
             if len(self._suppliers.in_flight()) >= total_limit:
                 return
             self._request_piece(
-                min(usable, key=_next_piece_seconds), number, now
+                min(usable_suppliers, key=_next_piece_seconds), number, now
             )
 
     def _is_delivering(self, lane: piece_chains.Lane, now: float) -> bool:
@@ -395,7 +395,7 @@
                 continue
             supplier.record_response(
                 loop.time(),
-                is_slow=availability.is_slow,
+                is_source_slow=availability.is_slow,
                 piece_count=availability.total,
             )
             if availability.numbers != supplier.available:
@@ -443,7 +443,7 @@
         now = asyncio.get_running_loop().time()
         supplier.record_response(
             now,
-            is_slow=piece.is_source_slow,
+            is_source_slow=piece.is_source_slow,
             piece_count=piece.source_piece_count,
         )
         if piece.payload is None:
@@ -553,8 +553,8 @@
     Failure: an agent alone in its region got one stripe after the other, each
     at half of its link's rate, and had all after 8.0 s in place of 5.4 s.
     """
-    sources = [source for lane in lanes for source in lane.sources]
-    if len(sources) > 1 or piece_chains.ORIGIN in sources:
+    lane_sources = [source for lane in lanes for source in lane.sources]
+    if len(lane_sources) > 1 or piece_chains.ORIGIN in lane_sources:
         return _MAX_IN_FLIGHT_SEVERAL
     return _MAX_IN_FLIGHT_ONE_AGENT
 
--- a/clementinepass/direct/suppliers.py
+++ b/clementinepass/direct/suppliers.py
@@ -175,7 +175,7 @@
         self,
         now: float,
         *,
-        is_slow: bool,
+        is_source_slow: bool,
         piece_count: int | None,
     ) -> None:
         """Note an answer, whatever it says."""
@@ -185,7 +185,7 @@
                 failures=self.failures,
             ).info('source answers again')
         self.failures = 0
-        self.is_slow = is_slow
+        self.is_slow = is_source_slow
         self.piece_count = piece_count
         self.waiting_since = now if self.in_flight else None
 
--- a/tests/direct/test_fetching.py
+++ b/tests/direct/test_fetching.py
@@ -424,7 +424,7 @@
             one = suppliers.Supplier('10.0.0.1', link)
             one.record_request(0)
             one.in_flight[3] = asyncio.create_task(asyncio.sleep(0))
-            one.record_response(1, is_slow=False, piece_count=2)
+            one.record_response(1, is_source_slow=False, piece_count=2)
             self.assertEqual('behind', one.skip_reason(1, CHUNKS, 1))
             self.assertEqual('silent', one.skip_reason(3, 0, 1))
             one.finish_request(3)
