--- a/clementinepass/direct/agent.py
+++ b/clementinepass/direct/agent.py
@@ -1,4 +1,4 @@
-"""An agent: keeps the engine on its machine at the version that is wanted."""
+"""Agent: keeps the local engine at the version that the operator wants."""
 
 from __future__ import annotations
 
@@ -38,23 +38,25 @@
 
     from clementinepass.direct import node, pieces, routing
 
-#: Seconds between looks at the engine, and at what is wanted. Reports to its
-#: own machine cost the engine nothing.
+#: Seconds between polls of the engine and of the desired version. Polling the
+#: local machine costs the engine nothing.
 _POLL_SECONDS = 0.1
-#: Seconds between looks for other processes.
+#: Seconds between checks for other processes.
 _MEMBERSHIP_POLL_SECONDS = 0.3
-#: Seconds without a word of an entry after which the store is read instead.
+#: Seconds without a heartbeat from any entry after which the agent reads the
+#: store itself.
 _NO_ENTRY_SECONDS = 2.5
-#: Seconds that an engine gets to finish what it runs before it loads. Half of
-#: the answers end in that time.
+#: Seconds that an engine may take to finish running requests before it loads.
+#: Half of the answers end within this time. The shorter wait applies when
+#: little time is left to load.
 _IDLE_WAIT_SECONDS = 0.7
 _SHORT_IDLE_WAIT_SECONDS = 0.3
 
 
 class Boundary(typing.NamedTuple):
-    """What an agent needs from the users' platform.
+    """Adapters to the users' platform that an agent needs.
 
-    :param origin: makes a source of the origin's address.
+    :param origin: creates a source from the origin's address.
     """
 
     store: records.Store
@@ -64,10 +66,10 @@
 
 
 class Agent:
-    """One agent.
+    """Agent process beside one engine.
 
-    :param own: who it is.
-    :param boundary: how it speaks to the engine, the origin and the store.
+    :param local_node: the local node.
+    :param boundary: adapters to the engine, the origin and the store.
     """
 
     def __init__(
@@ -104,7 +106,7 @@
             local_node, self.cluster, self._neighbours
         )
         self._loader = loading.Loader(boundary.engine, self)
-        #: The cluster state, as metrics.
+        #: Metrics of the cluster state.
         self.gauges = gauges.Gauges(
             registry,
             self.cluster,
@@ -114,11 +116,12 @@
         self._turn_by_version: dict[int, float] = {}
         self._report: weights.EngineReport | None = None
         self._last_error = ''
-        #: Whether the engine was asked for its state, and answered or failed.
+        #: Whether the engine's state has been requested once, successfully or
+        #: not.
         self._has_queried_engine = False
 
     async def run(self) -> None:
-        """Work until told to stop."""
+        """Run until SIGTERM."""
         stop = asyncio.Event()
         loop = asyncio.get_running_loop()
         loop.add_signal_handler(signal.SIGTERM, stop.set)
@@ -147,16 +150,16 @@
             await self._announcer.withdraw_loading(self._report.weights)
         logger.bind(node=self._local_node.name).info('stopped')
 
-    # What handing out asks.
+    # Interface for the piece server.
 
     def pieces_of(self, model: str, version: int) -> pieces.Pieces | None:
-        """Return the pieces of a version that are here or on their way."""
+        """Return the pieces of a version that are here or being fetched."""
         now = asyncio.get_running_loop().time()
         self.cluster.named(model, version, now)
         return self._loader.pieces_of(model, version)
 
     def has_loaded(self, version: int) -> bool:
-        """Tell whether the engine serves that version."""
+        """Return whether the engine serves exactly this version."""
         report = self._report
         return report is not None and report.weights.version == version
 
@@ -166,10 +169,10 @@
         version: int,
         number: int,
     ) -> bytes | None:
-        """Return a piece that lies staged at the engine, unchecked.
+        """Return a piece staged at the engine, without checking its digest.
 
-        Only of the version that the engine has loaded: pieces of another
-        take their place one by one while that is being brought.
+        Only pieces of the loaded version are returned: while another version is
+        fetched, its pieces replace the staged ones one at a time.
         """
         if not self.has_loaded(version):
             return None
@@ -179,31 +182,31 @@
             logger.bind(piece=number).info('not handed out: {}', error)
             return None
 
-    # What loading asks.
+    # Interface for the loader and the fetcher.
 
     def version_to_fetch(self) -> tuple[str, int]:
-        """Return the model and the version whose pieces to get now.
+        """Return the model and the version whose pieces to fetch now.
 
-        Version 0 where nothing is to be got.
+        The version is 0 if there is nothing to fetch.
         """
         return self._version_selector.version_to_fetch(self._loader)
 
     def plan_input(self, model: str, version: int) -> piece_chains.Question:
-        """Return what choosing a source for pieces needs."""
+        """Return the input for choosing the sources of pieces."""
         return self._neighbours.plan_input(version)
 
     def source(self, ip: str) -> weights.Source | None:
-        """Return a source by its IP number, or the origin."""
+        """Return the source for an IP address or for the origin."""
         return self._neighbours.source(ip)
 
-    # Details.
+    # Internals.
 
     def _active_requests(self) -> int:
         report = self._report
         return 0 if report is None else report.active
 
     async def _maintain_membership(self) -> None:
-        """Speak to entries; read the store where none answers."""
+        """Exchange heartbeats with entries; read the store if none answers."""
         loop = asyncio.get_running_loop()
         startup_delay = start_reading.delay(
             self._local_node.ip, self._local_node.seeds, self._rng
@@ -222,7 +225,7 @@
             await asyncio.sleep(pause)
 
     async def _announce_congestion(self) -> None:
-        """Tell entries while what comes to this machine comes late."""
+        """Announce to entries whether the link to this machine is congested."""
         while True:
             self._announcer.update_congestion(is_slow=self._loader.is_congested)
             await asyncio.sleep(_POLL_SECONDS)
@@ -238,12 +241,14 @@
             logger.info('store not read: {}', error)
 
     async def _fetch_versions(self) -> None:
-        """Get the pieces of each version that is wanted.
-
-        Also while the engine doesn't answer, if others have the version: one
-        that was added starts a second after its agent, and has no weights.
-        But not before it was asked, since one that runs may have all; and not
-        when all start together, since they have what they are to serve.
+        """Fetch the pieces of each desired version.
+
+        An agent waits for its first query of the engine, because a running
+        engine may already have all pieces. If the engine doesn't answer, pieces
+        are still fetched when other engines have the version: a newly added
+        engine starts a second after its agent and has no weights. If all
+        engines start together, nothing is fetched until the engine answers,
+        because each already has the version that it is to serve.
         """
         while True:
             model, version = self.version_to_fetch()
@@ -258,7 +263,7 @@
             await asyncio.sleep(_POLL_SECONDS)
 
     async def _prepare_versions(self) -> None:
-        """Get the manifest of a version that is to be got next."""
+        """Fetch the manifest of the version to fetch next."""
         while True:
             model, version = self._version_selector.version_to_prepare(
                 self._loader
@@ -271,7 +276,7 @@
             await asyncio.sleep(_POLL_SECONDS)
 
     async def _load_versions(self) -> None:
-        """Have the engine load the newest version that is here whole."""
+        """Load the newest version whose pieces are complete into the engine."""
         while True:
             try:
                 await self._check_engine()
@@ -281,13 +286,13 @@
             await asyncio.sleep(_POLL_SECONDS)
 
     def _log_new_error(self, message: str) -> None:
-        """Write what is in the way, once for each reason."""
+        """Log an error unless it repeats the previous one."""
         if message and message != self._last_error:
             logger.bind(node=self._local_node.name).info('{}', message)
         self._last_error = message
 
     async def _check_engine(self) -> None:
-        """Look at the engine and do what is next."""
+        """Query the engine, and load the newest complete version when due."""
         report = await self._boundary.engine.report()
         self._log_new_error('')
         self._record_report(report)
@@ -309,12 +314,14 @@
         version: int,
         active: int,
     ) -> None:
-        """Wait a moment for what the engine runs to end.
-
-        Short answers end meanwhile; the rest is cut when the engine loads,
-        and resumed elsewhere. To finish the longest takes three seconds, in
-        which the engine is lost to all others. Less when nobody may send to
-        old weights any more, and callers wait for the first engine.
+        """Wait a short time for the engine's running requests to end.
+
+        Short answers end within this time. The others are cut off when the
+        engine loads, and are resumed elsewhere. Waiting for the longest answer
+        would take three seconds, during which the engine serves nobody else.
+        The wait is shorter if older versions may soon no longer be used,
+        because callers then wait for the first engine that has loaded the new
+        one.
         """
         loop = asyncio.get_running_loop()
         time_left = self._seconds_to_load(engine, version)
@@ -331,11 +338,13 @@
             self._announcer.report_load(active, report.queued)
 
     def _seconds_to_load(self, engine: routing.Engine, version: int) -> float:
-        """Return the seconds until the engine has to have taken up a version.
+        """Return the seconds until the engine must have loaded a version.
 
-        Failure: a version was dropped for a newer one four seconds after its
-        naming. Engines took turns until the newer one's bound, but what they
-        held might be used only until that of the dropped one.
+        The bound of the loaded version counts as well as that of the new one. A
+        version was once dropped for a newer one four seconds after it was
+        named: the engines spread their turns over the time until the newer
+        version's bound, but the versions that they had loaded were usable only
+        until the bound of the dropped one.
         """
         now = asyncio.get_running_loop().time()
         engine_weights = self._version_selector.engine_weights
@@ -346,7 +355,7 @@
         return max(min(time_left, bound - now), 0)
 
     def _is_turn_to_load(self, engine: routing.Engine, version: int) -> bool:
-        """Tell whether the engine takes up a version now."""
+        """Return whether the engine may load a version now."""
         now = asyncio.get_running_loop().time()
         if not self._version_selector.has_version_or_newer(1):
             return True
@@ -373,7 +382,7 @@
         return now >= turn
 
     def _record_report(self, report: weights.EngineReport) -> None:
-        """Tell entries what the engine holds when that has changed."""
+        """Announce the engine's weights to entries when they have changed."""
         before = self._report
         self._report = report
         self._version_selector.engine_weights = report.weights
@@ -392,7 +401,7 @@
     before: weights.EngineReport,
     report: weights.EngineReport,
 ) -> bool:
-    """Tell whether the same start of the engine holds the same weights."""
+    """Return whether the same engine start still holds the same weights."""
     if before.started != report.started:
         return False
     return before.weights == report.weights
--- a/clementinepass/direct/announcer.py
+++ b/clementinepass/direct/announcer.py
@@ -1,4 +1,4 @@
-"""Tell entries what an engine holds, and how the link of its machine is."""
+"""Announce an engine's weights and the state of its link to entries."""
 
 from __future__ import annotations
 
@@ -11,18 +11,18 @@
 if typing.TYPE_CHECKING:
     from clementinepass.direct import gossip, node
 
-#: Times that news of the engine is told; datagrams are lost now and then.
+#: How often an announcement is sent, since datagrams may be lost.
 _REPETITIONS = 3
 _REPETITION_SECONDS = 0.15
-#: Seconds between words that the link is slow.
+#: Seconds between announcements that the link is congested.
 _CONGESTION_REPEAT_SECONDS = 1.0
 
 
 class Announcer:
-    """What an agent tells entries.
+    """Announces the state of the local engine to entries.
 
-    :param own: who it is.
-    :param peers: sends it.
+    :param local_node: the local node.
+    :param peers: sends the announcements.
     """
 
     __slots__ = (
@@ -37,38 +37,39 @@
         self._local_node = local_node
         self._peers = peers
         self._weights: endpoints.Weights | None = None
-        #: When the engine started that holds them.
+        #: When the engine that holds the weights was started.
         self._started = incarnations.UNTOLD
-        #: When entries were last told that the link is slow; ``None`` where
-        #: they take it for sound.
+        #: Monotonic seconds of the last announcement that the link is
+        #: congested; ``None`` while entries consider it uncongested.
         self._congestion_sent_at: float | None = None
 
     def announce_weights(
         self, weights: endpoints.Weights, started: int
     ) -> None:
-        """Tell what the engine holds, and when it started.
+        """Announce the engine's weights and when it was started.
 
-        The start is never left out: entries take a word without one as of the
-        newest start that they know.
+        The start is always included: entries attribute an announcement without
+        it to the newest start that they know.
         """
         self._weights = weights
         self._started = started
         self._schedule_announcements()
 
     def announce_loading(self, version: int) -> None:
-        """Tell that the engine takes no request until it has loaded.
+        """Announce that the engine takes no requests until it has loaded.
 
-        It finishes what runs and takes nothing new meanwhile; a request sent
-        there would wait for all of that.
+        It finishes running requests and takes no new ones meanwhile; a request
+        sent to it would have to wait for all of that.
         """
         self.announce_weights(endpoints.Weights(version, 0, 0), self._started)
 
     async def withdraw_loading(self, weights: endpoints.Weights) -> None:
-        """Take back that the engine loads, as this agent ends.
+        """Withdraw the announcement of loading when this agent shuts down.
 
-        Failure: an agent was told to end between its word that the engine
-        loads and its order. Entries sent that engine nothing until the agent
-        was back, a second or more, though it had all that it had before.
+        An agent may receive SIGTERM between that announcement and the order to
+        load. Entries would then send nothing to the engine until the agent was
+        back, a second or more later, although it still had its previous
+        weights.
         """
         if self._weights is None or self._weights == weights:
             return
@@ -76,10 +77,10 @@
         await asyncio.sleep(_REPETITIONS * _REPETITION_SECONDS)
 
     def update_congestion(self, *, is_slow: bool) -> None:
-        """Tell while the link here is slow, and when it no longer is.
+        """Announce congestion repeatedly while it lasts, and once its end.
 
-        Failure: on a link narrowed to a tenth requests waited behind pieces,
-        and reached the engine when their callers had left.
+        On a link narrowed to a tenth, requests queued behind pieces and reached
+        the engine after their callers had left.
         """
         now = asyncio.get_running_loop().time()
         sent_at = self._congestion_sent_at
@@ -92,7 +93,7 @@
             self._schedule_announcements()
 
     def report_load(self, active: int, queued: int) -> None:
-        """Tell the requests at the engine to the entries that use it."""
+        """Report the engine's requests to the entries that use it."""
         now = asyncio.get_running_loop().time()
         due = self._peers.subscribers.due(now)
         if due:
--- a/clementinepass/direct/chain_order.py
+++ b/clementinepass/direct/chain_order.py
@@ -1,4 +1,4 @@
-"""Whether to go by the order of a chain, or by what its agents have."""
+"""Choice between the order of a chain and what its agents have."""
 
 from __future__ import annotations
 
@@ -7,23 +7,27 @@
 if typing.TYPE_CHECKING:
     from collections.abc import Sequence
 
-#: Seconds without a piece after which to go by what the source has. A source
-#: may send five to another agent first; that is no reason to give the order up.
+#: Seconds without a piece after which the order is suspended. A source may send
+#: five pieces to another agent first, which isn't a reason to suspend the
+#: order.
 _STALLED_SECONDS = 0.7
-#: Pieces in a row that came in the order of the chain, after which to go by
-#: that again. At the start of a version the last of a chain wait longer than
-#: that; to ask for what is known to be there costs a quarter of the pace.
+#: Consecutive pieces in the order of the chain after which the order is
+#: resumed. At the start of a version, the last agents of a chain wait longer
+#: than the stall limit, and requesting only pieces that sources report to have
+#: costs a quarter of the rate.
 _RESUME_AFTER_PIECES = 4
-#: Pieces that may overtake one another on their way.
+#: Pieces within which one may overtake another in flight.
 _REORDER_WINDOW = 5
 
 
 class ChainOrder:
-    """Follow whether pieces come in the order of the chain.
+    """Tracks whether pieces arrive in the order of the chain.
 
-    Failure: the origin was gone 2.5 s after a version was named. One chain had
-    the first half of the pieces and the other the second, and each waited for
-    the next one in its order for six seconds.
+    The order is suspended while they don't, and agents request the pieces that
+    their sources report to have. Otherwise two chains could block each other:
+    when the origin was gone 2.5 s after a version was named, one chain had the
+    first half of the pieces and the other the second, and each waited six
+    seconds for the next piece in its order.
 
     :param now: monotonic seconds.
     """
@@ -31,20 +35,23 @@
     __slots__ = ('_in_order_count', 'is_suspended', 'last_piece_at')
 
     def __init__(self, now: float) -> None:
-        #: When a piece came last.
+        #: Monotonic seconds of the last piece.
         self.last_piece_at = now
-        #: Whether to go by what sources have.
+        #: Whether requests follow what sources have instead of the order.
         self.is_suspended = False
-        #: Pieces in a row that came in order.
+        #: Consecutive pieces that arrived in order.
         self._in_order_count = 0
 
     def reset(self, now: float) -> None:
-        """Go by the order again, since pieces come from another source."""
+        """Follow the order again because the sources have changed."""
         self.last_piece_at = now
         self.is_suspended = False
 
     def suspend_if_stalled(self, now: float) -> bool:
-        """Give the order up where pieces stalled; tell if just now."""
+        """Suspend the order if pieces have stalled.
+
+        :returns: whether the order was suspended by this call.
+        """
         if self.is_suspended or now - self.last_piece_at <= _STALLED_SECONDS:
             return False
         self.is_suspended = True
@@ -54,9 +61,10 @@
     def record_piece(
         self, number: int, expected: Sequence[int], now: float
     ) -> None:
-        """Take a piece.
+        """Record a piece, and resume the order when enough came in order.
 
-        :param expected: the numbers missing before it, in the chain's order.
+        :param expected: the numbers that were missing before the piece arrived,
+            in the order of the chain.
         """
         self.last_piece_at = now
         if number in expected[:_REORDER_WINDOW]:
--- a/clementinepass/direct/fetching.py
+++ b/clementinepass/direct/fetching.py
@@ -1,11 +1,12 @@
-"""Get the missing pieces of a version, from whoever has them.
-
-Each agent asks its sources in the order in which pieces come there, and before
-they are there.  Pieces that enter the region at this agent go first, since
-others wait for them, and their source may be gone at any moment.  Where nothing
-comes for a moment it goes by what its sources say that they have, and asks
-another of its region, too.  The link is the engine's as well, so few pieces
-are on it at once; more would hold up the prompts and events behind them.
+"""Fetch the missing pieces of a version from other agents and the origin.
+
+Each agent requests pieces from its planned sources in the order in which the
+sources receive them, and before the sources have them. Pieces that enter the
+region at this agent are requested first, because other agents wait for them and
+their source may fail at any moment. If no piece arrives for a short time, the
+agent requests the pieces that its sources report to have, and uses another
+source of its region as well. Few pieces are in flight at once: the engine
+shares the link, and its prompts and events would queue behind them.
 """
 
 from __future__ import annotations
@@ -23,54 +24,59 @@
 if typing.TYPE_CHECKING:
     from clementinepass.direct import pieces, weights
 
-#: Pieces asked for at once of one agent. It sends one at a time, so that only
-#: one is on the link; the others wait there so that it goes on without a
-#: pause, though questions and answers queue behind the pieces on both links.
+#: Pieces in flight from one agent. It sends them one at a time, so that only
+#: one is on the link. The others wait at the agent, so that it continues
+#: without a pause although requests and responses queue behind pieces on both
+#: links.
 _MAX_IN_FLIGHT_ONE_AGENT = 5
-#: The same of several sources, which send at the same time: more of them hold
-#: up the engine's prompts and events.
+#: Pieces in flight from several sources in all. They send at the same time, so
+#: that more pieces would delay the engine's prompts and events.
 _MAX_IN_FLIGHT_SEVERAL = 2
-#: The same of an agent, beside pieces that enter the region here and don't fill
-#: the link, so that the rest of it isn't idle.
+#: Pieces in flight from an agent while other pieces enter the region here and
+#: don't fill the link.
 _MAX_IN_FLIGHT_BESIDE = 1
-#: Pieces asked for that the source doesn't have yet, where what it has is
-#: followed: the next one and one behind it.
+#: Pieces in flight that a source doesn't have yet, while requests follow what
+#: sources report: the next one and the one behind it.
 _MAX_IN_FLIGHT_AHEAD = 2
-#: Seconds without a piece after which the origin and all agents are asked,
-#: and the same for each agent before in the chain. The origin has to send to
-#: two; where all agents turn to it none is done in time.
+#: Seconds without a piece after which the origin and all agents are used as
+#: sources, and the additional seconds for each agent that comes before in the
+#: chain. The origin should send to only two agents; if all agents used it, none
+#: would finish in time.
 _LOST_SECONDS = 8.0
 _LOST_SECONDS_PER_AGENT = 1.0
-#: Pieces by which a source is ahead that show the link here to be slow.
+#: Pieces that a source may have more than this agent. A larger difference shows
+#: that the local link is slow.
 _MAX_PIECES_AHEAD = 4
-#: Seconds of one piece from an agent that show a link to be congested.
+#: Transfer time in seconds of a piece from an agent above which a link counts
+#: as congested.
 _CONGESTED_PIECE_SECONDS = 0.4
-#: Seconds that pieces on their way may keep the link busy.
+#: Seconds for which the pieces in flight may keep the link busy.
 _QUEUE_SECONDS = 0.3
-#: Seconds between questions to a source that has nothing new.
+#: Seconds between requests to a source that has nothing new.
 _RETRY_SECONDS = 0.03
-#: Seconds between looks when nothing came, and after a failure.
+#: Seconds between checks while nothing arrives, and the pause after a failed
+#: request.
 _POLL_SECONDS = 0.1
 _FAILURE_PAUSE_SECONDS = 0.2
 
 
 class FetchContext(typing.Protocol):
-    """What getting pieces asks of the rest of the agent."""
+    """The agent's view of sources and of the version to fetch."""
 
     def plan_input(self, model: str, version: int) -> piece_chains.Question:
-        """Return what choosing a source needs."""
+        """Return the input for choosing the sources of pieces."""
 
     def source(self, ip: str) -> weights.Source | None:
-        """Return a source by its IP number, or the origin."""
+        """Return the source for an IP address or for the origin."""
 
     def version_to_fetch(self) -> tuple[str, int]:
-        """Return the model and the version whose pieces to get now."""
+        """Return the model and the version whose pieces to fetch now."""
 
 
 class Fetcher:
-    """Get the pieces of one version.
+    """Fetches the pieces of one version.
 
-    :param held: the pieces that are here; those missing are added.
+    :param version_pieces: the pieces that are here; fetched ones are added.
     """
 
     def __init__(
@@ -80,18 +86,18 @@
         self._context = context
         self._suppliers = suppliers.Suppliers(context.source)
         self._plan: piece_chains.Plan | None = None
-        #: Whether to get pieces from those whose engines have the version.
+        #: Whether engines that have loaded the version are used as sources.
         self._uses_holders = False
         self._changed = asyncio.Event()
         self._chain_order = chain_order.ChainOrder(
             asyncio.get_running_loop().time(),
         )
-        #: Bytes got from the origin and from agents.
+        #: Bytes received from the origin and from agents.
         self.from_origin = 0
         self.from_agents = 0
 
     async def run(self) -> None:
-        """Get all missing pieces, or end when another version is wanted."""
+        """Fetch all missing pieces; end early if another version is wanted."""
         try:
             while self._version_pieces.missing and not self._is_superseded():
                 self._request_more(asyncio.get_running_loop().time())
@@ -103,10 +109,10 @@
             self._suppliers.cancel()
             self._version_pieces.clear_link_state()
 
-    # What to get next.
+    # Choosing the next requests.
 
     def _request_more(self, now: float) -> None:
-        """Ask for pieces until enough are on their way."""
+        """Request pieces until enough are in flight."""
         self._suppliers.skip_faulty(now, self._reference_piece_count())
         plan_input = self._plan_input(now)
         plan = piece_chains.plan(plan_input)
@@ -124,7 +130,7 @@
             self._request_in_order(plan, now)
 
     def _apply_plan(self, plan: piece_chains.Plan, now: float) -> None:
-        """Begin anew where pieces come from others than before."""
+        """Return to the order of the chain if the sources have changed."""
         if self._plan is not None and plan.sources != self._plan.sources:
             logger.bind(
                 sources=plan.sources,
@@ -135,11 +141,12 @@
         self._plan = plan
 
     def _request_in_order(self, plan: piece_chains.Plan, now: float) -> None:
-        """Ask the planned sources for what comes next in their order.
+        """Request the next pieces from the planned sources in their order.
 
-        They are asked before they have it, and send each piece as it comes:
-        to ask for what is there takes a question and an answer more, each
-        behind a piece on the link.
+        Pieces are requested before the sources have them, and each is sent as
+        soon as it arrives there. Requesting only the pieces that a source
+        reports would cost an additional request and response, each of which
+        queues behind a piece on the link.
         """
         from_origin = [
             lane for lane in plan.lanes if piece_chains.ORIGIN in lane.sources
@@ -164,7 +171,10 @@
     def _request_entering(
         self, lanes: list[piece_chains.Lane], now: float
     ) -> bool:
-        """Ask for what others wait for; tell whether it comes."""
+        """Request pieces that other agents wait for.
+
+        :returns: whether pieces of these lanes are arriving.
+        """
         limit = self._limit_in_flight(_max_in_flight(lanes))
         for lane in lanes:
             self._request_lane(lane, limit, now)
@@ -173,9 +183,9 @@
     def _request_lane(
         self, lane: piece_chains.Lane, limit: int, now: float
     ) -> None:
-        """Ask for the next pieces of a lane.
+        """Request the next pieces of a lane.
 
-        :param most: how many may be on their way from its sources.
+        :param limit: how many pieces may be in flight from its sources.
         """
         usable_suppliers = self._suppliers.usable(lane.sources, now)
         total_limit = self._limit_in_flight(_MAX_IN_FLIGHT_ONE_AGENT)
@@ -192,10 +202,11 @@
             )
 
     def _is_delivering(self, lane: piece_chains.Lane, now: float) -> bool:
-        """Tell whether pieces of a lane are still coming, and fast.
+        """Return whether pieces of a lane still arrive, and fast.
 
-        Where they come slowly the others are asked, too: if theirs are slow
-        as well, it is the link here, and another is to head the stripe.
+        If they arrive slowly, pieces of other lanes are requested too. If those
+        are slow as well, the local link is the bottleneck, and another agent
+        should become the head of the stripe.
         """
         if not any(map(lane.has, self._version_pieces.missing)):
             return False
@@ -211,7 +222,7 @@
         plan: piece_chains.Plan,
         now: float,
     ) -> None:
-        """Ask for what sources say that they have."""
+        """Request pieces that the sources report to have."""
         sources = self._usable_suppliers(plan, now)
         self._watch_suppliers(plan_input, sources)
         ordered = self._missing_not_in_flight()
@@ -228,7 +239,7 @@
         ordered: list[int],
         now: float,
     ) -> None:
-        """Ask for pieces that sources are known to have."""
+        """Request pieces that some source is known to have."""
         remaining = self._limit_in_flight(_MAX_IN_FLIGHT_SEVERAL)
         remaining -= sum(
             len(supplier.available.intersection(supplier.in_flight))
@@ -251,9 +262,9 @@
         sources: list[suppliers.Supplier],
         now: float,
     ) -> None:
-        """Ask for what comes next in the order of the chain besides.
+        """Request the next pieces of the chain before the sources have them.
 
-        So that pieces flow without a pause again once there are new ones.
+        Pieces then flow without a pause as soon as there are new ones.
         """
         for supplier in sources:
             queued_ahead = [
@@ -275,7 +286,7 @@
         sources: list[suppliers.Supplier],
         now: float,
     ) -> None:
-        """Ask the origin for pieces that nobody else has."""
+        """Request pieces from the origin that no agent has."""
         available_elsewhere = frozenset().union(
             *(supplier.available for supplier in sources)
         )
@@ -290,7 +301,7 @@
         plan: piece_chains.Plan,
         now: float,
     ) -> list[suppliers.Supplier]:
-        """Return whom to ask for what they have."""
+        """Return the suppliers whose available pieces to follow."""
         partners = self._suppliers.usable(plan.partners, now)[:1]
         suppliers_found = [
             *self._suppliers.usable(plan.sources, now),
@@ -309,7 +320,7 @@
         return suppliers_found
 
     def _missing_not_in_flight(self) -> list[int]:
-        """Return the numbers to ask for, in the order in which they come."""
+        """Return the numbers of the pieces to request, in planned order."""
         in_flight = self._suppliers.in_flight()
         return [
             number
@@ -318,12 +329,12 @@
         ]
 
     def _missing_in_order(self) -> list[int]:
-        """Return the missing numbers in the order in which they come."""
+        """Return the numbers of the missing pieces in planned order."""
         missing = self._version_pieces.missing
         return missing if self._plan is None else self._plan.in_order(missing)
 
     def _plan_input(self, now: float) -> piece_chains.Question:
-        """Return who there is, and who is passed over."""
+        """Return the planning input with the skipped sources."""
         manifest = self._version_pieces.manifest
         plan_input = self._context.plan_input(manifest.model, manifest.version)
         if self._plan is None:
@@ -337,33 +348,34 @@
         )
 
     def _reference_piece_count(self) -> int:
-        """Return how many pieces sources should have, more or less.
+        """Return how many pieces a source should have, approximately.
 
-        Where pieces come in stripes, those before wait for other pieces than
-        this agent has, and say so themselves when their link is slow.
+        It is 0 if pieces come in stripes: the agents before this one then wait
+        for other pieces than it has, and report themselves when their link is
+        slow.
         """
         is_striped = self._plan is not None and self._plan.is_striped
         return 0 if is_striped else len(self._version_pieces.numbers)
 
     def _limit_in_flight(self, limit: int) -> int:
-        """Return how many pieces to ask for at once.
+        """Return how many pieces may be in flight, at most a given limit.
 
-        Failure: on a link narrowed to a quarter five pieces take more than a
-        second, and prompts that queue behind them reach the engine after
-        their callers have left. Fewer are asked for the slower they come.
+        The slower pieces arrive, the fewer are requested. On a link narrowed to
+        a quarter, five pieces take more than a second, and prompts that queue
+        behind them reach the engine after their callers have left.
         """
         return max(
             min(limit, round(_QUEUE_SECONDS / self._suppliers.piece_seconds)), 1
         )
 
-    # Who has what.
+    # Tracking what sources have.
 
     def _watch_suppliers(
         self,
         plan_input: piece_chains.Question,
         sources: list[suppliers.Supplier],
     ) -> None:
-        """Follow what sources have; those whose engine has it have all."""
+        """Track the available pieces of suppliers; loaded engines have all."""
         holders = {peer.ip for peer in plan_input.peers if peer.holds}
         for supplier in sources:
             if supplier.ip in holders:
@@ -403,7 +415,7 @@
                 self._changed.set()
             await asyncio.sleep(_RETRY_SECONDS)
 
-    # Getting a piece.
+    # Fetching one piece.
 
     def _request_piece(
         self, supplier: suppliers.Supplier, number: int, now: float
@@ -463,16 +475,17 @@
         supplier: suppliers.Supplier,
         piece: weights.Piece,
     ) -> None:
-        """Note how long pieces take on the link.
+        """Record a piece's transfer time, and whether the local link is slow.
 
-        Where they take long though the source has more, or from several
-        sources, the link here is slow, and this agent is no source for others.
-        Time in which a source sends to others isn't counted: it ends before
-        the answer begins.
+        The local link counts as slow, and this agent as no source for others,
+        if pieces take long although the source has more, or from several
+        sources. The time in which a source sends to other agents isn't counted:
+        it ends before the response begins.
 
-        Failure: the link of an agent that read a stripe from the origin was
-        narrowed to an eighth. Nothing told it from an origin that is slow, and
-        all others waited for that stripe until the version's bound.
+        This lets another agent take over. When the link of an agent that read a
+        stripe from the origin was narrowed to an eighth, it couldn't be told
+        apart from a slow origin, and all other agents waited for the stripe
+        until the version's bound.
         """
         supplier.record_piece(piece.seconds, asyncio.get_running_loop().time())
         pieces_ahead = (piece.source_piece_count or 0) - len(
@@ -498,15 +511,17 @@
         supplier: suppliers.Supplier,
         piece: weights.Piece,
     ) -> None:
-        """Note at the first slow piece that the link may be narrow.
+        """Set the congestion state from a piece's transfer time.
 
-        Agents send pieces at the pace of a sound link. Only a fast piece takes
-        it back, from whichever source.
+        Agents send pieces at the rate of an uncongested link, so that one slow
+        piece from an agent shows congestion. Only a fast piece, from any
+        source, ends it.
 
-        Failure: a narrowed link was told to entries three seconds late, as
-        its one source had no more pieces than this agent, and was taken for
-        sound again as soon as pieces came from the origin. Requests sent there
-        reached the engine after their callers had left.
+        The difference in piece counts isn't enough: a narrowed link was
+        announced to entries three seconds late, because its only source had no
+        more pieces than this agent, and it counted as uncongested again as soon
+        as pieces came from the origin. Requests that entries sent there reached
+        the engine after their callers had left.
         """
         is_agent = supplier.ip != piece_chains.ORIGIN
         if (
@@ -541,17 +556,19 @@
 ) -> list[piece_chains.Peer]:
     """Return all peers as if no engine had the version yet.
 
-    Failure: as soon as one engine had loaded a version, all agents of other
-    regions that lacked some pieces turned to the one beside it.
+    Otherwise, as soon as one engine had loaded a version, all agents of other
+    regions that lacked some pieces would switch to the agent beside it.
     """
     return [peer._replace(holds=False) for peer in plan_input.peers]
 
 
 def _max_in_flight(lanes: list[piece_chains.Lane]) -> int:
-    """Return how many pieces to ask for at once of the sources of each lane.
+    """Return how many pieces may be in flight from the sources of lanes.
 
-    Failure: an agent alone in its region got one stripe after the other, each
-    at half of its link's rate, and had all after 8.0 s in place of 5.4 s.
+    The limit is for all sources together if there are several. It is applied to
+    each lane of relayed pieces by itself: an agent alone in its region used to
+    fetch one stripe after the other, each at half of its link's rate, and was
+    complete after 8.0 s instead of 5.4 s.
     """
     lane_sources = [source for lane in lanes for source in lane.sources]
     if len(lane_sources) > 1 or piece_chains.ORIGIN in lane_sources:
--- a/clementinepass/direct/loading.py
+++ b/clementinepass/direct/loading.py
@@ -1,10 +1,11 @@
-"""Bring an engine to the versions that the operator names.
-
-Pieces are got into memory, checked, and staged as they come.  When the engine's
-turn has come they are read back, since what lies staged may rot, and staged
-anew where they have; then the engine is ordered to load, on the condition that
-nobody else has ordered meanwhile.  While one version waits for its turn the
-next may be on its way.
+"""Load the versions that the operator names into an engine.
+
+Pieces are fetched into memory, checked, and staged at the engine as they
+arrive. When it is the engine's turn to load, the staged pieces are read back,
+because they may have been corrupted, and those that differ are staged again.
+The engine is then ordered to load, on condition that it has begun no other
+order meanwhile. While one version waits for its turn, the next may already be
+fetched.
 """
 
 from __future__ import annotations
@@ -17,23 +18,25 @@
 from clementinepass import errors
 from clementinepass.direct import fetching, manifests, pieces, weights
 
-#: Versions whose pieces are kept, for the engine and for other agents.
+#: Versions whose pieces are kept in memory, for the engine and for other
+#: agents.
 _MAX_VERSIONS = 3
-#: Seconds after an order without an answer in which nothing else is staged.
+#: Seconds without staging after an order that got no answer.
 _UNKNOWN_ORDER_SECONDS = 1.0
-#: Seconds between tries to read what lies staged.
+#: Seconds between attempts to read or stage pieces at the engine.
 _RETRY_SECONDS = 0.3
-#: Seconds from the first piece read back to the order, by a clock that also
-#: counts time in which the machine stood still. Pieces may have turned bad
-#: since they were read; the rules excuse three seconds.
+#: The longest time in seconds between reading back the first piece and the
+#: order, by a clock that also counts the time in which the machine is
+#: suspended. Pieces that were read earlier may be corrupt by then; the
+#: platform's rules allow three seconds.
 _MAX_READ_BACK_SECONDS = 2.2
 
 
 class Loader:
-    """The versions of one model on one machine.
+    """Fetches, stages and loads the versions of one model.
 
     :param engine: the engine on this machine.
-    :param view: who else there is, and what is wanted.
+    :param context: the agent's view of sources and of the desired version.
     """
 
     __slots__ = (
@@ -51,20 +54,20 @@
         self._context = context
         self._manifest_finder = manifests.ManifestFinder(context)
         self._pieces_by_version: dict[int, pieces.Pieces] = {}
-        #: Held while a piece is staged, and from the first piece read back to
-        #: the order: an engine loads whatever lies there when it accepts, and
-        #: pieces of the next version must not come between.
+        #: Held while a piece is staged, and from reading back the first piece
+        #: until the order: an engine loads whatever is staged when it accepts
+        #: the order, so no piece of the next version may be staged in between.
         self._staging_lock = asyncio.Lock()
 
     def pieces_of(self, model: str, version: int) -> pieces.Pieces | None:
-        """Return the pieces of a version that are here or on their way."""
+        """Return the pieces of a version that are here or being fetched."""
         version_pieces = self._pieces_by_version.get(version)
         if version_pieces is None or version_pieces.manifest.model != model:
             return None
         return version_pieces
 
     def newest_complete(self, model: str) -> int:
-        """Return the newest version of which all pieces are here; or 0."""
+        """Return the newest version that is complete here, or 0."""
         return max(
             (
                 version
@@ -77,29 +80,30 @@
 
     @property
     def is_congested(self) -> bool:
-        """Tell whether pieces come here slowly at present."""
+        """Return whether pieces currently arrive slowly here."""
         return any(
             version_pieces.is_slow or version_pieces.is_congested
             for version_pieces in self._pieces_by_version.values()
         )
 
     async def prepare(self, model: str, version: int) -> None:
-        """Get the manifest of a version whose pieces are got later.
+        """Fetch the manifest of a version whose pieces are fetched later.
 
-        Failure: a version was named while the one before was on its way, and
-        its origin was gone before that was whole. Agents asked for the manifest
-        only then, and nobody had it.
+        Otherwise a version could become unavailable: it was named while the
+        previous one was being fetched, and the origin was gone before that one
+        was complete. Agents requested the new manifest only then, and no agent
+        had it.
 
-        :raises ClementinepassError: nobody has the manifest.
+        :raises ClementinepassError: no source has the manifest.
         """
         await self._ensure_pieces(model, version)
 
     async def fetch(self, model: str, version: int) -> None:
-        """Get the pieces of a version that are missing.
+        """Fetch the missing pieces of a version.
 
-        Returns early when another version is wanted meanwhile.
+        Return early if another version is to be fetched instead.
 
-        :raises ClementinepassError: nobody has the manifest, or the engine
+        :raises ClementinepassError: no source has the manifest, or the engine
             doesn't answer.
         """
         is_first = not self._pieces_by_version
@@ -109,7 +113,8 @@
             'getting pieces',
         )
         if is_first:
-            # An agent that was killed finds here what it had got.
+            # After a restart of the agent, the engine still has the pieces that
+            # were staged before.
             version_pieces.is_reading_staged = True
             try:
                 await self._read_staged(version_pieces)
@@ -134,8 +139,9 @@
             ).info('pieces got')
 
     async def load(self, model: str, version: int) -> bool:
-        """Stage a version, check it and order it; tell if it was accepted.
+        """Stage and verify a version, and order the engine to load it.
 
+        :returns: whether the engine was ordered to load.
         :raises ClementinepassError: the engine doesn't answer.
         """
         version_pieces = self._pieces_by_version[version]
@@ -171,16 +177,18 @@
             answer=result.value,
         ).info('ordered to load')
         if result is weights.OrderResult.UNKNOWN:
-            # It may be accepted yet, with what lies staged then.
+            # The engine may still accept the order and load what is staged at
+            # that time.
             await asyncio.sleep(_UNKNOWN_ORDER_SECONDS)
         return True
 
     async def _has_restarted(self, report: weights.EngineReport) -> bool:
-        """Tell whether the engine started anew since it was looked at.
+        """Return whether the engine has restarted since it was last queried.
 
-        Failure: an engine that had begun no order lost its power between the
-        pieces read back and the order. The order named none, which the new
-        start had begun as well, and was taken with pieces missing.
+        An order names the number of orders that the engine has begun, which is
+        ambiguous across restarts. An engine that had begun none lost power
+        between the read-back of its pieces and the order. Its new start had
+        begun none either, and accepted the order with pieces missing.
         """
         latest = await self._engine.report()
         return latest.started != report.started
@@ -192,7 +200,7 @@
         manifest = await self._manifest_finder.find(model, version)
         existing = self.pieces_of(model, version)
         if existing is not None:
-            # It was prepared meanwhile.
+            # Another task has fetched the manifest meanwhile.
             return existing
         version_pieces = pieces.Pieces(manifest)
         self._pieces_by_version[version] = version_pieces
@@ -204,12 +212,12 @@
             del self._pieces_by_version[min(self._pieces_by_version)]
 
     async def _stage_as_fetched(self, version_pieces: pieces.Pieces) -> None:
-        """Keep staged pieces that this version has too, and stage the others.
+        """Stage pieces as they arrive, keeping those that are staged already.
 
-        Staged as they come, since what is in memory goes with the process:
-        agents that were killed when they had nine pieces in ten began anew,
-        and their engines served nothing for six seconds more. Tried until the
-        engine answers: one that starts anew is down for seconds.
+        Pieces in memory are lost with the process. Agents that were killed with
+        nine tenths of the pieces had to start over, and their engines served
+        nothing for six more seconds. Attempts are repeated until the engine
+        answers, because a restarting engine is down for seconds.
         """
         while not await self._read_staged(version_pieces):
             await asyncio.sleep(_RETRY_SECONDS)
@@ -217,8 +225,9 @@
         while True:
             for number in set(version_pieces.numbers) - staged:
                 try:
-                    # Ended only with its answer: given up, it could take
-                    # effect while the next version is read back.
+                    # Shielded so that staging ends only with the engine's
+                    # answer: an abandoned request could take effect while the
+                    # next version is being read back.
                     await asyncio.shield(
                         self._stage_with_lock(version_pieces, number)
                     )
@@ -230,7 +239,10 @@
             await version_pieces.wait_for_more(len(staged), _RETRY_SECONDS)
 
     async def _read_staged(self, version_pieces: pieces.Pieces) -> bool:
-        """Take what lies staged and fits; tell whether the engine answered."""
+        """Add the staged pieces that match this version.
+
+        :returns: whether the engine answered.
+        """
         model = version_pieces.manifest.model
         try:
             numbers = await self._engine.staged_numbers(model)
@@ -250,10 +262,12 @@
             await self._stage(version_pieces, number)
 
     async def _stage(self, version_pieces: pieces.Pieces, number: int) -> None:
-        """Have a piece lie staged, and read it back.
+        """Stage a piece unless it is staged already, and read it back.
+
+        A correct staged piece isn't written again, since each transfer may
+        corrupt it.
 
-        One that is there already stays: each write is another chance for it
-        to be spoilt on the way.
+        :raises ChunkCorruptError: the staged piece differs from what was sent.
         """
         model = version_pieces.manifest.model
         piece = version_pieces.get(number)
@@ -264,11 +278,12 @@
         staged = await self._engine.staged_piece(model, number)
         if staged != piece:
             raise errors.ChunkCorruptError(
-                f'piece {number} is spoilt where it was staged',
+                f'piece {number} was corrupted when it was staged',
                 step='stage',
                 peer=model,
             )
 
 
 def _boot_time() -> float:
+    """Return the seconds since boot, including time spent suspended."""
     return time.clock_gettime(time.CLOCK_BOOTTIME)
--- a/clementinepass/direct/manifests.py
+++ b/clementinepass/direct/manifests.py
@@ -1,4 +1,4 @@
-"""Find the manifest of a version."""
+"""Fetch the manifest of a version from other agents or the origin."""
 
 from __future__ import annotations
 
@@ -13,29 +13,28 @@
 if typing.TYPE_CHECKING:
     from clementinepass.direct import fetching, weights
 
-#: Seconds for one round. An agent that has no manifest says so after a second;
-#: an origin or an agent that is silent must not keep the others from being
-#: asked again.
+#: Seconds for one round. An agent without the manifest says so after a second;
+#: a silent source mustn't keep the others from being requested again.
 _ROUND_SECONDS = 1.5
 
 
 class ManifestFinder:
-    """Ask for manifests, a round at a time.
+    """Requests manifests in rounds, each from several sources.
 
-    :param view: who else there is.
+    :param context: the agent's view of its sources.
     """
 
     __slots__ = ('_context', '_failed_rounds_by_version')
 
     def __init__(self, context: fetching.FetchContext) -> None:
         self._context = context
-        #: Rounds that brought nothing.
+        #: Rounds without a manifest.
         self._failed_rounds_by_version: dict[int, int] = {}
 
     async def find(self, model: str, version: int) -> weights.Manifest:
-        """Return the manifest, as the first that was asked has it.
+        """Return the first manifest that a source of this round sends.
 
-        :raises ContentMissingError: nobody that was asked has it.
+        :raises ContentMissingError: no source of this round has it.
         """
         round_number = self._failed_rounds_by_version.get(version, 0)
         plan = piece_chains.plan(self._context.plan_input(model, version))
@@ -44,7 +43,7 @@
         if manifest is None:
             self._failed_rounds_by_version[version] = round_number + 1
             raise errors.ContentMissingError(
-                f'nobody has the manifest of version {version}',
+                f'no source has sent the manifest of version {version}',
                 step='manifest',
                 peer=model,
             )
@@ -58,7 +57,7 @@
         model: str,
         version: int,
     ) -> weights.Manifest | None:
-        """Return the first manifest that comes, and give up the others."""
+        """Return the first manifest that arrives, and cancel the rest."""
         requests = [
             asyncio.create_task(self._request(ip, model, version)) for ip in ips
         ]
@@ -70,7 +69,7 @@
                 if manifest is not None:
                     return manifest
         except TimeoutError:
-            logger.bind(version=version).info('no manifest: a round is over')
+            logger.bind(version=version).info('no manifest: round timed out')
         finally:
             for request in requests:
                 request.cancel()
--- a/clementinepass/direct/neighbours.py
+++ b/clementinepass/direct/neighbours.py
@@ -1,4 +1,4 @@
-"""Whom an agent can get pieces from."""
+"""The sources from which an agent can fetch pieces."""
 
 from __future__ import annotations
 
@@ -23,8 +23,9 @@
 class Neighbours:
     """The other agents of the service, and the origin.
 
-    :param own: who the agent is.
-    :param origin: makes a source of the origin's address.
+    :param local_node: the local node.
+    :param cluster: the state of the cluster.
+    :param make_origin_source: creates a source from the origin's address.
     """
 
     __slots__ = (
@@ -43,11 +44,11 @@
         self._local_node = local_node
         self._cluster = cluster
         self._make_origin_source = make_origin_source
-        #: By IP number, the origin by its address.
+        #: By IP address for agents, and by ``host:port`` for the origin.
         self._sources_by_address: dict[str, weights.Source] = {}
 
     def engine(self) -> routing.Engine | None:
-        """Return what the operator says of the service's engines."""
+        """Return the configuration of the service's engines, if it is known."""
         current = self._cluster.routing
         if current is None:
             return None
@@ -55,12 +56,12 @@
         return None if service is None else service.engine
 
     def service_endpoints(self) -> list[endpoints.Endpoint]:
-        """Return the endpoints of the service, the own one included."""
+        """Return the service's endpoints, including the local one."""
         now = asyncio.get_running_loop().time()
         return self._cluster.endpoints.of_service(self._local_node.service, now)
 
     def plan_input(self, version: int) -> piece_chains.Question:
-        """Return what choosing a source for pieces needs."""
+        """Return the input for choosing the sources of pieces."""
         engine = self.engine()
         current = self._cluster.routing
         origin = None if current is None else current.origin
@@ -88,7 +89,7 @@
         )
 
     def source(self, ip: str) -> weights.Source | None:
-        """Return a source by its IP number, or the origin."""
+        """Return the source for an IP address or for the origin."""
         if ip == piece_chains.ORIGIN:
             return self._origin_source()
         return self._cached_source(ip, self._new_agent_source)
@@ -98,7 +99,7 @@
         address: str,
         make: Callable[[str], weights.Source],
     ) -> weights.Source:
-        """Return a source, made when it is first asked for."""
+        """Return a source, created at its first use."""
         source = self._sources_by_address.get(address) or make(address)
         self._sources_by_address[address] = source
         return source
@@ -111,5 +112,5 @@
         service = None if current is None else current.origin
         if service is None:
             return None
-        # By its address, which a new configuration may change.
+        # Cached by address because a new configuration may change it.
         return self._cached_source(service.origin, self._make_origin_source)
--- a/clementinepass/direct/peer_source.py
+++ b/clementinepass/direct/peer_source.py
@@ -1,4 +1,4 @@
-"""Get manifests and pieces from another agent."""
+"""Client for the pieces and manifests of another agent."""
 
 from __future__ import annotations
 
@@ -12,19 +12,19 @@
 
 _OK = 200
 _AVAILABILITY_SECONDS = 3.0
-#: Seconds for a piece from another agent: those before it are sent first, and
-#: on a link narrowed to a tenth five of them take as long.
+#: Timeout in seconds for a piece from another agent: earlier ones are sent
+#: first, and on a link narrowed to a tenth, five of them take that long.
 _PIECE_SECONDS = 4.0
 _MANIFEST_SECONDS = 2.5
-#: Connections to one agent.
+#: Maximum number of connections to one agent.
 _MAX_CONNECTIONS = 8
 
 
 class PeerSource:
-    """Get manifests and pieces from another agent.
+    """Fetches manifests and pieces from another agent.
 
-    :param ip: its IP number.
-    :param port: the system's own port.
+    :param ip: the agent's IP address.
+    :param port: the port at which agents serve each other.
     """
 
     __slots__ = ('_ip', '_pool')
@@ -35,7 +35,7 @@
 
     @property
     def last_received_at(self) -> float:
-        """Return the monotonic seconds at which a byte of it last came."""
+        """Return the monotonic seconds at which its last byte arrived."""
         return self._pool.heard
 
     async def manifest(
@@ -43,10 +43,10 @@
         model: str,
         version: int,
     ) -> weights.Manifest | None:
-        """Return the manifest of a version; ``None`` if it has none.
+        """Return the manifest of a version; ``None`` if the agent has none.
 
         :raises PeerUnavailableError: the agent doesn't answer.
-        :raises MalformedMessageError: it answers with something else.
+        :raises MalformedMessageError: the response can't be decoded.
         """
         target = f'/{piece_protocol.MANIFESTS}/{model}/{version}'
         body = await self._fetch_body(target, _MANIFEST_SECONDS)
@@ -61,10 +61,11 @@
         version: int,
         known_count: int,
     ) -> weights.Availability:
-        """Return what it has, soon after there is more than known.
+        """Return what the agent has, soon after it has more than known.
 
+        :param known_count: how many of its pieces are known already.
         :raises PeerUnavailableError: the agent doesn't answer.
-        :raises MalformedMessageError: it answers with something else.
+        :raises MalformedMessageError: the response can't be decoded.
         """
         target = f'/{piece_protocol.NUMBERS}/{model}/{version}/{known_count}'
         body = await self._fetch_body(target, _AVAILABILITY_SECONDS)
@@ -83,7 +84,9 @@
         version: int,
         number: int,
     ) -> weights.Piece:
-        """Return a piece, unchecked, waiting a moment until it is there.
+        """Return a piece without checking its digest.
+
+        The agent waits a short time for a piece that it doesn't have yet.
 
         :raises PeerUnavailableError: the agent doesn't answer.
         """
--- a/clementinepass/direct/piece_protocol.py
+++ b/clementinepass/direct/piece_protocol.py
@@ -1,22 +1,22 @@
-"""What agents ask one another for, and how it is spelled."""
+"""Protocol by which agents fetch manifests and pieces from each other."""
 
 from __future__ import annotations
 
 import msgspec
 
-#: The kinds of question; the model and the version follow in the path, then a
-#: piece's number or how many numbers are known.
+#: First segments of a request's path. The model and the version follow, then
+#: the number of a piece, or how many pieces are known.
 MANIFESTS = 'manifests'
 NUMBERS = 'numbers'
 PIECES = 'pieces'
-#: How many pieces of the version the answering agent has, and whether they
-#: come slowly to it.
+#: Headers of responses: how many pieces of the version the agent has, and
+#: whether they arrive there slowly.
 PIECE_COUNT_HEADER = b'Clementinepass-Pieces'
 SLOW_HEADER = b'Clementinepass-Slow'
 
 
 class AvailabilityReply(msgspec.Struct):
-    """What an agent that gets pieces says of them."""
+    """The pieces that an agent has of a version that it fetches."""
 
     numbers: tuple[int, ...]
     slow: bool
--- a/clementinepass/direct/piece_server.py
+++ b/clementinepass/direct/piece_server.py
@@ -1,4 +1,4 @@
-"""Hand manifests and pieces to other agents."""
+"""Serve manifests and pieces to other agents."""
 
 from __future__ import annotations
 
@@ -16,19 +16,21 @@
 _OK = 200
 _BAD_REQUEST = 400
 _NOT_FOUND = 404
-#: Seconds that an agent which is getting pieces lets another wait for more.
-#: Whoever waits knows by the answer that it lives, so not for long.
+#: Seconds for which a request waits for more pieces while this agent fetches
+#: them. It is short because the response also shows the other agent that this
+#: one is alive.
 _WAIT_SECONDS = 0.3
-#: Seconds that one waits for a manifest: the one before has to get it first.
+#: Seconds for which a request waits for a manifest: the agent before in the
+#: chain has to receive it first.
 _MANIFEST_WAIT_SECONDS = 1.0
-#: Looks during that time whether the version has been begun.
+#: Checks during that time whether this agent has the version.
 _POLLS = 10
 
 
 class _Query(typing.NamedTuple):
-    """What another agent asks for.
+    """What another agent requests.
 
-    :param number: a piece's, or how many numbers are known.
+    :param number: the number of a piece, or how many pieces are known.
     """
 
     kind: str
@@ -38,13 +40,13 @@
 
 
 class PieceProvider(typing.Protocol):
-    """What an agent can hand out."""
+    """Gives access to an agent's manifests and pieces."""
 
     def pieces_of(self, model: str, version: int) -> pieces.Pieces | None:
-        """Return the pieces of a version that it has or is getting."""
+        """Return the pieces of a version that are here or being fetched."""
 
     def has_loaded(self, version: int) -> bool:
-        """Tell whether its engine serves that version."""
+        """Return whether the agent's engine serves a version."""
 
     async def staged_piece(
         self,
@@ -52,13 +54,14 @@
         version: int,
         number: int,
     ) -> bytes | None:
-        """Return a piece that lies staged at its engine, unchecked."""
+        """Return a piece staged at the engine, without checking its digest."""
 
 
 class PieceServer:
-    """Answer other agents.
+    """Answers requests of other agents.
 
-    :param holder: what there is to hand out.
+    :param provider: gives access to the local manifests and pieces.
+    :param link: sends pieces at the rate that the link allows.
     """
 
     __slots__ = ('_provider', '_uplink', 'sent_bytes')
@@ -66,7 +69,7 @@
     def __init__(self, provider: PieceProvider, link: uplink.Uplink) -> None:
         self._provider = provider
         self._uplink = link
-        #: Bytes sent.
+        #: Bytes of pieces sent.
         self.sent_bytes = 0
 
     async def serve(
@@ -92,7 +95,7 @@
             reply.send(_OK, [], content)
 
     def _availability_headers(self, query: _Query) -> list[messages.Pair]:
-        """Return the headers that say what there is here."""
+        """Return the headers that describe the pieces here."""
         version_pieces = self._provider.pieces_of(query.model, query.version)
         if version_pieces is None:
             return []
@@ -101,9 +104,10 @@
             b'%d' % version_pieces.is_slow,
         )
         if version_pieces.is_reading_staged:
-            # A count now says nothing. Failure: after a loss of power whoever
-            # had read what lay staged passed over one that was about to, and
-            # both got pieces from the same agent: 6 s in place of 3.
+            # The count isn't complete yet. When an agent reported it after a
+            # loss of power, agents that had read their staged pieces skipped it
+            # as far behind and shared another source with it, so that both took
+            # 6 s instead of 3 s.
             return [slow_header]
         count = len(self._available_numbers(query, version_pieces))
         return [(piece_protocol.PIECE_COUNT_HEADER, b'%d' % count), slow_header]
@@ -111,10 +115,10 @@
     def _available_numbers(
         self, query: _Query, version_pieces: pieces.Pieces
     ) -> list[int]:
-        """Return the numbers of the pieces that can be handed out.
+        """Return the numbers of the pieces that can be served.
 
-        All that lie staged where the engine has loaded them, however few of
-        them are in memory.
+        If the engine has loaded the version, all its pieces are staged,
+        regardless of how many are in memory.
         """
         if self._provider.has_loaded(query.version):
             return list(range(len(version_pieces.manifest.digests)))
@@ -141,7 +145,7 @@
         query: _Query,
         version_pieces: pieces.Pieces | None,
     ) -> bytes | None:
-        """Return a piece from memory, or as it lies staged at the engine."""
+        """Return a piece from memory, or as it is staged at the engine."""
         piece = (
             None if version_pieces is None else version_pieces.get(query.number)
         )
@@ -153,18 +157,18 @@
                 query.version,
                 query.number,
             )
-        # Whoever waits for an agent to which pieces come slowly does better
-        # to ask the one before it.
+        # If pieces arrive here slowly, the other agent does better to request
+        # them from the agent before this one.
         timeout_seconds = 0 if version_pieces.is_slow else _WAIT_SECONDS
         return await version_pieces.wait_for_piece(
             query.number, timeout_seconds
         )
 
     async def _wait_for_pieces(self, query: _Query) -> pieces.Pieces | None:
-        """Return the pieces of a version, waiting a moment for them.
+        """Return the pieces of a version, waiting a short time for them.
 
-        Whoever asks for a version has heard of it; this agent may have heard
-        of it just now.
+        The other agent knows of the version already, while this one may only be
+        about to learn of it.
         """
         timeout_seconds = (
             _MANIFEST_WAIT_SECONDS
--- a/clementinepass/direct/pieces.py
+++ b/clementinepass/direct/pieces.py
@@ -1,4 +1,4 @@
-"""The pieces of one version that an agent has, checked against its digests."""
+"""Pieces of one version in an agent's memory, checked by their digests."""
 
 from __future__ import annotations
 
@@ -12,7 +12,10 @@
 
 
 class Pieces:
-    """Pieces in memory, for this agent's engine and for other agents."""
+    """Pieces in memory, for the local engine and for other agents.
+
+    :param manifest: the digests of all pieces.
+    """
 
     __slots__ = (
         '_by_number',
@@ -26,18 +29,19 @@
     def __init__(self, manifest: weights.Manifest) -> None:
         self.manifest = manifest
         self._by_number: dict[int, bytes] = {}
-        #: Whether they come here more slowly than their source has them.
+        #: Whether pieces arrive here more slowly than their source receives
+        #: them.
         self.is_slow = False
-        #: Whether the last ones took long on the link to this machine, or on
-        #: their source's.
+        #: Whether the last pieces took long on the local link or on the link of
+        #: their source.
         self.is_congested = False
-        #: Whether what lies staged is still being read, so that there are more
-        #: pieces than are here.
+        #: Whether staged pieces are still being read from the engine, so that
+        #: there are more than are in memory.
         self.is_reading_staged = False
         self._piece_added = asyncio.Event()
 
     def clear_link_state(self) -> None:
-        """Note that no pieces are on their way, so that none are slow."""
+        """Clear the slow and congested states when fetching has ended."""
         self.is_slow = False
         self.is_congested = False
 
@@ -54,14 +58,14 @@
         return self._by_number.get(number)
 
     def matches_digest(self, number: int, piece: bytes) -> bool:
-        """Tell whether bytes are the piece of that number."""
+        """Return whether bytes have the digest of a piece."""
         digests = self.manifest.digests
         if not 0 <= number < len(digests):
             return False
         return hashlib.sha256(piece).hexdigest() == digests[number]
 
     def add(self, number: int, piece: bytes) -> bool:
-        """Keep a piece, unless it is spoilt; tell whether it was kept."""
+        """Add a piece unless it is corrupt; return whether it was added."""
         if not self.matches_digest(number, piece):
             return False
         self._by_number[number] = piece
@@ -78,7 +82,7 @@
     async def wait_for_more(
         self, known_count: int, timeout_seconds: float
     ) -> None:
-        """Wait until there are more pieces than some, or for a while."""
+        """Wait until there are more pieces than known, or for the timeout."""
         with contextlib.suppress(TimeoutError):
             async with asyncio.timeout(timeout_seconds):
                 while len(self._by_number) <= known_count:
@@ -87,7 +91,7 @@
     async def wait_for_piece(
         self, number: int, timeout_seconds: float
     ) -> bytes | None:
-        """Return a piece, waiting some time for it."""
+        """Return a piece once it is here; ``None`` after the timeout."""
         with contextlib.suppress(TimeoutError):
             async with asyncio.timeout(timeout_seconds):
                 while number not in self._by_number:
--- a/clementinepass/direct/suppliers.py
+++ b/clementinepass/direct/suppliers.py
@@ -1,4 +1,4 @@
-"""What an agent knows of the sources that it gets pieces from."""
+"""State of the sources from which an agent fetches pieces."""
 
 from __future__ import annotations
 
@@ -14,46 +14,49 @@
 
     from clementinepass.direct import weights
 
-#: Seconds without a byte of a source that was asked, after which it is passed
-#: over. A source answers within a third of a second, if only to say that it
-#: has nothing yet; the rest is for answers that queue behind pieces.
+#: Seconds without a byte from a source with an open request after which it is
+#: skipped. A source responds within a third of a second, if only to report that
+#: it has nothing yet; the rest allows for responses that queue behind pieces.
 _SILENT_SECONDS = 0.75
-#: The same while another source's pieces are coming: on a narrow link answers
-#: queue behind them for seconds, and every source looks silent.
+#: The same limit while pieces arrive from another source: on a narrow link
+#: responses queue behind them for seconds, and every source seems silent.
 _SILENT_SECONDS_WHILE_SENDING = 2.5
-#: Seconds since a byte of it came in which a source counts as sending.
+#: Seconds since its last byte within which a source counts as sending.
 _SENDING_SECONDS = 0.3
-#: Seconds since its last piece, or since it was first asked, after which a
-#: source brings nothing at present. Pieces come each 60 to 80 ms.
+#: Seconds since its last piece, or since its first request, within which a
+#: source counts as delivering. Pieces arrive every 60 to 80 ms.
 _DELIVERING_SECONDS = 0.35
-#: Failures in a row that say the same: refused connections, mostly.
+#: Consecutive failures, mostly refused connections, after which a source is
+#: skipped.
 _MAX_FAILURES = 3
-#: Seconds for which a source is passed over: its machine wakes meanwhile or is
-#: dropped from the list, and all that want the version have it, mostly.
+#: Seconds for which a source is skipped. Within this time, its machine usually
+#: resumes or is dropped from the list, and all that fetch the version usually
+#: complete it.
 _SKIP_SECONDS = 8.0
-#: The same at first of one that refuses or breaks connections: its process may
-#: start again within the second. Twice as long each time after that.
+#: The same for the first time that a source refuses or breaks connections: its
+#: process may restart within a second. The time doubles with each repetition.
 _FIRST_SKIP_SECONDS = 1.0
-#: Seconds that a piece takes on a slow link, three times the usual, and how
-#: many times as long as on another's.
+#: Transfer time in seconds of a piece on a slow link, three times the usual,
+#: and the ratio to another source's time above which a source is slower.
 SLOW_PIECE_SECONDS = 0.22
 _SLOWER_FACTOR = 2.5
-#: Pieces by which a source may have fewer and still be one: they come in
-#: another order where both have had some before.
+#: Pieces by which a source may be behind without being skipped: pieces come in
+#: another order when both agents had some before.
 _MAX_PIECES_BEHIND = 12
-#: Seconds that a piece takes on the link: at first, and the longest that is
-#: learnt from.
+#: Transfer time in seconds that is assumed at first, and the longest one that
+#: enters the average.
 _DEFAULT_PIECE_SECONDS = 0.06
 _MAX_PIECE_SECONDS = 0.6
-#: The weight of a new piece's time; the last three or so count.
+#: Weight of a new transfer time in the moving average, which covers about the
+#: last three pieces.
 _SMOOTHING = 0.35
 
 
 class Supplier:
-    """One source while pieces of a version are got.
+    """State of one source while the pieces of a version are fetched.
 
-    :param ip: its IP number, or the origin.
-    :param source: how it is asked.
+    :param ip: the source's IP address, or the origin.
+    :param source: the adapter that sends the requests.
     """
 
     __slots__ = (
@@ -76,41 +79,42 @@
     def __init__(self, ip: str, source: weights.Source) -> None:
         self.ip = ip
         self.source = source
-        #: The numbers of the pieces that it is known to have.
+        #: The numbers of the pieces that the source is known to have.
         self.available: frozenset[int] = frozenset()
-        #: How many pieces it says that it has; ``None`` if untold.
+        #: How many pieces the source reports to have; ``None`` if unknown.
         self.piece_count: int | None = None
-        #: Whether it says that pieces come to it slowly.
+        #: Whether the source reports that pieces arrive there slowly.
         self.is_slow = False
-        #: Questions in a row that it failed to answer.
+        #: Consecutive failed requests.
         self.failures = 0
-        #: Monotonic seconds of the oldest question without an answer since
-        #: there was none; ``None`` while there is none.
+        #: Monotonic seconds since which a request has been open without any
+        #: response; ``None`` if no request is open.
         self.waiting_since: float | None = None
         self.skipped_until = float('-inf')
-        #: Seconds for which it is passed over when it fails the next time.
+        #: Seconds for which the source is skipped when it fails the next time.
         self.backoff = _FIRST_SKIP_SECONDS
-        #: When its last piece came, or it was first asked; ``None`` before.
+        #: Monotonic seconds of the last piece, or of the first request before
+        #: there was one; ``None`` before the first request.
         self.last_piece_at: float | None = None
-        #: Whether a piece of it came.
+        #: Whether the source has delivered a piece.
         self.has_delivered = False
-        #: Seconds that a piece of it takes on the links between.
+        #: Average transfer time of a piece from the source.
         self.piece_seconds = _DEFAULT_PIECE_SECONDS
-        #: The pieces on their way from it.
+        #: Requests in flight, by the number of the piece.
         self.in_flight: dict[int, asyncio.Task[None]] = {}
-        #: Learns what it has, where that is followed.
+        #: Task that tracks the available pieces, if they are tracked.
         self.watch_task: asyncio.Task[None] | None = None
 
     def skip_reason(
         self, now: float, held_count: int, timeout_seconds: float
     ) -> str:
-        """Return why it should be passed over; empty if it need not be.
+        """Return why the source should be skipped; empty if it shouldn't.
 
-        :param held: how many pieces the asking agent has.
-        :param patience: seconds for which it may say nothing.
+        :param held_count: how many pieces the local agent has.
+        :param timeout_seconds: how long the source may be silent.
         """
         if self.ip == piece_chains.ORIGIN:
-            # There is no other in its place.
+            # The origin can't be replaced by another source.
             return ''
         if self.is_slow:
             return 'slow'
@@ -127,10 +131,12 @@
         return 'silent' if now - last_received_at > timeout_seconds else ''
 
     def is_slower_than(self, fastest: float) -> bool:
-        """Tell whether its link is slow, as pieces of others show.
+        """Return whether the source's link is slow compared with others.
 
-        Failure: on a link narrowed to an eighth an agent's word that it is
-        slow waited behind its pieces, for two seconds.
+        Its own report isn't enough: on a link narrowed to an eighth, an agent's
+        report that it is slow waited behind its pieces for two seconds.
+
+        :param fastest: transfer time in seconds from the fastest source.
         """
         if self.ip == piece_chains.ORIGIN or not self.in_flight:
             return False
@@ -140,32 +146,32 @@
 
     @property
     def next_piece_seconds(self) -> float:
-        """Return the seconds until a further piece of it would be here."""
+        """Return the seconds until one more requested piece would arrive."""
         return (len(self.in_flight) + 1) * self.piece_seconds
 
     def record_piece(self, seconds: float, now: float) -> None:
-        """Note a piece, and how long it took."""
+        """Record that a piece has arrived, and its transfer time."""
         self.last_piece_at = now
         self.has_delivered = True
         bounded = min(seconds, _MAX_PIECE_SECONDS)
         self.piece_seconds += _SMOOTHING * (bounded - self.piece_seconds)
 
     def is_delivering(self, now: float) -> bool:
-        """Tell whether pieces of it come, or it was asked just now."""
+        """Return whether pieces arrive, or the first request is recent."""
         return (
             self.last_piece_at is None
             or now - self.last_piece_at < _DELIVERING_SECONDS
         )
 
     def is_sending(self, now: float) -> bool:
-        """Tell whether a piece is coming from it."""
+        """Return whether a piece is arriving from the source."""
         return (
             bool(self.in_flight)
             and now - self.source.last_received_at < _SENDING_SECONDS
         )
 
     def record_request(self, now: float) -> None:
-        """Note that a question goes out."""
+        """Record that a request is sent."""
         if self.waiting_since is None:
             self.waiting_since = now
         if self.last_piece_at is None:
@@ -178,7 +184,7 @@
         is_source_slow: bool,
         piece_count: int | None,
     ) -> None:
-        """Note an answer, whatever it says."""
+        """Record a response, regardless of its content."""
         if self.failures:
             logger.bind(
                 source=self.ip or 'origin',
@@ -190,11 +196,10 @@
         self.waiting_since = now if self.in_flight else None
 
     def finish_request(self, number: int) -> None:
-        """Note that a piece is no longer on its way.
+        """Record that a piece is no longer in flight.
 
-        Failure: a source that had sent all that it was asked for said nothing
-        more, so that it looked silent and ever further behind, and was passed
-        over.
+        A source without open requests sends nothing more. It would otherwise
+        seem silent and ever further behind, and be skipped.
         """
         del self.in_flight[number]
         if self.in_flight:
@@ -204,11 +209,12 @@
             self.waiting_since = None
 
     def skip(self, now: float) -> None:
-        """Stop using it for a while.
+        """Stop using the source for some time.
 
-        Failure: agents were killed and back within a second. Each was passed
-        over for eight by the one after it, which shared a source with it: both
-        got pieces at half the rate, and all after them, too.
+        After failed connections the time is short at first. When agents were
+        killed and back within a second, each was skipped for eight seconds by
+        the agent after it, which then shared a source with it: both received
+        pieces at half the rate, and so did all agents behind them.
         """
         seconds = _SKIP_SECONDS
         if self.failures >= _MAX_FAILURES:
@@ -221,7 +227,7 @@
         self.cancel()
 
     def cancel(self) -> None:
-        """Give up what was asked of it."""
+        """Cancel all requests to the source."""
         self.waiting_since = None
         for task in self.in_flight.values():
             task.cancel()
@@ -232,9 +238,9 @@
 
 
 class Suppliers:
-    """The sources of one version, by IP number.
+    """The sources of one version by IP address.
 
-    :param source: returns a source by its IP number, if there is one.
+    :param find_source: returns the source for an IP address, if there is one.
     """
 
     __slots__ = ('_find_source', '_suppliers_by_ip')
@@ -247,11 +253,11 @@
         self._suppliers_by_ip: dict[str, Supplier] = {}
 
     def __iter__(self) -> typing.Iterator[Supplier]:
-        """Go through all that were used."""
+        """Iterate over all suppliers that have been used."""
         return iter(self._suppliers_by_ip.values())
 
     def get(self, ip: str) -> Supplier | None:
-        """Return a supplier; ``None`` if nobody is known there."""
+        """Return the supplier for an IP address; ``None`` without a source."""
         source = self._find_source(ip)
         if source is None:
             return None
@@ -262,7 +268,7 @@
         return supplier
 
     def usable(self, ips: Iterable[str], now: float) -> list[Supplier]:
-        """Return those of some that aren't passed over."""
+        """Return the suppliers for IP addresses, without skipped ones."""
         suppliers = [self.get(ip) for ip in ips]
         return [
             supplier
@@ -271,19 +277,19 @@
         ]
 
     def skipped(self, now: float) -> frozenset[str]:
-        """Return those that are passed over."""
+        """Return the IP addresses of the skipped suppliers."""
         return frozenset(
             supplier.ip for supplier in self if supplier.skipped_until > now
         )
 
     @property
     def piece_seconds(self) -> float:
-        """Return what a piece takes from the fastest in use.
+        """Return the transfer time from the fastest source in use.
 
-        The link of this machine is no slower than that. A source that has
-        brought nothing yet says nothing. Failure: an agent on a narrow link
-        turned to a second source as if its link were sound, and prompts stood
-        behind seven pieces until their callers had left.
+        The local link is no slower than that. Sources that have delivered
+        nothing don't count: an agent on a narrow link switched to a second
+        source as if its link were uncongested, and prompts queued behind seven
+        pieces until their callers had left.
         """
         return min(
             (
@@ -297,7 +303,7 @@
 
     @property
     def fastest_piece_seconds(self) -> float:
-        """Return what a piece takes from the fastest that brought one."""
+        """Return the transfer time from the fastest source of all."""
         return min(
             (
                 supplier.piece_seconds
@@ -308,25 +314,26 @@
         )
 
     def have_several_delivered(self) -> bool:
-        """Tell whether pieces came from more than one."""
+        """Return whether pieces have come from more than one source."""
         return sum(supplier.has_delivered for supplier in self) > 1
 
     def in_flight(self) -> frozenset[int]:
-        """Return the numbers of the pieces on their way."""
+        """Return the numbers of all pieces in flight."""
         return frozenset(
             number for supplier in self for number in supplier.in_flight
         )
 
     def skip_faulty(self, now: float, held_count: int) -> None:
-        """Pass over those that are slow, failing, silent or far behind.
+        """Skip sources that are slow, failing, silent or far behind.
 
-        Failure: a machine in the middle of a chain stood still, or had its
-        link narrowed to a tenth, and all agents behind it waited. Without it,
-        the next one has another before it. One that merely waits for pieces
-        itself answers and stays: when all behind a break looked elsewhere,
-        they met at the same two agents, and got a piece each 150 ms.
+        When a machine in the middle of a chain was suspended, or its link was
+        narrowed to a tenth, all agents behind it waited; if it is skipped, the
+        next agent uses the one before it. An agent that only waits for pieces
+        itself responds, and isn't skipped: when all agents behind a break
+        looked for other sources, they met at the same two agents and received a
+        piece every 150 ms.
 
-        :param held: how many pieces the asking agent has.
+        :param held_count: how many pieces the local agent has.
         """
         fastest = self.fastest_piece_seconds
         for supplier in self:
@@ -350,6 +357,6 @@
                 supplier.skip(now)
 
     def cancel(self) -> None:
-        """Give up all that was asked."""
+        """Cancel all requests to all sources."""
         for supplier in self:
             supplier.cancel()
--- a/clementinepass/direct/uplink.py
+++ b/clementinepass/direct/uplink.py
@@ -1,4 +1,4 @@
-"""Send pieces over a machine's link beside the events of its engine."""
+"""Send pieces over a machine's link without delaying its engine's events."""
 
 from __future__ import annotations
 
@@ -11,33 +11,34 @@
 _OK = 200
 _BITS_PER_BYTE = 8
 _BITS_PER_MEGABIT = 1_000_000
-#: The part of the link that carries bytes of pieces and events; their heads
-#: and acknowledgements take the rest.
+#: Share of the link that carries the payload of pieces and events; headers and
+#: acknowledgements take the rest.
 _PAYLOAD_SHARE = 0.95
-#: Bits a second of one stream: an event of 70 bytes with 120 of framing, each
-#: 42 milliseconds, which is the time that an engine takes for six tokens.
+#: Rate of one stream: an event of 70 bytes with 120 bytes of framing every 42
+#: ms, which is the time that an engine takes for six tokens.
 _STREAM_BITS_PER_SECOND = 36_000
-#: Bits a second of reports of the engine's load and of heartbeats.
+#: Rate of the engine's load reports and of heartbeats.
 _CONTROL_BITS_PER_SECOND = 100_000
-#: The part of the link that pieces take however many streams there are.
+#: Share of the link that pieces take regardless of the number of streams.
 _MIN_PIECE_SHARE = 0.5
-#: Seconds that a part may take on a link, whatever its settings say.
+#: The longest time in seconds that a part may take, whatever the settings say
+#: about the link.
 _MAX_PART_SECONDS = 0.5
-#: Seconds by which timers fire late, made up for by the next one.
+#: Seconds by which a timer may be late and the delay still be made up for.
 _MAX_TIMER_DELAY_SECONDS = 0.02
 #: Bytes sent at a time: 14 ms on a link of 3.65 Mbit/s.
 _PART_BYTES = 6144
 
 
 class Uplink:
-    """Send one piece at a time, in parts, no faster than the link takes them.
+    """Sends one piece at a time, in parts, at the rate of the link.
 
-    Failure: pieces that are handed to the kernel whole lie on the link before
-    the engine's events, 54 ms each, and events that come 120 ms after they
-    were made are late. Between parts events find the link free.
+    Pieces that are handed to the kernel whole delay the engine's events by 54
+    ms each, and an event that arrives 120 ms after it was produced is late.
+    Between parts, events find the link free.
 
-    :param link_mbps: megabits a second that the machine's link carries.
-    :param streams: returns how many streams the engine sends.
+    :param link_mbps: the rate of the machine's link in megabits a second.
+    :param stream_count: returns how many streams the engine sends.
     """
 
     __slots__ = ('_free_at', '_link_bits', '_lock', '_stream_count')
@@ -50,7 +51,7 @@
         self._link_bits = link_mbps * _BITS_PER_MEGABIT
         self._stream_count = stream_count
         self._lock = asyncio.Lock()
-        #: Monotonic seconds at which what was sent is out.
+        #: Monotonic seconds at which the link has carried all that was sent.
         self._free_at: float = 0
 
     async def send(
@@ -59,9 +60,9 @@
         piece: bytes,
         headers: list[messages.Pair],
     ) -> None:
-        """Send a piece when those before it are out.
+        """Send a piece after those before it.
 
-        :param pairs: headers that say what else there is here.
+        :param headers: headers that describe the pieces here.
         """
         async with self._lock:
             reply.begin(_OK, headers)
@@ -72,10 +73,11 @@
             reply.end()
 
     async def _wait_until_sent(self, byte_count: int) -> None:
-        """Wait until the link has taken bytes that were just sent.
+        """Wait until the link has carried the bytes that were just sent.
 
-        By the time at which they should be out, not by their duration, since
-        timers fire late and four for each piece would add up.
+        The wait ends at the time when they should be out, not after their
+        duration: timers are late, and the delays of four parts for each piece
+        would add up.
         """
         now = asyncio.get_running_loop().time()
         seconds = min(
@@ -87,7 +89,7 @@
         await asyncio.sleep(max(self._free_at - now, 0))
 
     def _piece_rate(self) -> float:
-        """Return the bits a second that the engine's streams leave."""
+        """Return the bits per second that streams leave for pieces."""
         rate = self._link_bits * _PAYLOAD_SHARE - _CONTROL_BITS_PER_SECOND
         rate -= self._stream_count() * _STREAM_BITS_PER_SECOND
         return max(rate, self._link_bits * _MIN_PIECE_SHARE)
--- a/clementinepass/direct/version_selector.py
+++ b/clementinepass/direct/version_selector.py
@@ -1,4 +1,4 @@
-"""Which version an agent gets next."""
+"""Selection of the version that an agent fetches next."""
 
 from __future__ import annotations
 
@@ -18,18 +18,18 @@
 
 _BITS_PER_BYTE = 8
 _BITS_PER_MEGABIT = 1_000_000
-#: Time for a version's pieces against the time that their bytes take on a
-#: link that carries nothing else: heads, prompts and events. A piece of 24,576
-#: bytes takes 58 ms on a link of 3.65 Mbit/s.
+#: Ratio of a version's transfer time to the time that its bytes take on an
+#: otherwise idle link: headers, prompts and events need the rest. A piece of
+#: 24,576 bytes takes 58 ms on a link of 3.65 Mbit/s.
 _OVERHEAD_FACTOR = 1.08
 
 
 class VersionSelector:
-    """What the engine on this machine should have next.
+    """Selects the versions to fetch and to prepare for the local engine.
 
-    :param own: who the agent is.
-    :param known: the state of the cluster.
-    :param near: the other agents.
+    :param local_node: the local node.
+    :param cluster: the state of the cluster.
+    :param neighbours: the other agents of the service.
     """
 
     __slots__ = (
@@ -50,15 +50,16 @@
         self._local_node = local_node
         self._cluster = cluster
         self._neighbours = neighbours
-        #: The version whose pieces are being got.
+        #: The version whose pieces are being fetched.
         self._fetching = 0
-        #: The newer version that waits until that one is whole; 0 for none.
+        #: The newer version that waits until the current one is complete; 0 if
+        #: there is none.
         self._postponed = 0
-        #: What the engine said last that it holds; ``None`` until it did.
+        #: The weights in the engine's last report; ``None`` before the first.
         self.engine_weights: endpoints.Weights | None = None
 
     def has_version_or_newer(self, version: int) -> bool:
-        """Tell whether the engine holds all layers of a version, or newer."""
+        """Return whether all layers of a version or a newer one are loaded."""
         engine = self._neighbours.engine()
         engine_weights = self.engine_weights
         if engine is None or engine_weights is None:
@@ -69,9 +70,9 @@
         return is_complete and engine_weights.version >= version
 
     def version_to_fetch(self, loader: loading.Loader) -> tuple[str, int]:
-        """Return the model and the version whose pieces to get now.
+        """Return the model and the version whose pieces to fetch now.
 
-        Version 0 where nothing is to be got.
+        The version is 0 if there is nothing to fetch.
         """
         engine = self._neighbours.engine()
         if engine is None:
@@ -83,9 +84,9 @@
         return engine.model, version
 
     def version_to_prepare(self, loader: loading.Loader) -> tuple[str, int]:
-        """Return the model and the version to get after the one on its way.
+        """Return the model and the version to fetch after the current one.
 
-        Version 0 where there is none.
+        The version is 0 if there is none or its manifest is here.
         """
         engine = self._neighbours.engine()
         if engine is None:
@@ -99,7 +100,7 @@
         )
 
     def is_in_use(self, version: int) -> bool:
-        """Tell whether the operator named a version or some engine has it."""
+        """Return whether a version is desired or held by some engine."""
         engine = self._neighbours.engine()
         if engine is None:
             return False
@@ -115,9 +116,10 @@
         engine: routing.Engine,
         loader: loading.Loader,
     ) -> int:
-        """Return the version that the engine should have next.
+        """Return the version that the engine should load next.
 
-        Where none was named, whatever other engines have.
+        If the operator has named none, it is the newest that other engines
+        hold.
         """
         desired_version = self._cluster.wanted_version(engine.model)
         if not desired_version:
@@ -135,7 +137,7 @@
         loader: loading.Loader,
         newest: int,
     ) -> bool:
-        """Tell whether to finish the version begun before the newest one."""
+        """Return whether to complete the current version before the newest."""
         current = self._fetching
         version_pieces = loader.pieces_of(engine.model, current)
         if (
@@ -162,7 +164,7 @@
         return finishes
 
     def _transfer_seconds(self, engine: routing.Engine, chunks: int) -> float:
-        """Return how long pieces take over this machine's link."""
+        """Return how long pieces take over the local machine's link."""
         bits = chunks * engine.chunk_bytes * _BITS_PER_BYTE
         return (
             _OVERHEAD_FACTOR
--- a/clementinepass/direct/weights.py
+++ b/clementinepass/direct/weights.py
@@ -1,4 +1,4 @@
-"""What an agent asks of its engine, the origin and other agents."""
+"""Interfaces of an agent to its engine, the origin and other agents."""
 
 from __future__ import annotations
 
@@ -10,12 +10,14 @@
 
 
 class EngineReport(typing.NamedTuple):
-    """An engine's own word, fresh.
+    """The current state of an engine, as it reports it.
 
+    :param weights: the layers that are loaded.
     :param busy: whether an order is in progress.
-    :param orders: how many orders it has begun since it started.
-    :param active: requests running.
-    :param started: when it started, as its listing says it.
+    :param orders: how many orders the engine has begun since its start.
+    :param active: how many requests are running.
+    :param queued: how many requests wait in the engine.
+    :param started: when the engine started, as its listing states it.
     """
 
     weights: endpoints.Weights
@@ -27,12 +29,13 @@
 
 
 class Piece(typing.NamedTuple):
-    """A piece as it came, unchecked.
+    """A piece as received, with its digest unchecked.
 
-    :param payload: ``None`` where the source doesn't have it.
-    :param others: how many pieces of the version its source has, if it says.
-    :param seconds: from the first byte of the answer to the last.
-    :param slow: whether pieces come slowly to the source itself.
+    :param payload: ``None`` if the source doesn't have the piece.
+    :param source_piece_count: how many pieces of the version the source has;
+        ``None`` if unknown.
+    :param seconds: from the first byte of the response to the last.
+    :param is_source_slow: whether pieces arrive slowly at the source itself.
     """
 
     payload: bytes | None
@@ -42,10 +45,10 @@
 
 
 class Availability(typing.NamedTuple):
-    """What an agent that gets pieces has of them.
+    """The pieces that an agent has of a version that it fetches.
 
-    :param slow: whether they come slowly to it.
-    :param total: how many it has; ``None`` where it doesn't say.
+    :param is_slow: whether pieces arrive there slowly.
+    :param total: how many pieces it has; ``None`` if unknown.
     """
 
     numbers: frozenset[int] = frozenset()
@@ -54,7 +57,7 @@
 
 
 class Manifest(typing.NamedTuple):
-    """The SHA-256 of each piece of a version, in hexadecimal."""
+    """The SHA-256 digests of a version's pieces, in hexadecimal."""
 
     model: str
     version: int
@@ -62,42 +65,42 @@
 
 
 class OrderResult(enum.Enum):
-    """What an engine said to an order."""
+    """How an engine responded to an order."""
 
     ACCEPTED = 'accepted'
-    #: It was in effect already.
+    #: The order was already in effect.
     DONE = 'done'
-    #: It doesn't fit the engine's state.
+    #: The order doesn't match the engine's state.
     REJECTED = 'rejected'
-    #: There was no answer; it may have been accepted.
+    #: There was no response; the order may have been accepted.
     UNKNOWN = 'unknown'
 
 
 class Engine(typing.Protocol):
-    """The engine on the agent's machine."""
+    """Client for the engine on the agent's machine."""
 
     async def report(self) -> EngineReport:
-        """Return its state.
+        """Return the engine's state.
 
-        :raises PeerUnavailableError: it doesn't answer.
+        :raises PeerUnavailableError: the engine doesn't answer.
         """
 
     async def staged_numbers(self, model: str) -> frozenset[int]:
-        """Return the numbers of the pieces that lie staged.
+        """Return the numbers of the staged pieces.
 
-        :raises PeerUnavailableError: it doesn't answer.
+        :raises PeerUnavailableError: the engine doesn't answer.
         """
 
     async def stage(self, model: str, number: int, piece: bytes) -> None:
-        """Stage a piece, in place of what lies there.
+        """Stage a piece, replacing the one that is staged.
 
-        :raises PeerUnavailableError: it doesn't answer.
+        :raises PeerUnavailableError: the engine doesn't answer.
         """
 
     async def staged_piece(self, model: str, number: int) -> bytes | None:
-        """Return a staged piece as it is now; ``None`` if there is none.
+        """Return the staged piece as it is now; ``None`` if there is none.
 
-        :raises PeerUnavailableError: it doesn't answer.
+        :raises PeerUnavailableError: the engine doesn't answer.
         """
 
     async def load(
@@ -106,21 +109,24 @@
         version: int,
         report: EngineReport,
     ) -> OrderResult:
-        """Order it to load what is staged, if it is still as reported."""
+        """Order the engine to load the staged pieces.
+
+        :param report: the state in which the engine must still be.
+        """
 
 
 class Source(typing.Protocol):
-    """Hands out manifests and pieces: the origin, or another agent."""
+    """Client for manifests and pieces at the origin or another agent."""
 
     async def manifest(self, model: str, version: int) -> Manifest | None:
-        """Return the manifest of a version; ``None`` if it has none.
+        """Return the manifest of a version; ``None`` if the source has none.
 
-        :raises PeerUnavailableError: it doesn't answer.
+        :raises PeerUnavailableError: the source doesn't answer.
         """
 
     @property
     def last_received_at(self) -> float:
-        """Return the monotonic seconds at which a byte of it last came."""
+        """Return the monotonic seconds at which its last byte arrived."""
 
     async def available_pieces(
         self,
@@ -128,9 +134,10 @@
         version: int,
         known_count: int,
     ) -> Availability:
-        """Return what it has, soon after there is more than known.
+        """Return what the source has, soon after it has more than known.
 
-        :raises PeerUnavailableError: it doesn't answer.
+        :param known_count: how many of its pieces are known already.
+        :raises PeerUnavailableError: the source doesn't answer.
         """
 
     async def piece(
@@ -139,7 +146,9 @@
         version: int,
         number: int,
     ) -> Piece:
-        """Return a piece, unchecked, waiting a moment until it is there.
+        """Return a piece without checking its digest.
+
+        The source may wait a short time for a piece that it doesn't have yet.
 
-        :raises PeerUnavailableError: it doesn't answer.
+        :raises PeerUnavailableError: the source doesn't answer.
         """
