--- a/clementinepass/direct/agent.py
+++ b/clementinepass/direct/agent.py
@@ -113,7 +113,7 @@
             self._followers,
             self.peers,
         )
-        self._turn_by_version: dict[int, float] = {}
+        self._turn_at_by_version: dict[int, float] = {}
         self._report: weights.EngineReport | None = None
         self._last_error = ''
         #: Whether the engine's state has been requested once, successfully or
@@ -139,12 +139,12 @@
                 self._load_versions,
                 self._announce_congestion,
             )
-            running = [
+            running_tasks = [
                 tasks.create_task(background.keep_running(worker))
                 for worker in workers
             ]
             await stop.wait()
-            for task in running:
+            for task in running_tasks:
                 task.cancel()
         if self._report is not None:
             await self._announcer.withdraw_loading(self._report.weights)
@@ -297,7 +297,7 @@
         self._log_new_error('')
         self._record_report(report)
         engine = self._neighbours.engine()
-        if engine is None or report.busy:
+        if engine is None or report.is_busy:
             return
         version = self._loader.newest_complete(engine.model)
         if not version or self._version_selector.has_version_or_newer(version):
@@ -340,29 +340,30 @@
     def _seconds_to_load(self, engine: routing.Engine, version: int) -> float:
         """Return the seconds until the engine must have loaded a version.
 
-        The bound of the loaded version counts as well as that of the new one. A
-        version was once dropped for a newer one four seconds after it was
-        named: the engines spread their turns over the time until the newer
-        version's bound, but the versions that they had loaded were usable only
-        until the bound of the dropped one.
+        The deadline of the loaded weights counts as well as that of the new
+        version. It is the earlier one if a version was dropped for a newer one.
+        When that happened four seconds after a version was named, engines
+        spread their turns over the time until the newer version's deadline,
+        although the weights that they held could be used only until that of the
+        dropped version.
         """
         now = asyncio.get_running_loop().time()
         engine_weights = self._version_selector.engine_weights
         time_left = self.cluster.seconds_left(engine.model, version) or 0
         if engine_weights is None:
             return time_left
-        bound = self.cluster.begin_bound(engine, engine_weights.version)
-        return max(min(time_left, bound - now), 0)
+        deadline = self.cluster.begin_bound(engine, engine_weights.version)
+        return max(min(time_left, deadline - now), 0)
 
     def _is_turn_to_load(self, engine: routing.Engine, version: int) -> bool:
         """Return whether the engine may load a version now."""
         now = asyncio.get_running_loop().time()
         if not self._version_selector.has_version_or_newer(1):
             return True
-        turn = self._turn_by_version.get(version)
-        if turn is None:
+        turn_at = self._turn_at_by_version.get(version)
+        if turn_at is None:
             time_left = self._seconds_to_load(engine, version)
-            turn = now + load_turns.delay(
+            turn_at = now + load_turns.delay(
                 load_turns.Peer(
                     self._local_node.endpoint, self._local_node.domain
                 ),
@@ -375,33 +376,33 @@
                 ],
                 time_left,
             )
-            self._turn_by_version = {version: turn}
-            logger.bind(version=version, wait=round(turn - now, 3)).info(
+            self._turn_at_by_version = {version: turn_at}
+            logger.bind(version=version, wait=round(turn_at - now, 3)).info(
                 'turn to load',
             )
-        return now >= turn
+        return now >= turn_at
 
     def _record_report(self, report: weights.EngineReport) -> None:
-        """Announce the engine's weights to entries when they have changed."""
-        before = self._report
+        """Record a report, and announce the engine's weights if changed."""
+        previous = self._report
         self._report = report
         self._version_selector.engine_weights = report.weights
         self._announcer.report_load(report.active, report.queued)
-        if before is not None and _has_same_weights(before, report):
+        if previous is not None and _has_same_weights(previous, report):
             return
         self._announcer.announce_weights(report.weights, report.started)
         logger.bind(
             version=report.weights.version,
             layers=report.weights.end - report.weights.first,
-            busy=report.busy,
+            busy=report.is_busy,
         ).info('engine holds weights')
 
 
 def _has_same_weights(
-    before: weights.EngineReport,
+    previous: weights.EngineReport,
     report: weights.EngineReport,
 ) -> bool:
-    """Return whether the same engine start still holds the same weights."""
-    if before.started != report.started:
+    """Return whether an engine holds the same weights since the same start."""
+    if previous.started != report.started:
         return False
-    return before.weights == report.weights
+    return previous.weights == report.weights
--- a/clementinepass/direct/fetching.py
+++ b/clementinepass/direct/fetching.py
@@ -1,12 +1,12 @@
 """Fetch the missing pieces of a version from other agents and the origin.
 
-Each agent requests pieces from its planned sources in the order in which the
-sources receive them, and before the sources have them. Pieces that enter the
-region at this agent are requested first, because other agents wait for them and
-their source may fail at any moment. If no piece arrives for a short time, the
-agent requests the pieces that its sources report to have, and uses another
-source of its region as well. Few pieces are in flight at once: the engine
-shares the link, and its prompts and events would queue behind them.
+Each agent requests pieces from its planned sources in the order in which pieces
+reach them, and before the sources have them. Pieces that enter the region at
+this agent are requested first, because other agents wait for them and their
+source may fail at any moment. If no piece arrives for a short time, the agent
+requests the pieces that its sources report to have, and uses another source of
+its region as well. Few pieces are in flight at once: the engine shares the
+link, and its prompts and events would queue behind them.
 """
 
 from __future__ import annotations
@@ -130,7 +130,7 @@
             self._request_in_order(plan, now)
 
     def _apply_plan(self, plan: piece_chains.Plan, now: float) -> None:
-        """Return to the order of the chain if the sources have changed."""
+        """Apply a plan, and reset the order if its sources have changed."""
         if self._plan is not None and plan.sources != self._plan.sources:
             logger.bind(
                 sources=plan.sources,
@@ -286,7 +286,7 @@
         sources: list[suppliers.Supplier],
         now: float,
     ) -> None:
-        """Request pieces from the origin that no agent has."""
+        """Request from the origin the pieces that no agent has."""
         available_elsewhere = frozenset().union(
             *(supplier.available for supplier in sources)
         )
@@ -301,9 +301,9 @@
         plan: piece_chains.Plan,
         now: float,
     ) -> list[suppliers.Supplier]:
-        """Return the suppliers whose available pieces to follow."""
+        """Return the sources whose available pieces to follow."""
         partners = self._suppliers.usable(plan.partners, now)[:1]
-        suppliers_found = [
+        followed = [
             *self._suppliers.usable(plan.sources, now),
             *partners,
         ]
@@ -312,12 +312,12 @@
             > _LOST_SECONDS + plan.place * _LOST_SECONDS_PER_AGENT
         ):
             others = (*plan.anyone, piece_chains.ORIGIN)
-            suppliers_found.extend(
+            followed.extend(
                 supplier
                 for supplier in self._suppliers.usable(others, now)
-                if supplier not in suppliers_found
+                if supplier not in followed
             )
-        return suppliers_found
+        return followed
 
     def _missing_not_in_flight(self) -> list[int]:
         """Return the numbers of the pieces to request, in planned order."""
@@ -375,7 +375,7 @@
         plan_input: piece_chains.Question,
         sources: list[suppliers.Supplier],
     ) -> None:
-        """Track the available pieces of suppliers; loaded engines have all."""
+        """Track the pieces that sources have; loaded engines have all."""
         holders = {peer.ip for peer in plan_input.peers if peer.holds}
         for supplier in sources:
             if supplier.ip in holders:
@@ -485,7 +485,7 @@
         This lets another agent take over. When the link of an agent that read a
         stripe from the origin was narrowed to an eighth, it couldn't be told
         apart from a slow origin, and all other agents waited for the stripe
-        until the version's bound.
+        until the version's deadline.
         """
         supplier.record_piece(piece.seconds, asyncio.get_running_loop().time())
         pieces_ahead = (piece.source_piece_count or 0) - len(
--- a/clementinepass/direct/loading.py
+++ b/clementinepass/direct/loading.py
@@ -146,7 +146,7 @@
         """
         version_pieces = self._pieces_by_version[version]
         report = await self._engine.report()
-        if report.busy:
+        if report.is_busy:
             return False
         async with self._staging_lock:
             return await self._load(version_pieces, report)
--- a/clementinepass/direct/suppliers.py
+++ b/clementinepass/direct/suppliers.py
@@ -330,8 +330,8 @@
         narrowed to a tenth, all agents behind it waited; if it is skipped, the
         next agent uses the one before it. An agent that only waits for pieces
         itself responds, and isn't skipped: when all agents behind a break
-        looked for other sources, they met at the same two agents and received a
-        piece every 150 ms.
+        looked for other sources, they converged on the same two agents and
+        received a piece every 150 ms.
 
         :param held_count: how many pieces the local agent has.
         """
--- a/clementinepass/direct/uplink.py
+++ b/clementinepass/direct/uplink.py
@@ -41,14 +41,14 @@
     :param stream_count: returns how many streams the engine sends.
     """
 
-    __slots__ = ('_free_at', '_link_bits', '_lock', '_stream_count')
+    __slots__ = ('_free_at', '_link_bits_per_second', '_lock', '_stream_count')
 
     def __init__(
         self,
         link_mbps: float,
         stream_count: typing.Callable[[], int],
     ) -> None:
-        self._link_bits = link_mbps * _BITS_PER_MEGABIT
+        self._link_bits_per_second = link_mbps * _BITS_PER_MEGABIT
         self._stream_count = stream_count
         self._lock = asyncio.Lock()
         #: Monotonic seconds at which the link has carried all that was sent.
@@ -90,6 +90,9 @@
 
     def _piece_rate(self) -> float:
         """Return the bits per second that streams leave for pieces."""
-        rate = self._link_bits * _PAYLOAD_SHARE - _CONTROL_BITS_PER_SECOND
+        rate = (
+            self._link_bits_per_second * _PAYLOAD_SHARE
+            - _CONTROL_BITS_PER_SECOND
+        )
         rate -= self._stream_count() * _STREAM_BITS_PER_SECOND
-        return max(rate, self._link_bits * _MIN_PIECE_SHARE)
+        return max(rate, self._link_bits_per_second * _MIN_PIECE_SHARE)
--- a/clementinepass/direct/version_selector.py
+++ b/clementinepass/direct/version_selector.py
@@ -34,10 +34,10 @@
 
     __slots__ = (
         '_cluster',
-        '_fetching',
+        '_current_version',
         '_local_node',
         '_neighbours',
-        '_postponed',
+        '_postponed_version',
         'engine_weights',
     )
 
@@ -51,10 +51,10 @@
         self._cluster = cluster
         self._neighbours = neighbours
         #: The version whose pieces are being fetched.
-        self._fetching = 0
+        self._current_version = 0
         #: The newer version that waits until the current one is complete; 0 if
         #: there is none.
-        self._postponed = 0
+        self._postponed_version = 0
         #: The weights in the engine's last report; ``None`` before the first.
         self.engine_weights: endpoints.Weights | None = None
 
@@ -92,7 +92,10 @@
         if engine is None:
             return '', 0
         desired_version = self._cluster.wanted_version(engine.model)
-        is_next = bool(self._fetching) and desired_version > self._fetching
+        is_next = (
+            bool(self._current_version)
+            and desired_version > self._current_version
+        )
         version_pieces = loader.pieces_of(engine.model, desired_version)
         return (
             engine.model,
@@ -124,11 +127,11 @@
         desired_version = self._cluster.wanted_version(engine.model)
         if not desired_version:
             endpoints = self._neighbours.service_endpoints()
-            versions = [peer.weights.version for peer in endpoints]
+            versions = [endpoint.weights.version for endpoint in endpoints]
             desired_version = max(versions, default=0) or 1
         elif self._should_finish_current(engine, loader, desired_version):
-            return self._fetching
-        self._fetching = desired_version
+            return self._current_version
+        self._current_version = desired_version
         return desired_version
 
     def _should_finish_current(
@@ -138,7 +141,7 @@
         newest: int,
     ) -> bool:
         """Return whether to complete the current version before the newest."""
-        current = self._fetching
+        current = self._current_version
         version_pieces = loader.pieces_of(engine.model, current)
         if (
             version_pieces is None
@@ -146,26 +149,28 @@
             or current >= newest
         ):
             return False
-        left = self._cluster.seconds_left(engine.model, current)
-        if left is None:
+        current_seconds_left = self._cluster.seconds_left(engine.model, current)
+        if current_seconds_left is None:
             return False
-        finishes = superseding.finish_first(
+        should_finish = superseding.finish_first(
             superseding.Transfer(
                 self._transfer_seconds(engine, len(version_pieces.missing)),
-                left,
+                current_seconds_left,
             ),
             superseding.Transfer(
                 self._transfer_seconds(engine, engine.chunks),
                 self._cluster.seconds_left(engine.model, newest) or 0,
             ),
-            is_decided=self._postponed == newest,
+            is_decided=self._postponed_version == newest,
         )
-        self._postponed = newest if finishes else 0
-        return finishes
+        self._postponed_version = newest if should_finish else 0
+        return should_finish
 
-    def _transfer_seconds(self, engine: routing.Engine, chunks: int) -> float:
+    def _transfer_seconds(
+        self, engine: routing.Engine, piece_count: int
+    ) -> float:
         """Return how long pieces take over the local machine's link."""
-        bits = chunks * engine.chunk_bytes * _BITS_PER_BYTE
+        bits = piece_count * engine.chunk_bytes * _BITS_PER_BYTE
         return (
             _OVERHEAD_FACTOR
             * bits
--- a/clementinepass/direct/weights.py
+++ b/clementinepass/direct/weights.py
@@ -13,7 +13,7 @@
     """The current state of an engine, as it reports it.
 
     :param weights: the layers that are loaded.
-    :param busy: whether an order is in progress.
+    :param is_busy: whether an order is in progress.
     :param orders: how many orders the engine has begun since its start.
     :param active: how many requests are running.
     :param queued: how many requests wait in the engine.
@@ -21,7 +21,7 @@
     """
 
     weights: endpoints.Weights
-    busy: bool
+    is_busy: bool
     orders: int
     active: int
     queued: int
