--- a/tests/direct/test_announcer.py
+++ b/tests/direct/test_announcer.py
@@ -1,4 +1,4 @@
-"""Tests of what agents tell entries."""
+"""Tests of the announcements that agents send to entries."""
 
 from __future__ import annotations
 
@@ -19,7 +19,7 @@
 from clementinepass.wire import heartbeats as wire_heartbeats
 
 ENGINE = '10.0.0.1:80'
-OWN = node.Node(
+LOCAL_NODE = node.Node(
     name='agent-1',
     ip='10.0.0.1',
     domain='a',
@@ -34,128 +34,138 @@
 
 
 class _Peers:
-    """Keeps what would be sent."""
+    """Peers that record what would be sent."""
 
     def __init__(self) -> None:
         self.held: tuple[heartbeats.Held, ...] = ()
-        self.told: list[heartbeats.Held] = []
+        self.announcements: list[heartbeats.Held] = []
         self.members = members.Members('10.0.0.1')
 
     def tell(self, ips: list[str]) -> None:
-        """Send a heartbeat."""
-        self.told.extend(self.held)
+        """Record an announcement."""
+        self.announcements.extend(self.held)
 
 
-class TellingTest(testtools.TestCase):
-    """Entries hear of the engine and of the link beside it."""
+class AnnouncerTest(testtools.TestCase):
+    """Agents announce the state of their engine and their link."""
 
-    def play(
+    def announce(
         self,
-        story: typing.Callable[[announcer.Announcer], None],
+        scenario: typing.Callable[[announcer.Announcer], None],
     ) -> list[heartbeats.Held]:
-        """Tell a story and return what was sent first after each word."""
+        """Run a scenario; return the first copy of each announcement."""
         peers = _Peers()
 
-        async def played() -> None:
-            story(announcer.Announcer(OWN, typing.cast('typing.Any', peers)))
+        async def main() -> None:
+            scenario(
+                announcer.Announcer(
+                    LOCAL_NODE, typing.cast('typing.Any', peers)
+                )
+            )
             await asyncio.sleep(0.01)
 
-        asyncio.run(played())
-        return peers.told
+        asyncio.run(main())
+        return peers.announcements
 
-    def test_loads(self) -> None:
-        """While it loads no layers are told of."""
-        told = self.play(lambda own: own.announce_loading(3))
-        self.assertEqual((3, 0, 0), told[-1][1:4])
-
-    def test_congestion_keeps_the_rest(self) -> None:
-        """A slow link while the engine loads.
+    def test_loading(self) -> None:
+        """An engine that loads is announced without layers."""
+        announcements = self.announce(
+            lambda agent_announcer: agent_announcer.announce_loading(3)
+        )
+        self.assertEqual((3, 0, 0), announcements[-1][1:4])
 
-        The word of the link must not bring back what the engine held before.
-        """
+    def test_congestion_keeps_loading_state(self) -> None:
+        """Congestion while the engine loads doesn't announce its old weights."""
 
-        def story(own: announcer.Announcer) -> None:
-            own.announce_weights(HELD, incarnations.UNTOLD)
-            own.announce_loading(3)
-            own.update_congestion(is_slow=True)
+        def scenario(agent_announcer: announcer.Announcer) -> None:
+            agent_announcer.announce_weights(HELD, incarnations.UNTOLD)
+            agent_announcer.announce_loading(3)
+            agent_announcer.update_congestion(is_slow=True)
 
-        told = self.play(story)
+        announcements = self.announce(scenario)
         self.assertEqual(
-            heartbeats.Held(ENGINE, 3, 0, 0, congested=True), told[-1]
+            heartbeats.Held(ENGINE, 3, 0, 0, congested=True), announcements[-1]
         )
 
-    def test_start_goes_along(self) -> None:
-        """Each word says of which start of the engine it is.
+    def test_start_included(self) -> None:
+        """Each announcement names the engine's start.
 
-        An engine crashed while its agent had it load. What was told of the
-        start before must not be taken for a word of the new one.
+        An engine crashed while its agent ordered it to load. Announcements
+        about the previous start mustn't be attributed to the new one.
         """
 
-        def story(own: announcer.Announcer) -> None:
-            own.announce_weights(HELD, 1000)
-            own.announce_loading(3)
-            own.update_congestion(is_slow=True)
+        def scenario(agent_announcer: announcer.Announcer) -> None:
+            agent_announcer.announce_weights(HELD, 1000)
+            agent_announcer.announce_loading(3)
+            agent_announcer.update_congestion(is_slow=True)
 
-        told = self.play(story)
-        self.assertEqual({1000}, {word.started for word in told})
+        announcements = self.announce(scenario)
+        self.assertEqual(
+            {1000}, {announcement.started for announcement in announcements}
+        )
         sent = wire_heartbeats.write_heartbeat(
-            heartbeats.Heartbeat(held=tuple(told[-1:]))
+            heartbeats.Heartbeat(held=tuple(announcements[-1:]))
         )
         read = wire_heartbeats.read_heartbeat(sent, 'p')
-        self.assertEqual(tuple(told[-1:]), read.held)
+        self.assertEqual(tuple(announcements[-1:]), read.held)
 
-    def test_congestion_over(self) -> None:
-        """It is told once that the link is sound again."""
+    def test_congestion_end(self) -> None:
+        """The end of congestion is announced once."""
 
-        def story(own: announcer.Announcer) -> None:
-            own.announce_weights(HELD, incarnations.UNTOLD)
-            own.update_congestion(is_slow=True)
-            own.update_congestion(is_slow=False)
-            own.update_congestion(is_slow=False)
+        def scenario(agent_announcer: announcer.Announcer) -> None:
+            agent_announcer.announce_weights(HELD, incarnations.UNTOLD)
+            agent_announcer.update_congestion(is_slow=True)
+            agent_announcer.update_congestion(is_slow=False)
+            agent_announcer.update_congestion(is_slow=False)
 
-        told = self.play(story)
-        self.assertFalse(told[-1].congested)
-        self.assertEqual(3, len(told))
+        announcements = self.announce(scenario)
+        self.assertFalse(announcements[-1].congested)
+        self.assertEqual(3, len(announcements))
 
 
 class CongestionTest(testtools.TestCase):
-    """An entry believes an agent's word on its link for a while."""
+    """An entry considers a link congested for a limited time."""
 
-    def test_believed_for_a_while(self) -> None:
-        """An agent that falls silent isn't passed by for ever."""
+    def test_congestion_expires(self) -> None:
+        """The endpoint of an agent that falls silent is used again."""
         now = [100.0]
-        known = cluster_state.ClusterState(OWN, clock=lambda: now[0])
-        known.endpoints.listed(
+        cluster = cluster_state.ClusterState(LOCAL_NODE, clock=lambda: now[0])
+        cluster.endpoints.listed(
             endpoints.Listing('i', 's', ENGINE, 'a', 16, False, 1, HELD),
         )
-        known.heard_held(
+        cluster.heard_held(
             heartbeats.Held(ENGINE, 2, 0, 4, congested=True),
             now[0],
         )
 
         def congested() -> bool:
-            (endpoint,) = known.endpoints
+            (endpoint,) = cluster.endpoints
             return endpoint.congested_until > now[0]
 
         self.assertTrue(congested())
         now[0] += 3
         self.assertFalse(congested())
 
-    def test_taken_back_with_its_start(self) -> None:
-        """An agent took back that its engine loads, and named no start.
+    def test_withdrawal_includes_start(self) -> None:
+        """Withdrawing the announcement of loading names the engine's start.
 
-        Entries take a word without a start as of the newest one they know. An
-        engine that had started anew meanwhile, empty, was taken to hold what
-        the start before it had held.
+        Entries attribute an announcement without a start to the newest start
+        that they know. An engine that had restarted without weights was
+        considered to hold those of its previous start.
         """
         peers = _Peers()
 
-        async def played() -> None:
-            own = announcer.Announcer(OWN, typing.cast('typing.Any', peers))
-            own.announce_weights(HELD, 1000)
-            own.announce_loading(3)
-            await own.withdraw_loading(HELD)
+        async def main() -> None:
+            agent_announcer = announcer.Announcer(
+                LOCAL_NODE, typing.cast('typing.Any', peers)
+            )
+            agent_announcer.announce_weights(HELD, 1000)
+            agent_announcer.announce_loading(3)
+            await agent_announcer.withdraw_loading(HELD)
 
-        asyncio.run(played())
-        self.assertEqual({1000}, {one.started for one in peers.told})
+        asyncio.run(main())
+        self.assertEqual(
+            {1000},
+            {announcement.started for announcement in peers.announcements},
+        )
         self.assertEqual(HELD, endpoints.Weights(*peers.held[0][1:4]))
--- a/tests/direct/test_fetching.py
+++ b/tests/direct/test_fetching.py
@@ -1,4 +1,4 @@
-"""Tests of getting pieces while sources fail."""
+"""Tests of fetching pieces while sources fail."""
 
 from __future__ import annotations
 
@@ -20,28 +20,28 @@
     2,
     tuple(hashlib.sha256(payload).hexdigest() for payload in PAYLOADS),
 )
-#: Seconds that a piece takes on a link here.
-PIECE = 0.005
-#: Seconds that an agent lets another wait for a piece.
-WAIT = 0.1
+#: Transfer time of a piece on a link.
+PIECE_SECONDS = 0.005
+#: Seconds for which an agent lets a request wait for a piece.
+WAIT_SECONDS = 0.1
 
 
 class _Origin:
-    """Sends pieces until it is gone."""
+    """Origin that sends a limited number of pieces."""
 
     def __init__(self) -> None:
-        self.left = CHUNKS * 10
+        self.remaining = CHUNKS * 10
         self.sent: list[int] = []
-        #: Who got a piece, in order.
-        self.askers: list[str] = []
+        #: IP addresses of the agents that received a piece, in order.
+        self.requesters: list[str] = []
 
     @property
     def last_received_at(self) -> float:
-        """Return the time of the last byte."""
+        """Return the current time."""
         return asyncio.get_running_loop().time()
 
-    async def available_pieces(self, *asked: object) -> weights.Availability:
-        """Return nothing."""
+    async def available_pieces(self, *query: object) -> weights.Availability:
+        """Return an empty availability."""
         return weights.Availability()
 
     async def piece(
@@ -50,63 +50,65 @@
         version: int,
         number: int,
     ) -> weights.Piece:
-        """Return a piece while there are some left."""
-        if self.left <= 0:
+        """Return a piece while some remain."""
+        if self.remaining <= 0:
             raise errors.PeerUnavailableError('gone', step='piece', peer='o')
-        self.left -= 1
+        self.remaining -= 1
         self.sent.append(number)
-        await asyncio.sleep(PIECE)
-        return weights.Piece(PAYLOADS[number], seconds=PIECE)
+        await asyncio.sleep(PIECE_SECONDS)
+        return weights.Piece(PAYLOADS[number], seconds=PIECE_SECONDS)
 
 
 class _Agent:
-    """An agent, as others see it and as it sees them."""
+    """Agent that is both a fetch context and a source for other agents."""
 
-    def __init__(self, world: _World, peer: piece_chains.Peer) -> None:
-        self._world = world
-        self._from_origin = _OriginLink(self, world.origin)
+    def __init__(self, network: _Network, peer: piece_chains.Peer) -> None:
+        self._network = network
+        self._from_origin = _OriginLink(self, network.origin)
         self.peer = peer
-        self.held = pieces.Pieces(MANIFEST)
-        #: Seconds that a piece takes on its link.
-        self.piece_seconds = PIECE
-        #: Whether its machine stands still.
-        self.frozen = False
-        #: Pieces that it sent.
+        self.version_pieces = pieces.Pieces(MANIFEST)
+        #: Transfer time of a piece on the agent's link.
+        self.piece_seconds = PIECE_SECONDS
+        #: Whether the agent's machine is suspended.
+        self.is_suspended = False
+        #: How many pieces the agent has sent.
         self.sent = 0
-        #: Those that asked it for a piece.
-        self.asked_by: set[str] = set()
+        #: IP addresses of the agents that requested a piece from it.
+        self.requested_by: set[str] = set()
 
     def plan_input(self, model: str, version: int) -> piece_chains.Question:
-        """Return who there is."""
-        others = [one.peer for one in self._world.agents if one is not self]
+        """Return all other agents as peers."""
+        others = [
+            agent.peer for agent in self._network.agents if agent is not self
+        ]
         return piece_chains.Question(self.peer, others, 'north')
 
     def source(self, ip: str) -> typing.Any:
-        """Return a source."""
+        """Return the link to the origin or to another agent."""
         if ip == piece_chains.ORIGIN:
             return self._from_origin
-        return self._world.link(self, ip)
+        return self._network.link(self, ip)
 
     def version_to_fetch(self) -> tuple[str, int]:
-        """Return what is wanted."""
+        """Return the version that all agents fetch."""
         return MODEL, 2
 
 
 class _OriginLink:
-    """An agent's way to the origin."""
+    """Link from an agent to the origin."""
 
-    def __init__(self, asker: _Agent, origin: _Origin) -> None:
-        self._asker = asker
+    def __init__(self, client: _Agent, origin: _Origin) -> None:
+        self._client = client
         self._origin = origin
         self._turn = asyncio.Lock()
 
     @property
     def last_received_at(self) -> float:
-        """Return the time of the last byte."""
+        """Return the current time."""
         return self._origin.last_received_at
 
-    async def available_pieces(self, *asked: object) -> weights.Availability:
-        """Return nothing."""
+    async def available_pieces(self, *query: object) -> weights.Availability:
+        """Return an empty availability."""
         return weights.Availability()
 
     async def piece(
@@ -115,21 +117,21 @@
         version: int,
         number: int,
     ) -> weights.Piece:
-        """Return a piece, as fast as both links carry it."""
+        """Return a piece at the rate of the slower link."""
         async with self._turn:
             piece = await self._origin.piece(model, version, number)
-            await asyncio.sleep(self._asker.piece_seconds - PIECE)
-        seconds = self._asker.piece_seconds
-        self._origin.askers.append(self._asker.peer.ip)
+            await asyncio.sleep(self._client.piece_seconds - PIECE_SECONDS)
+        seconds = self._client.piece_seconds
+        self._origin.requesters.append(self._client.peer.ip)
         return piece._replace(seconds=seconds)
 
 
 class _Link:
-    """One agent's way to another."""
+    """Link from one agent to another."""
 
-    def __init__(self, asker: _Agent, asked: _Agent) -> None:
-        self._asker = asker
-        self._asked = asked
+    def __init__(self, client: _Agent, server: _Agent) -> None:
+        self._client = client
+        self._server = server
         self._turn = asyncio.Lock()
         self.last_received_at: float = 0
 
@@ -137,14 +139,18 @@
         self,
         model: str,
         version: int,
-        known: int,
+        known_count: int,
     ) -> weights.Availability:
-        """Return what it has."""
-        await self._thaw()
-        await self._asked.held.wait_for_more(known, WAIT)
-        self._hear()
-        numbers = frozenset(self._asked.held.numbers)
-        return weights.Availability(numbers, self._asked.held.is_slow)
+        """Return the pieces that the server has."""
+        await self._wait_while_suspended()
+        await self._server.version_pieces.wait_for_more(
+            known_count, WAIT_SECONDS
+        )
+        self._record_receipt()
+        numbers = frozenset(self._server.version_pieces.numbers)
+        return weights.Availability(
+            numbers, self._server.version_pieces.is_slow
+        )
 
     async def piece(
         self,
@@ -152,35 +158,44 @@
         version: int,
         number: int,
     ) -> weights.Piece:
-        """Return a piece, waiting a moment until it is there."""
-        self._asked.asked_by.add(self._asker.peer.ip)
-        await self._thaw()
-        held = self._asked.held
-        payload = await held.wait_for_piece(number, 0 if held.is_slow else WAIT)
-        seconds = max(self._asker.piece_seconds, self._asked.piece_seconds)
+        """Return a piece, waiting a short time until the server has it."""
+        self._server.requested_by.add(self._client.peer.ip)
+        await self._wait_while_suspended()
+        version_pieces = self._server.version_pieces
+        payload = await version_pieces.wait_for_piece(
+            number, 0 if version_pieces.is_slow else WAIT_SECONDS
+        )
+        seconds = max(self._client.piece_seconds, self._server.piece_seconds)
         if payload is not None:
             async with self._turn:
                 await asyncio.sleep(seconds)
-            self._asked.sent += 1
-        self._hear()
-        return weights.Piece(payload, len(held.numbers), seconds, held.is_slow)
+            self._server.sent += 1
+        self._record_receipt()
+        return weights.Piece(
+            payload,
+            len(version_pieces.numbers),
+            seconds,
+            version_pieces.is_slow,
+        )
 
-    async def _thaw(self) -> None:
-        while self._asked.frozen:
-            await asyncio.sleep(PIECE)
+    async def _wait_while_suspended(self) -> None:
+        while self._server.is_suspended:
+            await asyncio.sleep(PIECE_SECONDS)
 
-    def _hear(self) -> None:
+    def _record_receipt(self) -> None:
         self.last_received_at = asyncio.get_running_loop().time()
 
 
-class _World:
+class _Network:
     """Agents of two regions and the origin."""
 
     def __init__(self, north: int, south: int) -> None:
         self.origin = _Origin()
         peers = [
-            piece_chains.Peer(region, f'{region}-1', f'10.{place}.0.{number}')
-            for place, (region, count) in enumerate(
+            piece_chains.Peer(
+                region, f'{region}-1', f'10.{region_index}.0.{number}'
+            )
+            for region_index, (region, count) in enumerate(
                 (('north', north), ('south', south)),
             )
             for number in range(count)
@@ -188,289 +203,309 @@
         self.agents = [_Agent(self, peer) for peer in peers]
         self._links: dict[tuple[str, str], _Link] = {}
 
-    def link(self, asker: _Agent, ip: str) -> _Link:
-        """Return an agent's way to another."""
-        (asked,) = [one for one in self.agents if one.peer.ip == ip]
-        key = asker.peer.ip, ip
-        return self._links.setdefault(key, _Link(asker, asked))
+    def link(self, client: _Agent, ip: str) -> _Link:
+        """Return the link from an agent to another."""
+        (server,) = [agent for agent in self.agents if agent.peer.ip == ip]
+        key = client.peer.ip, ip
+        return self._links.setdefault(key, _Link(client, server))
 
     def start(self) -> list[asyncio.Task[None]]:
-        """Have all agents get the pieces."""
+        """Start fetching at all agents."""
         return [
-            asyncio.create_task(fetching.Fetcher(one.held, one).run())
-            for one in self.agents
+            asyncio.create_task(
+                fetching.Fetcher(agent.version_pieces, agent).run()
+            )
+            for agent in self.agents
         ]
 
-    def hold(self, number: int) -> _Agent:
-        """Have an agent hold the whole version."""
-        one = self.agents[number]
-        one.peer = one.peer._replace(holds=True)
-        for each, payload in enumerate(PAYLOADS):
-            one.held.add(each, payload)
-        return one
-
-    async def all_have(self, count: int, without: _Agent | None = None) -> None:
+    def make_holder(self, number: int) -> _Agent:
+        """Give an agent the complete version."""
+        agent = self.agents[number]
+        agent.peer = agent.peer._replace(holds=True)
+        for piece_number, payload in enumerate(PAYLOADS):
+            agent.version_pieces.add(piece_number, payload)
+        return agent
+
+    async def wait_until_all_have(
+        self, count: int, excluded: _Agent | None = None
+    ) -> None:
         """Wait until all agents have so many pieces."""
-        rest = [one for one in self.agents if one is not without]
-        while any(len(one.held.numbers) < count for one in rest):
-            await asyncio.sleep(PIECE)
+        agents = [agent for agent in self.agents if agent is not excluded]
+        while any(
+            len(agent.version_pieces.numbers) < count for agent in agents
+        ):
+            await asyncio.sleep(PIECE_SECONDS)
 
 
-def play(
-    world: _World,
-    story: typing.Callable[[], typing.Awaitable[None]],
+def run_scenario(
+    network: _Network,
+    scenario: typing.Callable[[], typing.Awaitable[None]],
 ) -> None:
-    """Play until a story ends."""
+    """Run a scenario while all agents fetch."""
 
-    async def played() -> None:
-        tasks = world.start()
+    async def main() -> None:
+        tasks = network.start()
         try:
             async with asyncio.timeout(30):
-                await story()
+                await scenario()
         finally:
             for task in tasks:
                 task.cancel()
             await asyncio.gather(*tasks, return_exceptions=True)
 
-    asyncio.run(played())
+    asyncio.run(main())
 
 
 class OriginGoneTest(testtools.TestCase):
     """The origin fails when each chain has some of the pieces.
 
-    Nobody served for sixteen seconds: both chains together had nine pieces in
-    ten, and each waited for the next one in its order. Agents that looked
-    elsewhere met at the same two, and asked the origin all together when it
-    was back.
+    The two chains together had nine tenths of the pieces, but each waited for
+    the next one in its order, and no engine served for sixteen seconds. Agents
+    that looked for other sources converged on the same two agents, and all
+    requested pieces from the origin at once when it was back.
     """
 
-    def test_chains_exchange(self) -> None:
-        """All have what the two chains have together; few turn elsewhere."""
-        world = _World(4, 3)
-        world.origin.left = 30
+    def test_chains_exchange_pieces(self) -> None:
+        """All agents get the pieces of both chains from few sources."""
+        network = _Network(4, 3)
+        network.origin.remaining = 30
 
-        async def story() -> None:
-            await world.all_have(30)
+        async def scenario() -> None:
+            await network.wait_until_all_have(30)
 
-        play(world, story)
-        # Each agent has the one after it, and a partner of the other chain.
-        for one in world.agents:
-            self.assertLessEqual(len(one.asked_by), 2, one.peer.ip)
+        run_scenario(network, scenario)
+        # Each agent is a source of the one after it and of a partner in the
+        # other chain.
+        for agent in network.agents:
+            self.assertLessEqual(len(agent.requested_by), 2, agent.peer.ip)
 
     def test_origin_back(self) -> None:
-        """The rest is got from the origin twice, once for each chain."""
-        world = _World(4, 3)
-        world.origin.left = 30
+        """Each chain fetches the other pieces from the origin once."""
+        network = _Network(4, 3)
+        network.origin.remaining = 30
 
-        async def story() -> None:
-            await world.all_have(30)
-            world.origin.sent.clear()
-            world.origin.left = CHUNKS * 10
-            await world.all_have(CHUNKS)
+        async def scenario() -> None:
+            await network.wait_until_all_have(30)
+            network.origin.sent.clear()
+            network.origin.remaining = CHUNKS * 10
+            await network.wait_until_all_have(CHUNKS)
 
-        play(world, story)
-        self.assertLessEqual(len(world.origin.sent), 2 * (CHUNKS - 30))
+        run_scenario(network, scenario)
+        self.assertLessEqual(len(network.origin.sent), 2 * (CHUNKS - 30))
 
 
 class BreakInChainTest(testtools.TestCase):
-    """One agent in the middle brings nothing, or next to nothing.
+    """An agent in the middle of a chain delivers almost nothing.
 
-    With its link narrowed to a tenth all seven behind it had a fifth of the
-    pieces after six seconds: each passed over the one before it, which only
-    waited itself, and all met at the head of the chain.
+    After six seconds behind a link narrowed to a tenth, all seven agents behind
+    it had a fifth of the pieces. Each skipped the agent before it, although
+    that one was only waiting itself, and all converged on the head of the
+    chain.
     """
 
-    def test_frozen(self) -> None:
-        """Only the one next to it asks elsewhere."""
-        world = _World(5, 0)
-        frozen = world.agents[1]
-        frozen.frozen = True
+    def test_suspended_agent(self) -> None:
+        """Only the next agent uses another source."""
+        network = _Network(5, 0)
+        suspended = network.agents[1]
+        suspended.is_suspended = True
 
-        async def story() -> None:
-            await world.all_have(CHUNKS, without=frozen)
+        async def scenario() -> None:
+            await network.wait_until_all_have(CHUNKS, excluded=suspended)
 
-        play(world, story)
+        run_scenario(network, scenario)
         self.assertEqual(
-            {frozen.peer.ip, world.agents[2].peer.ip},
-            world.agents[0].asked_by | {frozen.peer.ip},
+            {suspended.peer.ip, network.agents[2].peer.ip},
+            network.agents[0].requested_by | {suspended.peer.ip},
         )
 
     def test_slow_link(self) -> None:
-        """It is passed over, gets pieces as it can, and accuses nobody."""
-        world = _World(6, 0)
-        slow = world.agents[1]
+        """A slow agent is skipped, and doesn't skip others itself."""
+        network = _Network(6, 0)
+        slow = network.agents[1]
         slow.piece_seconds = 0.3
 
-        async def story() -> None:
-            await world.all_have(CHUNKS, without=slow)
+        async def scenario() -> None:
+            await network.wait_until_all_have(CHUNKS, excluded=slow)
 
-        play(world, story)
-        self.assertIn(slow.peer.ip, world.agents[0].asked_by)
-        self.assertIn(world.agents[2].peer.ip, world.agents[0].asked_by)
+        run_scenario(network, scenario)
+        self.assertIn(slow.peer.ip, network.agents[0].requested_by)
+        self.assertIn(network.agents[2].peer.ip, network.agents[0].requested_by)
 
 
 class TwoHoldersTest(testtools.TestCase):
-    """An added engine gets pieces from two that have the version."""
+    """A newly added engine fetches from two that have the version."""
 
-    def test_one_is_slow(self) -> None:
-        """Half of the pieces were asked of a holder on a narrow link.
+    def test_slow_holder(self) -> None:
+        """A holder on a narrow link sends only few pieces.
 
-        Each took ten times as long as those of the other, and the engine that
-        was added served only when the last of them had come.
+        Half of the pieces were requested from it. Each took ten times as long
+        as those of the other holder, and the new engine served only when the
+        last of them had arrived.
         """
-        world = _World(3, 0)
-        fast, slow = world.hold(0), world.hold(1)
+        network = _Network(3, 0)
+        fast, slow = network.make_holder(0), network.make_holder(1)
         slow.piece_seconds = 0.6
 
-        async def story() -> None:
-            await world.all_have(CHUNKS)
+        async def scenario() -> None:
+            await network.wait_until_all_have(CHUNKS)
 
-        play(world, story)
+        run_scenario(network, scenario)
         self.assertLess(slow.sent, CHUNKS // 4)
         self.assertGreater(fast.sent, CHUNKS // 2)
 
 
 class HolderAppearsTest(testtools.TestCase):
-    """An engine has loaded a version of which others still lack pieces.
+    """An engine loads a version while other agents still lack pieces.
 
-    All agents of the other regions turned to the one beside it for the last
+    All agents of the other regions switched to the agent beside it for the last
     pieces, and its link carried a copy for each of them.
     """
 
-    def test_stripes_go_on(self) -> None:
-        """Nobody asks it who didn't before."""
-        world = _World(3, 4)
-
-        async def story() -> None:
-            own = world.agents[0]
-            meant = {
-                one.peer.ip
-                for one in world.agents
-                if own.peer.ip
-                in piece_chains.plan(one.plan_input(MODEL, 2)).sources
+    def test_sources_unchanged(self) -> None:
+        """Only agents that planned to use it before request pieces."""
+        network = _Network(3, 4)
+
+        async def scenario() -> None:
+            holder = network.agents[0]
+            planned_requesters = {
+                agent.peer.ip
+                for agent in network.agents
+                if holder.peer.ip
+                in piece_chains.plan(agent.plan_input(MODEL, 2)).sources
             }
-            await world.all_have(CHUNKS // 4)
-            world.hold(0)
-            await world.all_have(CHUNKS)
-            self.assertLessEqual(len(meant), 2)
-            self.assertLessEqual(own.asked_by, meant)
+            await network.wait_until_all_have(CHUNKS // 4)
+            network.make_holder(0)
+            await network.wait_until_all_have(CHUNKS)
+            self.assertLessEqual(len(planned_requesters), 2)
+            self.assertLessEqual(holder.requested_by, planned_requesters)
 
-        play(world, story)
+        run_scenario(network, scenario)
 
 
 class CongestedLinkTest(testtools.TestCase):
-    """The link of an agent that gets pieces is narrowed.
+    """The link of an agent that fetches pieces becomes narrow.
 
-    Entries were told so three seconds late, and sent requests there that
-    reached the engine after their callers had left.
+    Entries received the announcement three seconds late, and sent requests
+    there that reached the engine after their callers had left.
     """
 
-    def came(
+    def receive_piece(
         self,
-        held: pieces.Pieces,
+        version_pieces: pieces.Pieces,
         ip: str,
         seconds: float,
         *,
         is_source_slow: bool = False,
     ) -> bool:
-        """Have a piece come; tell whether the link counts as congested."""
-
-        async def played() -> None:
-            world = _World(2, 0)
-            own = world.agents[0]
-            link = world.link(own, world.agents[1].peer.ip)
-            fetch = fetching.Fetcher(held, own)
-            fetch._record_piece(
+        """Receive a piece; return whether the link counts as congested."""
+
+        async def main() -> None:
+            network = _Network(2, 0)
+            agent = network.agents[0]
+            link = network.link(agent, network.agents[1].peer.ip)
+            fetcher = fetching.Fetcher(version_pieces, agent)
+            fetcher._record_piece(
                 suppliers.Supplier(ip, link),
                 weights.Piece(b'', 0, seconds, is_source_slow),
             )
 
-        asyncio.run(played())
-        return held.is_congested
+        asyncio.run(main())
+        return version_pieces.is_congested
 
     def test_first_slow_piece(self) -> None:
-        """It is known by one piece of a source that has no more pieces."""
-        held = pieces.Pieces(MANIFEST)
-        self.assertFalse(self.came(held, '10.0.0.1', 0.07))
-        self.assertTrue(self.came(held, '10.0.0.1', 0.5))
-
-    def test_taken_back_by_fast_piece(self) -> None:
-        """Pieces of the origin that come at a third of the pace don't end it."""
-        held = pieces.Pieces(MANIFEST)
-        self.came(held, '10.0.0.1', 0.5)
-        self.assertTrue(self.came(held, piece_chains.ORIGIN, 0.3))
-        self.assertFalse(self.came(held, piece_chains.ORIGIN, 0.07))
+        """One slow piece is enough, though its source has no more pieces."""
+        version_pieces = pieces.Pieces(MANIFEST)
+        self.assertFalse(self.receive_piece(version_pieces, '10.0.0.1', 0.07))
+        self.assertTrue(self.receive_piece(version_pieces, '10.0.0.1', 0.5))
+
+    def test_ended_by_fast_piece(self) -> None:
+        """Pieces at a third of the rate don't end the congestion."""
+        version_pieces = pieces.Pieces(MANIFEST)
+        self.receive_piece(version_pieces, '10.0.0.1', 0.5)
+        self.assertTrue(
+            self.receive_piece(version_pieces, piece_chains.ORIGIN, 0.3)
+        )
+        self.assertFalse(
+            self.receive_piece(version_pieces, piece_chains.ORIGIN, 0.07)
+        )
 
     def test_slow_sources(self) -> None:
-        """A slow origin, or a source that says it's slow, says nothing."""
-        held = pieces.Pieces(MANIFEST)
-        self.assertFalse(self.came(held, piece_chains.ORIGIN, 0.9))
-        self.assertFalse(self.came(held, '10.0.0.1', 0.9, is_source_slow=True))
+        """A slow origin or a source that reports to be slow doesn't count."""
+        version_pieces = pieces.Pieces(MANIFEST)
+        self.assertFalse(
+            self.receive_piece(version_pieces, piece_chains.ORIGIN, 0.9)
+        )
+        self.assertFalse(
+            self.receive_piece(
+                version_pieces, '10.0.0.1', 0.9, is_source_slow=True
+            )
+        )
 
 
-class UnaskedSourceTest(testtools.TestCase):
-    """A source has sent all that it was asked for.
+class IdleSourceTest(testtools.TestCase):
+    """A source has sent all requested pieces.
 
-    It said nothing more, since nobody asked, was taken for silent and far
-    behind, and those behind it turned to others.
+    It sent nothing more because nothing was requested, was considered silent
+    and far behind, and the agents behind it switched to other sources.
     """
 
-    def test_not_passed_over(self) -> None:
-        """It is judged only while something is asked of it."""
+    def test_not_skipped(self) -> None:
+        """A source is skipped only while a request to it is open."""
 
-        async def story() -> None:
-            world = _World(2, 0)
-            link = world.link(world.agents[0], world.agents[1].peer.ip)
-            one = suppliers.Supplier('10.0.0.1', link)
-            one.record_request(0)
-            one.in_flight[3] = asyncio.create_task(asyncio.sleep(0))
-            one.record_response(1, is_source_slow=False, piece_count=2)
-            self.assertEqual('behind', one.skip_reason(1, CHUNKS, 1))
-            self.assertEqual('silent', one.skip_reason(3, 0, 1))
-            one.finish_request(3)
-            self.assertEqual('', one.skip_reason(3, CHUNKS, 1))
+        async def scenario() -> None:
+            network = _Network(2, 0)
+            link = network.link(network.agents[0], network.agents[1].peer.ip)
+            supplier = suppliers.Supplier('10.0.0.1', link)
+            supplier.record_request(0)
+            supplier.in_flight[3] = asyncio.create_task(asyncio.sleep(0))
+            supplier.record_response(1, is_source_slow=False, piece_count=2)
+            self.assertEqual('behind', supplier.skip_reason(1, CHUNKS, 1))
+            self.assertEqual('silent', supplier.skip_reason(3, 0, 1))
+            supplier.finish_request(3)
+            self.assertEqual('', supplier.skip_reason(3, CHUNKS, 1))
 
-        asyncio.run(story())
+        asyncio.run(scenario())
 
 
 class SlowHeadTest(testtools.TestCase):
-    """The link of an agent that reads a stripe from the origin is narrowed.
+    """The link of an agent that reads a stripe from the origin is narrow.
 
-    It brought a piece each half second, all others waited for its stripe, and
-    the first engine had the version 7.3 s after its naming. An origin that is
-    slow looks the same to it; what others bring tells the two apart.
+    It delivered a piece every half second, all other agents waited for its
+    stripe, and the first engine had the version 7.3 s after it was named. To
+    this agent a slow origin looks the same; pieces from other sources tell the
+    two apart.
     """
 
     def test_taken_over(self) -> None:
-        """Another reads its stripe from the origin."""
-        world = _World(3, 3)
-        slow = world.agents[0]
+        """Another agent reads the stripe from the origin."""
+        network = _Network(3, 3)
+        slow = network.agents[0]
         slow.piece_seconds = 0.4
 
-        async def story() -> None:
-            await world.all_have(CHUNKS, without=slow)
+        async def scenario() -> None:
+            await network.wait_until_all_have(CHUNKS, excluded=slow)
 
-        play(world, story)
-        read = world.origin.askers.count(slow.peer.ip)
-        self.assertLess(read, CHUNKS // 4)
-        self.assertLess(len(world.origin.askers), CHUNKS * 3 // 2)
+        run_scenario(network, scenario)
+        read_count = network.origin.requesters.count(slow.peer.ip)
+        self.assertLess(read_count, CHUNKS // 4)
+        self.assertLess(len(network.origin.requesters), CHUNKS * 3 // 2)
 
-    def test_known_by_its_pieces(self) -> None:
-        """Its word that it is slow waits behind its own pieces.
+    def test_detected_by_transfer_time(self) -> None:
+        """Agents detect a slow source by its transfer times.
 
-        Those that get pieces from it see how long they take, against those of
-        others.
+        The source's own report that it is slow waits behind its pieces. The
+        transfer times are compared with those of other sources.
         """
 
-        async def story() -> None:
-            world = _World(2, 0)
-            link = world.link(world.agents[0], world.agents[1].peer.ip)
-            one = suppliers.Supplier('10.0.0.1', link)
-            one.in_flight[3] = asyncio.create_task(asyncio.sleep(0))
+        async def scenario() -> None:
+            network = _Network(2, 0)
+            link = network.link(network.agents[0], network.agents[1].peer.ip)
+            supplier = suppliers.Supplier('10.0.0.1', link)
+            supplier.in_flight[3] = asyncio.create_task(asyncio.sleep(0))
             for _ in range(4):
-                one.record_piece(0.5, 0)
-            self.assertTrue(one.is_slower_than(0.07))
-            # All are slow: the link here is, or the origin.
-            self.assertFalse(one.is_slower_than(0.4))
+                supplier.record_piece(0.5, 0)
+            self.assertTrue(supplier.is_slower_than(0.07))
+            # If all sources are slow, the local link or the origin is.
+            self.assertFalse(supplier.is_slower_than(0.4))
 
-        asyncio.run(story())
+        asyncio.run(scenario())
--- a/tests/direct/test_loading.py
+++ b/tests/direct/test_loading.py
@@ -13,7 +13,7 @@
 
 CHUNKS = 24
 MODEL = 'm'
-STEP = 0.001
+STEP_SECONDS = 0.001
 
 
 def payload(version: int, number: int) -> bytes:
@@ -22,57 +22,59 @@
 
 
 class Engine:
-    """An engine whose staged pieces are a dictionary."""
+    """Engine that keeps its staged pieces in memory."""
 
     def __init__(self) -> None:
-        self.lying: dict[int, bytes] = {}
-        #: Seconds until a piece that was sent lies there, whether or not its
-        #: sender still waits.
-        self.seconds = STEP
-        #: Pieces that are on their way there.
-        self.coming = 0
-        #: What lay staged at each order.
+        self.staged_pieces: dict[int, bytes] = {}
+        #: Seconds until a sent piece is staged, even if the sender no longer
+        #: waits.
+        self.stage_seconds = STEP_SECONDS
+        #: How many pieces are being staged.
+        self.pending_count = 0
+        #: The version and the staged pieces of each order.
         self.orders: list[tuple[int, dict[int, bytes]]] = []
         self.started = 1
-        #: The number of the piece that is read when it loses its power and
-        #: starts again, without what lay staged.
-        self.restarts_at: int | None = None
+        #: The number of the piece at whose read-back the engine loses power and
+        #: restarts without its staged pieces.
+        self.restart_at_piece: int | None = None
 
     async def report(self) -> weights.EngineReport:
-        """Return its state."""
-        held = endpoints.Weights(1, 0, 4)
-        begun = len(self.orders)
-        return weights.EngineReport(held, False, begun, 0, 0, self.started)
+        """Return the engine's state."""
+        loaded = endpoints.Weights(1, 0, 4)
+        order_count = len(self.orders)
+        return weights.EngineReport(
+            loaded, False, order_count, 0, 0, self.started
+        )
 
     async def staged_numbers(self, model: str) -> frozenset[int]:
-        """Return what lies staged."""
-        return frozenset(self.lying)
+        """Return the numbers of the staged pieces."""
+        return frozenset(self.staged_pieces)
 
     async def stage(self, model: str, number: int, piece: bytes) -> None:
-        """Stage a piece."""
+        """Stage a piece after a delay."""
         loop = asyncio.get_running_loop()
         staged = loop.create_future()
 
-        self.coming += 1
+        self.pending_count += 1
 
-        def take() -> None:
-            self.coming -= 1
-            self.lying[number] = piece
+        def finish() -> None:
+            self.pending_count -= 1
+            self.staged_pieces[number] = piece
             if not staged.done():
                 staged.set_result(None)
 
-        loop.call_later(self.seconds, take)
+        loop.call_later(self.stage_seconds, finish)
         await staged
 
     async def staged_piece(self, model: str, number: int) -> bytes | None:
         """Return a staged piece."""
-        await asyncio.sleep(STEP)
-        found = self.lying.get(number)
-        if number == self.restarts_at:
-            self.restarts_at = None
+        await asyncio.sleep(STEP_SECONDS)
+        piece = self.staged_pieces.get(number)
+        if number == self.restart_at_piece:
+            self.restart_at_piece = None
             self.started += 1
-            self.lying.clear()
-        return found
+            self.staged_pieces.clear()
+        return piece
 
     async def load(
         self,
@@ -80,22 +82,22 @@
         version: int,
         report: weights.EngineReport,
     ) -> weights.OrderResult:
-        """Take an order."""
-        await asyncio.sleep(STEP)
-        self.orders.append((version, dict(self.lying)))
+        """Record and accept an order."""
+        await asyncio.sleep(STEP_SECONDS)
+        self.orders.append((version, dict(self.staged_pieces)))
         return weights.OrderResult.ACCEPTED
 
 
 class Origin:
-    """Hands out all versions, but no piece from some number on."""
+    """Origin with all versions, but without pieces from a number on."""
 
     last_received_at: float = 0
 
     def __init__(self, end: int = CHUNKS) -> None:
         self.end = end
-        self.asked: list[int] = []
-        #: Seconds that a piece takes.
-        self.seconds = STEP
+        self.requested_numbers: list[int] = []
+        #: Transfer time of a piece.
+        self.piece_seconds = STEP_SECONDS
         self.has_manifests = True
 
     async def manifest(
@@ -112,8 +114,8 @@
         )
         return weights.Manifest(model, version, tuple(digests))
 
-    async def available_pieces(self, *asked: object) -> weights.Availability:
-        """Return nothing."""
+    async def available_pieces(self, *query: object) -> weights.Availability:
+        """Return an empty availability."""
         return weights.Availability()
 
     async def piece(
@@ -122,182 +124,185 @@
         version: int,
         number: int,
     ) -> weights.Piece:
-        """Return a piece, or wait for ever."""
+        """Return a piece, or never return if there is none."""
         if number >= self.end:
             await asyncio.Event().wait()
-        self.asked.append(number)
-        await asyncio.sleep(self.seconds)
+        self.requested_numbers.append(number)
+        await asyncio.sleep(self.piece_seconds)
         return weights.Piece(payload(version, number))
 
 
-class _View:
-    """A machine alone with the origin."""
+class _Context:
+    """Context of an agent without other agents."""
 
     def __init__(self, origin: Origin) -> None:
         self._origin = origin
         self.version = 2
 
     def plan_input(self, model: str, version: int) -> piece_chains.Question:
-        """Return that there is nobody else."""
-        own = piece_chains.Peer('north', 'north-1', '10.0.0.1')
-        return piece_chains.Question(own, [], 'north')
+        """Return an input without peers."""
+        local_peer = piece_chains.Peer('north', 'north-1', '10.0.0.1')
+        return piece_chains.Question(local_peer, [], 'north')
 
     def source(self, ip: str) -> typing.Any:
         """Return the origin."""
         return self._origin if ip == piece_chains.ORIGIN else None
 
     def version_to_fetch(self) -> tuple[str, int]:
-        """Return the version that is got now."""
+        """Return the version that is fetched now."""
         return MODEL, self.version
 
 
-def run(story: typing.Awaitable[None]) -> None:
-    """Run a story to its end."""
+def run_scenario(scenario: typing.Awaitable[None]) -> None:
+    """Run a scenario to its end."""
 
-    async def played() -> None:
+    async def main() -> None:
         async with asyncio.timeout(20):
-            await story
+            await scenario
 
-    asyncio.run(played())
+    asyncio.run(main())
 
 
 class LoadingTest(testtools.TestCase):
-    """What an engine loads is one version, whole."""
+    """An engine loads only complete versions."""
 
-    def test_next_version_meanwhile(self) -> None:
-        """Pieces of version 3 came while version 2 was being loaded.
+    def test_next_version_fetched_while_loading(self) -> None:
+        """Pieces of version 3 arrive while version 2 is being loaded.
 
-        Each is staged as it comes, in place of the one of version 2 with the
-        same number. Between the last look at version 2 and the order, one of
-        them would have been loaded with the rest of version 2.
+        Each is staged in place of the piece of version 2 with the same number.
+        If that happened between the read-back of version 2 and the order, the
+        engine would load a mixture of both.
         """
         engine = Engine()
         origin = Origin()
-        view = _View(origin)
-        own = loading.Loader(engine, view)
-
-        async def story() -> None:
-            await own.fetch(MODEL, 2)
-            view.version = 3
-            origin.seconds = 20 * STEP
-            fetching = asyncio.create_task(own.fetch(MODEL, 3))
-            await asyncio.sleep(STEP)
-            await own.load(MODEL, 2)
-            self.assertFalse(fetching.done())
-            await fetching
-            await own.load(MODEL, 3)
-
-        run(story())
+        context = _Context(origin)
+        loader = loading.Loader(engine, context)
+
+        async def scenario() -> None:
+            await loader.fetch(MODEL, 2)
+            context.version = 3
+            origin.piece_seconds = 20 * STEP_SECONDS
+            fetch_task = asyncio.create_task(loader.fetch(MODEL, 3))
+            await asyncio.sleep(STEP_SECONDS)
+            await loader.load(MODEL, 2)
+            self.assertFalse(fetch_task.done())
+            await fetch_task
+            await loader.load(MODEL, 3)
+
+        run_scenario(scenario())
         self.assertEqual([2, 3], [version for version, _ in engine.orders])
-        for version, lying in engine.orders:
+        for version, staged_pieces in engine.orders:
             for number in range(CHUNKS):
-                self.assertEqual(payload(version, number), lying[number])
+                self.assertEqual(
+                    payload(version, number), staged_pieces[number]
+                )
 
-    def test_prepared(self) -> None:
-        """Version 3 was named while version 2 came, and the origin went.
+    def test_manifest_prepared(self) -> None:
+        """The origin fails after version 3 is named and before 2 is complete.
 
-        Its manifest was asked for only after version 2 was whole, when nobody
-        had it any more.
+        The manifest of version 3 was requested only after version 2 was
+        complete, when no source had it any more.
         """
         origin = Origin()
-        view = _View(origin)
-        own = loading.Loader(Engine(), view)
+        context = _Context(origin)
+        loader = loading.Loader(Engine(), context)
 
-        async def story() -> None:
-            fetching = asyncio.create_task(own.fetch(MODEL, 2))
-            await own.prepare(MODEL, 3)
+        async def scenario() -> None:
+            fetch_task = asyncio.create_task(loader.fetch(MODEL, 2))
+            await loader.prepare(MODEL, 3)
             origin.has_manifests = False
-            await fetching
-            view.version = 3
-            await own.fetch(MODEL, 3)
+            await fetch_task
+            context.version = 3
+            await loader.fetch(MODEL, 3)
 
-        run(story())
-        self.assertEqual(3, own.newest_complete(MODEL))
+        run_scenario(scenario())
+        self.assertEqual(3, loader.newest_complete(MODEL))
 
-    def test_prepared_meanwhile(self) -> None:
-        """Pieces that have come stay, whoever asked for the manifest too."""
-        own = loading.Loader(Engine(), _View(Origin()))
+    def test_prepared_during_fetch(self) -> None:
+        """Pieces are kept when another task prepares the same version."""
+        loader = loading.Loader(Engine(), _Context(Origin()))
 
-        async def story() -> None:
+        async def scenario() -> None:
             await asyncio.gather(
-                own.fetch(MODEL, 2),
-                own.prepare(MODEL, 2),
+                loader.fetch(MODEL, 2),
+                loader.prepare(MODEL, 2),
             )
 
-        run(story())
-        self.assertEqual(2, own.newest_complete(MODEL))
+        run_scenario(scenario())
+        self.assertEqual(2, loader.newest_complete(MODEL))
 
-    def test_staging_given_up(self) -> None:
-        """Getting version 3 ended while one of its pieces was being staged.
+    def test_fetch_cancelled_while_staging(self) -> None:
+        """Fetching version 3 ends while one of its pieces is being staged.
 
         The engine took that piece a moment later, when version 2 had been read
-        back there and the order to load it was on its way.
+        back and the order to load it was in flight.
         """
         engine = Engine()
         origin = Origin()
-        view = _View(origin)
-        own = loading.Loader(engine, view)
-
-        async def story() -> None:
-            await own.fetch(MODEL, 2)
-            await own.load(MODEL, 2)
-            engine.seconds = CHUNKS * STEP / 2
-            view.version = 3
-            origin.seconds = 20 * STEP
-            fetching = asyncio.create_task(own.fetch(MODEL, 3))
-            while not engine.coming:
+        context = _Context(origin)
+        loader = loading.Loader(engine, context)
+
+        async def scenario() -> None:
+            await loader.fetch(MODEL, 2)
+            await loader.load(MODEL, 2)
+            engine.stage_seconds = CHUNKS * STEP_SECONDS / 2
+            context.version = 3
+            origin.piece_seconds = 20 * STEP_SECONDS
+            fetch_task = asyncio.create_task(loader.fetch(MODEL, 3))
+            while not engine.pending_count:
                 await asyncio.sleep(0)
-            fetching.cancel()
-            await asyncio.gather(fetching, return_exceptions=True)
-            await own.load(MODEL, 2)
+            fetch_task.cancel()
+            await asyncio.gather(fetch_task, return_exceptions=True)
+            await loader.load(MODEL, 2)
 
-        run(story())
-        version, lying = engine.orders[-1]
+        run_scenario(scenario())
+        version, staged_pieces = engine.orders[-1]
         self.assertEqual(2, version)
         for number in range(CHUNKS):
-            self.assertEqual(payload(2, number), lying[number])
+            self.assertEqual(payload(2, number), staged_pieces[number])
 
-    def test_engine_restarted_meanwhile(self) -> None:
-        """An engine lost power after its pieces had been read back.
+    def test_engine_restarted_before_order(self) -> None:
+        """An engine loses power after its pieces have been read back.
 
-        Its new start had begun as many orders as the one before, none, and
-        took the order, with nothing staged.
+        Both its starts had begun the same number of orders, none, so that it
+        accepted the order with nothing staged.
         """
         engine = Engine()
-        own = loading.Loader(engine, _View(Origin()))
+        loader = loading.Loader(engine, _Context(Origin()))
 
-        async def story() -> None:
-            await own.fetch(MODEL, 2)
-            engine.restarts_at = CHUNKS - 1
-            self.assertFalse(await own.load(MODEL, 2))
+        async def scenario() -> None:
+            await loader.fetch(MODEL, 2)
+            engine.restart_at_piece = CHUNKS - 1
+            self.assertFalse(await loader.load(MODEL, 2))
             self.assertEqual([], engine.orders)
-            self.assertTrue(await own.load(MODEL, 2))
+            self.assertTrue(await loader.load(MODEL, 2))
 
-        run(story())
-        ((_, lying),) = engine.orders
-        self.assertEqual(CHUNKS, len(lying))
+        run_scenario(scenario())
+        ((_, staged_pieces),) = engine.orders
+        self.assertEqual(CHUNKS, len(staged_pieces))
 
-    def test_killed_agent(self) -> None:
-        """An agent was killed when it had most of the pieces.
+    def test_agent_restarted(self) -> None:
+        """An agent that is killed while fetching continues after a restart.
 
-        It began anew, and its engine, which nobody might use any more, served
-        nothing for six seconds. What had come lies staged at the engine.
+        It started over although its pieces were still staged at the engine,
+        which served nothing for six seconds because its old weights could no
+        longer be used.
         """
         engine = Engine()
         first = Origin(end=CHUNKS // 2)
 
-        async def story() -> None:
-            killed = asyncio.create_task(
-                loading.Loader(engine, _View(first)).fetch(MODEL, 2),
+        async def scenario() -> None:
+            killed_fetch = asyncio.create_task(
+                loading.Loader(engine, _Context(first)).fetch(MODEL, 2),
             )
-            while len(engine.lying) < CHUNKS // 2:
-                await asyncio.sleep(STEP)
-            killed.cancel()
+            while len(engine.staged_pieces) < CHUNKS // 2:
+                await asyncio.sleep(STEP_SECONDS)
+            killed_fetch.cancel()
             second = Origin()
-            await loading.Loader(engine, _View(second)).fetch(MODEL, 2)
+            await loading.Loader(engine, _Context(second)).fetch(MODEL, 2)
             self.assertEqual(
                 list(range(CHUNKS // 2, CHUNKS)),
-                sorted(second.asked),
+                sorted(second.requested_numbers),
             )
 
-        run(story())
+        run_scenario(scenario())
--- a/tests/direct/test_piece_server.py
+++ b/tests/direct/test_piece_server.py
@@ -1,4 +1,4 @@
-"""Tests of handing pieces to other agents."""
+"""Tests of serving pieces to other agents."""
 
 from __future__ import annotations
 
@@ -17,44 +17,46 @@
 )
 from clementinepass.http import front
 
-#: Megabits a second; fast, so that the test is.
-LINK = 1000.0
+#: Rate of the link in megabits a second; high to keep the test short.
+LINK_MBPS = 1000.0
 PIECE = bytes(range(256)) * 96
 
 
 class _Reply:
-    """Keeps what is written, by all replies in order."""
+    """Reply that records its writes in a list shared by all replies."""
 
-    def __init__(self, log: list[tuple[str, bytes]], name: str) -> None:
-        self._log = log
+    def __init__(self, writes: list[tuple[str, bytes]], name: str) -> None:
+        self._writes = writes
         self._name = name
-        self.done = False
+        self.is_ended = False
 
     def begin(self, status: int, pairs: list[typing.Any]) -> None:
-        """Send the head."""
+        """Ignore the head."""
 
     def write(self, payload: bytes) -> None:
-        """Send a part."""
-        self._log.append((self._name, payload))
+        """Record a part."""
+        self._writes.append((self._name, payload))
 
     def end(self) -> None:
-        """Send the mark of the end."""
-        self.done = True
+        """Record the end."""
+        self.is_ended = True
 
 
 class UplinkTest(testtools.TestCase):
-    """Pieces leave room for the events of the engine beside."""
+    """Pieces leave capacity on the link for the engine's events."""
 
     def setUp(self) -> None:
         super().setUp()
-        self.log: list[tuple[str, bytes]] = []
-        self.replies = [_Reply(self.log, name) for name in ('first', 'second')]
+        self.writes: list[tuple[str, bytes]] = []
+        self.replies = [
+            _Reply(self.writes, name) for name in ('first', 'second')
+        ]
 
     def send(self) -> None:
         """Send a piece to two agents at once."""
 
-        async def played() -> None:
-            link = uplink.Uplink(LINK, lambda: 16)
+        async def main() -> None:
+            link = uplink.Uplink(LINK_MBPS, lambda: 16)
             await asyncio.gather(
                 *(
                     link.send(typing.cast('typing.Any', reply), PIECE, [])
@@ -62,44 +64,44 @@
                 ),
             )
 
-        asyncio.run(played())
+        asyncio.run(main())
 
     def test_in_parts(self) -> None:
-        """Events of a stream came late behind whole pieces on the link.
+        """Pieces are sent in parts of at most a quarter.
 
-        A piece takes 54 ms there; with two before it an event was late. No
-        part is longer than a quarter of a piece, and together they are whole.
+        An event that queues behind whole pieces is late: a piece takes 54 ms on
+        the link, and two of them made an event late.
         """
         self.send()
         for reply, name in zip(self.replies, ('first', 'second'), strict=True):
-            parts = [part for who, part in self.log if who == name]
+            parts = [part for sender, part in self.writes if sender == name]
             self.assertEqual(PIECE, b''.join(parts))
             self.assertLessEqual(max(map(len, parts)), len(PIECE) // 4)
-            self.assertTrue(reply.done)
+            self.assertTrue(reply.is_ended)
 
     def test_one_at_a_time(self) -> None:
-        """Two that ask at once get their pieces one after the other."""
+        """Pieces that are requested at the same time are sent in turn."""
         self.send()
-        names = [who for who, _ in self.log]
+        names = [sender for sender, _ in self.writes]
         self.assertEqual(sorted(names), names)
 
 
-class _Holder:
-    """An agent whose engine serves version 1, with one piece in memory."""
+class _Provider:
+    """Provider whose engine serves version 1, with one piece in memory."""
 
     def __init__(self) -> None:
         digests = tuple(
             hashlib.sha256(b'%d' % number).hexdigest() for number in range(9)
         )
-        self.held = pieces.Pieces(weights.Manifest('m', 1, digests))
-        self.held.add(3, b'3')
+        self.version_pieces = pieces.Pieces(weights.Manifest('m', 1, digests))
+        self.version_pieces.add(3, b'3')
 
     def pieces_of(self, model: str, version: int) -> pieces.Pieces:
-        """Return what is in memory."""
-        return self.held
+        """Return the pieces in memory."""
+        return self.version_pieces
 
     def has_loaded(self, version: int) -> bool:
-        """Tell whether the engine serves a version."""
+        """Return whether the engine serves a version."""
         return version == 1
 
     async def staged_piece(
@@ -108,52 +110,53 @@
         version: int,
         number: int,
     ) -> bytes:
-        """Return what lies staged."""
+        """Return a staged piece."""
         return b'%d' % number
 
 
-class HandoutTest(testtools.TestCase):
-    """An agent says what others can get of it."""
+class PieceServerTest(testtools.TestCase):
+    """An agent reports the pieces that others can fetch from it."""
 
     def test_loaded_but_not_in_memory(self) -> None:
-        """An engine was added, and was ready after eleven seconds.
+        """All pieces of a loaded version are available.
 
-        Both agents of its region had the version loaded, and a few pieces of
-        it in memory. They said that they had those few, so that the new agent
-        passed them over and got pieces over the border.
+        Both agents of a region had loaded the version but had few of its pieces
+        in memory. They reported only those, so that the agent of a newly added
+        engine skipped them and fetched from another region. The engine was
+        ready after eleven seconds.
         """
 
-        async def played() -> weights.Availability:
-            link = uplink.Uplink(LINK, lambda: 0)
-            handout = piece_server.PieceServer(_Holder(), link)
-            listener = front.Front(handout.serve)
+        async def main() -> weights.Availability:
+            link = uplink.Uplink(LINK_MBPS, lambda: 0)
+            server = piece_server.PieceServer(_Provider(), link)
+            listener = front.Front(server.serve)
             port = await listener.listen('127.0.0.1', 0)
             source = peer_source.PeerSource('127.0.0.1', port)
             piece = await source.piece('m', 1, 5)
             self.assertEqual(
                 (b'5', 9), (piece.payload, piece.source_piece_count)
             )
-            holding = await source.available_pieces('m', 1, 0)
+            availability = await source.available_pieces('m', 1, 0)
             await listener.close()
-            return holding
+            return availability
 
-        self.assertEqual(frozenset(range(9)), asyncio.run(played()).numbers)
+        self.assertEqual(frozenset(range(9)), asyncio.run(main()).numbers)
 
     def test_staged_not_read_yet(self) -> None:
-        """After a loss of power an engine was ready three seconds late.
+        """No count is reported while staged pieces are being read.
 
-        Its agent's source in the chain had started a moment later and hadn't
-        read yet what lay staged at its engine. It said that it had no pieces,
-        was passed over as far behind, and both got theirs from the same
-        agent at half the rate.
+        After a loss of power, an agent's source in the chain started a moment
+        later and had not read its staged pieces yet. It reported that it had
+        none and was skipped as far behind. Both then fetched from the same
+        agent at half the rate, and an engine was ready three seconds late.
         """
 
-        async def played() -> int | None:
-            holder = _Holder()
-            holder.held.is_reading_staged = True
-            link = uplink.Uplink(LINK, lambda: 0)
-            handout = piece_server.PieceServer(holder, link)
-            listener = front.Front(handout.serve)
+        async def main() -> int | None:
+            provider = _Provider()
+            provider.version_pieces.is_reading_staged = True
+            link = uplink.Uplink(LINK_MBPS, lambda: 0)
+            server = piece_server.PieceServer(provider, link)
+            listener = front.Front(server.serve)
             port = await listener.listen('127.0.0.1', 0)
             source = peer_source.PeerSource('127.0.0.1', port)
             piece = await source.piece('m', 2, 3)
@@ -161,4 +164,4 @@
             self.assertEqual(b'3', piece.payload)
             return piece.source_piece_count
 
-        self.assertIsNone(asyncio.run(played()))
+        self.assertIsNone(asyncio.run(main()))
--- a/tests/direct/test_suppliers.py
+++ b/tests/direct/test_suppliers.py
@@ -1,4 +1,4 @@
-"""Tests of what an agent knows of its sources."""
+"""Tests of skipping sources."""
 
 from __future__ import annotations
 
@@ -10,37 +10,37 @@
 IP = '10.0.0.1'
 
 
-class PassedOverTest(testtools.TestCase):
-    """For how long a source isn't asked."""
+class SkipTest(testtools.TestCase):
+    """How long a source is skipped."""
 
     def setUp(self) -> None:
         super().setUp()
         source = test_loading.Origin()
-        self.known = suppliers.Suppliers(lambda ip: source)
-
-    def passed_over_for(self, now: float, failures: int) -> float:
-        """Return for how long, after so many failures in a row."""
-        (one,) = self.known.usable([IP], now)
-        one.record_request(now)
-        one.failures = failures
-        one.is_slow = not failures
-        self.known.skip_faulty(now, 0)
-        self.assertEqual([], self.known.usable([IP], now))
-        return one.skipped_until - now
-
-    def test_killed_and_back(self) -> None:
-        """Agents were killed and back within a second.
-
-        Each was passed over for eight, and shared its source meanwhile with
-        the agent after it.
+        self.suppliers = suppliers.Suppliers(lambda ip: source)
+
+    def skip_seconds(self, now: float, failures: int) -> float:
+        """Return how long a source is skipped after consecutive failures."""
+        (supplier,) = self.suppliers.usable([IP], now)
+        supplier.record_request(now)
+        supplier.failures = failures
+        supplier.is_slow = not failures
+        self.suppliers.skip_faulty(now, 0)
+        self.assertEqual([], self.suppliers.usable([IP], now))
+        return supplier.skipped_until - now
+
+    def test_refused_once(self) -> None:
+        """A restarting agent is skipped only for a second.
+
+        Agents that were killed and back within a second were skipped for eight,
+        and shared their source meanwhile with the agent after them.
         """
-        self.assertEqual(1, self.passed_over_for(0, 3))
+        self.assertEqual(1, self.skip_seconds(0, 3))
 
-    def test_gone_for_good(self) -> None:
-        """One that refuses each time is asked ever more seldom."""
-        waits = [self.passed_over_for(now, 3) for now in (0, 10, 20, 30, 40)]
-        self.assertEqual([1, 2, 4, 8, 8], waits)
+    def test_refused_repeatedly(self) -> None:
+        """The time doubles each time that a source refuses connections."""
+        skip_times = [self.skip_seconds(now, 3) for now in (0, 10, 20, 30, 40)]
+        self.assertEqual([1, 2, 4, 8, 8], skip_times)
 
-    def test_slow(self) -> None:
-        """One that answers, but slowly, is passed over for long at once."""
-        self.assertEqual(8, self.passed_over_for(0, 0))
+    def test_slow_source(self) -> None:
+        """A source that responds slowly is skipped for the longest time."""
+        self.assertEqual(8, self.skip_seconds(0, 0))
