--- a/tests/direct/test_fetching.py
+++ b/tests/direct/test_fetching.py
@@ -230,9 +230,12 @@
         self, count: int, excluded: _Agent | None = None
     ) -> None:
         """Wait until all agents have so many pieces."""
-        agents = [agent for agent in self.agents if agent is not excluded]
+        waiting_agents = [
+            agent for agent in self.agents if agent is not excluded
+        ]
         while any(
-            len(agent.version_pieces.numbers) < count for agent in agents
+            len(agent.version_pieces.numbers) < count
+            for agent in waiting_agents
         ):
             await asyncio.sleep(PIECE_SECONDS)
 
--- a/tests/direct/test_suppliers.py
+++ b/tests/direct/test_suppliers.py
@@ -16,16 +16,16 @@
     def setUp(self) -> None:
         super().setUp()
         source = test_loading.Origin()
-        self.suppliers = suppliers.Suppliers(lambda ip: source)
+        self.tracked_sources = suppliers.Suppliers(lambda ip: source)
 
     def skip_seconds(self, now: float, failures: int) -> float:
         """Return how long a source is skipped after consecutive failures."""
-        (supplier,) = self.suppliers.usable([IP], now)
+        (supplier,) = self.tracked_sources.usable([IP], now)
         supplier.record_request(now)
         supplier.failures = failures
         supplier.is_slow = not failures
-        self.suppliers.skip_faulty(now, 0)
-        self.assertEqual([], self.suppliers.usable([IP], now))
+        self.tracked_sources.skip_faulty(now, 0)
+        self.assertEqual([], self.tracked_sources.usable([IP], now))
         return supplier.skipped_until - now
 
     def test_refused_once(self) -> None:
