--- a/benchmarks/decisions/cost.py
+++ b/benchmarks/decisions/cost.py
@@ -14,7 +14,7 @@
 from clementinepass.decisions import (
     admission,
     ejection,
-    placing,
+    selection,
     shares,
     tickets,
 )
@@ -44,7 +44,7 @@
         self._teams = teams
         self._running: list[tickets.Ticket] = []
         capacity = 64
-        limits = admission.Limits(least_waiting=waiting // teams + 2)
+        limits = admission.Limits(min_waiting=waiting // teams + 2)
         self._controller = admission.Controller.from_promises(
             {f't{index}': capacity / teams for index in range(teams)},
             capacity=capacity,
@@ -64,19 +64,19 @@
         )
         self._follow([self._controller.offer(ticket, 0)])
         if ends:
-            self._controller.finished(self._running.pop(), 1)
-            self._follow(self._controller.next(1))
+            self._controller.release(self._running.pop(), 1)
+            self._follow(self._controller.poll(1))
 
     def _follow(self, decisions: list[tickets.Decision]) -> None:
         for decision in decisions:
-            if decision.kind is tickets.Kind.ADMIT:
+            if decision.kind is tickets.DecisionKind.ADMIT:
                 self._running.append(decision.ticket)
 
 
-def _candidates(count: int) -> list[placing.Candidate]:
+def _candidates(count: int) -> list[selection.Candidate]:
     rng = random.Random(2)
     return [
-        placing.Candidate(
+        selection.Candidate(
             f'endpoint{index}',
             _DOMAINS[index % len(_DOMAINS)],
             rng.randrange(8),
@@ -89,11 +89,11 @@
 
 def _placing(count: int, sample: int, *, has_prefix: bool = False) -> float:
     candidates = _candidates(count)
-    placer = placing.CostPlacer(
+    placer = selection.CostSelector(
         random.Random(3),
         domain='a',
-        sample=sample,
-        memory=placing.PrefixMemory() if has_prefix else None,
+        sample_size=sample,
+        affinity=selection.PrefixAffinity() if has_prefix else None,
     )
     rounds = max(_DECISIONS // (1 + sample // 20), 200)
     return _microseconds(
@@ -105,9 +105,9 @@
 def _placing_when_full(count: int) -> float:
     candidates = _candidates(count)
     for candidate in candidates[1:]:
-        candidate.running_reported = candidate.capacity
-    candidates[0].running_reported = 0
-    placer = placing.CostPlacer(random.Random(3), domain='a')
+        candidate.reported_running = candidate.capacity
+    candidates[0].reported_running = 0
+    placer = selection.CostSelector(random.Random(3), domain='a')
     return _microseconds(
         lambda index: placer.choose(candidates, 0),
         _DECISIONS // 10,
@@ -118,7 +118,7 @@
     ejector = ejection.Ejector()
     for number in range(count * 8):
         ejector.observe(f'endpoint{number % count}', 0.1, 0)
-    return _microseconds(ejector.ejected, 200)
+    return _microseconds(ejector.ejected_endpoints, 200)
 
 
 def _shares(entries: int) -> float:
--- a/benchmarks/decisions/entries.py
+++ b/benchmarks/decisions/entries.py
@@ -9,9 +9,9 @@
 from clementinepass.decisions import (
     admission,
     ejection,
-    placing,
     reasons,
     retry_budget,
+    selection,
     shares,
     tickets,
 )
@@ -50,7 +50,7 @@
     """The decisions of one entry."""
 
     admission: admission.Admission
-    placer: placing.Placer
+    placer: selection.Selector
     ejector: ejection.Detector
     budget: retry_budget.Budget
     #: The entry's part of each team's promise.
@@ -134,14 +134,14 @@
         )
         self._requests_by_id[ticket.request_id] = request
         self._demand_by_team[ticket.team] += 1
-        self.policy.budget.fresh(self.simulation.now)
+        self.policy.budget.record_first_attempt(self.simulation.now)
         self._follow(self.policy.admission.offer(ticket, self.simulation.now))
         self.pump()
 
     def pump(self) -> None:
         """Follow what admission decides about those that wait."""
         self._is_pump_due = False
-        for decision in self.policy.admission.next(self.simulation.now):
+        for decision in self.policy.admission.poll(self.simulation.now):
             self._follow(decision)
 
     def tick(self) -> None:
@@ -201,10 +201,10 @@
     def on_failure(self, dispatch: _Dispatch) -> None:
         """Try again or give up."""
         now = self.simulation.now
-        self.policy.ejector.failed(dispatch.endpoint.endpoint_id, now)
+        self.policy.ejector.observe_failure(dispatch.endpoint.endpoint_id, now)
         request = self._requests_by_id[dispatch.ticket.request_id]
         request.crashes += dispatch.run is not None and dispatch.run.has_begun
-        attempt = retry_budget.Attempt(
+        attempt = retry_budget.FailedAttempt(
             request.dispatches,
             request.crashes,
             may_have_run=False,
@@ -218,23 +218,23 @@
         self.pump()
 
     def _follow(self, decision: tickets.Decision) -> None:
-        if decision.kind is tickets.Kind.ADMIT:
+        if decision.kind is tickets.DecisionKind.ADMIT:
             self._dispatch(decision.ticket)
-        elif decision.kind is tickets.Kind.REFUSE:
+        elif decision.kind is tickets.DecisionKind.REFUSE:
             self._demand_by_team[decision.ticket.team] -= 1
             request = self._requests_by_id.pop(decision.ticket.request_id)
             self._refused(request, decision.retry_after)
 
-    def _candidates(self) -> list[placing.Candidate]:
+    def _candidates(self) -> list[selection.Candidate]:
         now = self.simulation.now
         ejector = self.policy.ejector
-        ejected = ejector.ejected(now)
+        ejected = ejector.ejected_endpoints(now)
         candidates = []
         for endpoint_id, endpoint in self.endpoints_by_id.items():
             running, own = self.reported[endpoint_id]
             own_now = self.own_in_flight[endpoint_id]
             candidates.append(
-                placing.Candidate(
+                selection.Candidate(
                     endpoint_id,
                     endpoint.domain,
                     running,
@@ -250,7 +250,9 @@
     def _slots(self, endpoint: simulation.Endpoint, now: float) -> int:
         ejector = self.policy.ejector
         if isinstance(ejector, ejection.Ejector):
-            return ejector.slots(endpoint.endpoint_id, endpoint.slots, now)
+            return ejector.usable_slots(
+                endpoint.endpoint_id, endpoint.slots, now
+            )
         return endpoint.slots
 
     def _dispatch(self, ticket: tickets.Ticket) -> None:
@@ -268,7 +270,7 @@
                 self.simulation.now,
             )
         now = self.simulation.now
-        self.policy.admission.returned(ticket, now, found_full=True)
+        self.policy.admission.requeue(ticket, now, found_full=True)
         self._pump_again()
 
     def _choose(self, request: Request) -> simulation.Endpoint:
@@ -325,10 +327,10 @@
             request.spent += dispatch.run.seconds
         now = self.simulation.now
         if is_again:
-            self.policy.admission.returned(ticket, now)
+            self.policy.admission.requeue(ticket, now)
             return
         self._demand_by_team[ticket.team] -= 1
-        self.policy.admission.finished(ticket, now, succeeded=succeeded)
+        self.policy.admission.release(ticket, now, succeeded=succeeded)
 
     def _note_overdue(self) -> None:
         ejector = self.policy.ejector
@@ -339,14 +341,16 @@
             if not (dispatch.has_token or dispatch.is_overdue):
                 endpoint_id = dispatch.endpoint.endpoint_id
                 waited = now - dispatch.sent
-                dispatch.is_overdue = ejector.overdue(endpoint_id, waited, now)
+                dispatch.is_overdue = ejector.observe_overdue(
+                    endpoint_id, waited, now
+                )
 
     def _update_limits(self) -> None:
         self.policy.admission.set_capacity(self._capacity())
         if isinstance(self.policy.admission, admission.Controller):
             self.policy.admission.set_promises(
                 {
-                    team: share.held()
+                    team: share.held_slots()
                     for team, share in self.policy.share_by_team.items()
                 },
             )
--- a/benchmarks/decisions/policies.py
+++ b/benchmarks/decisions/policies.py
@@ -9,8 +9,8 @@
 from clementinepass.decisions import (
     admission,
     ejection,
-    placing,
     retry_budget,
+    selection,
     shares,
 )
 
@@ -33,7 +33,7 @@
 class Baseline:
     """First come, first served; nothing is refused, all is retried."""
 
-    def __init__(self, make_placer: typing.Callable[[], placing.Placer]):
+    def __init__(self, make_placer: typing.Callable[[], selection.Selector]):
         self._make_placer = make_placer
 
     def __call__(
@@ -46,9 +46,9 @@
         """Create the policy of one entry."""
         count = len(names)
         return entries.Policy(
-            admission=admission.FirstComeController(workloads.SLOTS),
+            admission=admission.FifoController(workloads.SLOTS),
             placer=self._make_placer(),
-            ejector=ejection.NoEjector(),
+            ejector=ejection.NullEjector(),
             budget=retry_budget.UnboundedBudget(),
             share_by_team={
                 team.name: shares.EqualShare(name, team.promise, count)
@@ -64,7 +64,7 @@
 
     def __init__(
         self,
-        make_placer: typing.Callable[[random.Random], placing.Placer],
+        make_placer: typing.Callable[[random.Random], selection.Selector],
         *,
         has_transfers: bool = True,
     ):
@@ -86,7 +86,7 @@
         }
         return entries.Policy(
             admission=admission.Controller.from_promises(
-                {team: one.held() for team, one in share_by_team.items()},
+                {team: one.held_slots() for team, one in share_by_team.items()},
                 capacity=workloads.SLOTS,
                 rng=rng,
             ),
@@ -121,19 +121,19 @@
         self._sample = sample
         self._has_affinity = has_affinity
 
-    def __call__(self, rng: random.Random) -> placing.Placer:
+    def __call__(self, rng: random.Random) -> selection.Selector:
         """Create the placer of one entry."""
-        return placing.CostPlacer(
+        return selection.CostSelector(
             rng,
             domain='a',
-            sample=self._sample,
-            memory=placing.PrefixMemory() if self._has_affinity else None,
+            sample_size=self._sample,
+            affinity=selection.PrefixAffinity() if self._has_affinity else None,
         )
 
 
 POLICIES: typing.Final[dict[str, MakePolicy]] = {
-    'round_robin': Baseline(placing.RoundRobinPlacer),
-    'least_in_flight': Baseline(placing.LeastInFlightPlacer),
+    'round_robin': Baseline(selection.RoundRobinSelector),
+    'least_in_flight': Baseline(selection.LeastInFlightSelector),
     'chosen': Chosen(_MakePlacer(8, has_affinity=True)),
 }
 
--- a/clementinepass/decisions/admission.py
+++ b/clementinepass/decisions/admission.py
@@ -26,7 +26,7 @@
     import random
 
 #: Outdated entries of the deadline heap are kept up to this many.
-_MOST_OUTDATED = 1000
+_MAX_OUTDATED_ENTRIES = 1000
 
 
 @dataclasses.dataclass(slots=True, frozen=True)
@@ -39,16 +39,16 @@
     waiting_per_slot: float = 4
     #: A team may always have so many waiting, however small its share, or
     #: two calls at the same instant would already be refused.
-    least_waiting: int = 8
+    min_waiting: int = 8
     #: The part of the queue that is open to each class. In a brown-out the
     #: batch class is refused first and normal work next, so that an urgent
     #: request still finds room when it matters most.
-    open_part_by_class: tuple[float, float, float] = (1, 0.8, 0.4)
+    queue_fraction_by_class: tuple[float, float, float] = (1, 0.8, 0.4)
     #: Asking again sooner than this only costs work.
-    least_retry_after: float = 0.5
+    min_retry_after: float = 0.5
     #: Longer would leave capacity idle once an outage ends, since callers
     #: come back only then: recovery is promised within 5 s.
-    most_retry_after: float = 4
+    max_retry_after: float = 4
 
 
 class Admission(typing.Protocol):
@@ -61,10 +61,10 @@
     ) -> tickets.Decision:
         """Decide about a request that has just arrived."""
 
-    def next(self, now: float) -> list[tickets.Decision]:
+    def poll(self, now: float) -> list[tickets.Decision]:
         """Return decisions about tickets that waited and now do not."""
 
-    def finished(
+    def release(
         self,
         ticket: tickets.Ticket,
         now: float,
@@ -73,7 +73,7 @@
     ) -> None:
         """Note that an admitted request left its slot."""
 
-    def returned(
+    def requeue(
         self,
         ticket: tickets.Ticket,
         now: float,
@@ -86,7 +86,7 @@
         """Set the number of slots."""
 
 
-class FirstComeController:
+class FifoController:
     """The baseline: first come, first served, without bound."""
 
     __slots__ = ('_capacity', '_in_flight', '_waiting')
@@ -104,20 +104,22 @@
         """Admit the request if a slot is free; else let it wait."""
         if self._in_flight < self._capacity:
             self._in_flight += 1
-            return tickets.Decision(ticket, tickets.Kind.ADMIT)
+            return tickets.Decision(ticket, tickets.DecisionKind.ADMIT)
         self._waiting.append(ticket)
-        return tickets.Decision(ticket, tickets.Kind.QUEUE)
+        return tickets.Decision(ticket, tickets.DecisionKind.QUEUE)
 
-    def next(self, now: float) -> list[tickets.Decision]:
+    def poll(self, now: float) -> list[tickets.Decision]:
         """Admit as many as there are free slots, oldest first."""
         decisions = []
         while self._waiting and self._in_flight < self._capacity:
             self._in_flight += 1
             ticket = self._waiting.popleft()
-            decisions.append(tickets.Decision(ticket, tickets.Kind.ADMIT))
+            decisions.append(
+                tickets.Decision(ticket, tickets.DecisionKind.ADMIT)
+            )
         return decisions
 
-    def finished(
+    def release(
         self,
         ticket: tickets.Ticket,
         now: float,
@@ -127,7 +129,7 @@
         """Free the slot."""
         self._in_flight -= 1
 
-    def returned(
+    def requeue(
         self,
         ticket: tickets.Ticket,
         now: float,
@@ -152,16 +154,16 @@
 
     __slots__ = (
         '_capacity',
-        '_ceiling',
-        '_displaced',
-        '_expiries',
+        '_in_flight_limit',
+        '_displaced_tickets',
+        '_expiry_heap',
         '_limits',
         '_queue',
         '_rng',
-        '_scale',
+        '_share_scale',
         '_service_time',
         '_shares_by_team',
-        '_started_by_id',
+        '_started_at_by_id',
         '_waiting_by_id',
     )
 
@@ -177,16 +179,16 @@
         self._rng = rng
         self._capacity = 0
         #: Requests that may run since endpoints were last found full.
-        self._ceiling = math.inf
+        self._in_flight_limit = math.inf
         #: Part of the shares that the capacity covers, 0 to 1.
-        self._scale = 1.0
+        self._share_scale = 1.0
         self._shares_by_team: dict[str, float] = {}
         self._service_time = service_time.ServiceTime()
-        self._started_by_id: dict[str, float] = {}
+        self._started_at_by_id: dict[str, float] = {}
         self._waiting_by_id: dict[str, tickets.Ticket] = {}
         #: Heap of the latest useful start and the id of waiting tickets.
-        self._expiries: list[tuple[float, str]] = []
-        self._displaced: list[tickets.Ticket] = []
+        self._expiry_heap: list[tuple[float, str]] = []
+        self._displaced_tickets: list[tickets.Ticket] = []
 
     @classmethod
     def from_promises(
@@ -216,10 +218,10 @@
     @property
     def in_flight(self) -> int:
         """Return the number of slots taken."""
-        return len(self._started_by_id)
+        return len(self._started_at_by_id)
 
     @property
-    def waiting(self) -> int:
+    def waiting_count(self) -> int:
         """Return the number of tickets that wait."""
         return len(self._waiting_by_id)
 
@@ -229,13 +231,13 @@
     ) -> None:
         """Set the slots that are each team's own here."""
         self._shares_by_team = dict(promises_by_team)
-        self._rescale()
+        self._rescale_shares()
 
     def set_capacity(self, capacity: int) -> None:
         """Set the number of slots; running requests are left alone."""
         if capacity != self._capacity:
             self._capacity = capacity
-            self._rescale()
+            self._rescale_shares()
 
     def offer(
         self,
@@ -243,35 +245,35 @@
         now: float,
     ) -> tickets.Decision:
         """Decide about a request that has just arrived."""
-        refusal = self._refusal(ticket, now)
+        refusal = self._immediate_refusal(ticket, now)
         if refusal is not None:
             return self._refuse(ticket, refusal)
-        if not self._waiting_by_id and self._has_room():
+        if not self._waiting_by_id and self._has_free_slot():
             return self._admit(ticket, now)
         return self._enqueue(ticket)
 
-    def next(self, now: float) -> list[tickets.Decision]:
+    def poll(self, now: float) -> list[tickets.Decision]:
         """Return decisions about tickets that waited and now do not."""
         decisions = [
             self._refuse(ticket, reasons.Refusal.DISPLACED)
-            for ticket in self._displaced
+            for ticket in self._displaced_tickets
         ]
-        self._displaced.clear()
-        decisions.extend(self._shed(now))
-        while self._waiting_by_id and self._has_room():
-            decisions.append(self._decide_first(now))
+        self._displaced_tickets.clear()
+        decisions.extend(self._shed_expired(now))
+        while self._waiting_by_id and self._has_free_slot():
+            decisions.append(self._decide_next(now))
         return decisions
 
-    def wake_at(self) -> float | None:
+    def next_expiry(self) -> float | None:
         """Return when :meth:`next` will have a request to shed, if ever."""
-        while self._expiries:
-            latest_start, request_id = self._expiries[0]
+        while self._expiry_heap:
+            latest_start, request_id = self._expiry_heap[0]
             if request_id in self._waiting_by_id:
                 return latest_start
-            heapq.heappop(self._expiries)
+            heapq.heappop(self._expiry_heap)
         return None
 
-    def finished(
+    def release(
         self,
         ticket: tickets.Ticket,
         now: float,
@@ -284,15 +286,15 @@
             connection after a millisecond says nothing about the time that
             work takes, and would make the queue look fast in an outage.
         """
-        started = self._started_by_id.pop(ticket.request_id)
-        self._queue.finished(ticket.team)
-        self._ceiling += 1
-        if self._ceiling > self._capacity:
-            self._ceiling = math.inf
+        started_at = self._started_at_by_id.pop(ticket.request_id)
+        self._queue.record_finish(ticket.team)
+        self._in_flight_limit += 1
+        if self._in_flight_limit > self._capacity:
+            self._in_flight_limit = math.inf
         if succeeded:
-            self._service_time.observe(now - started, ticket.cost)
+            self._service_time.observe(now - started_at, ticket.cost)
 
-    def returned(
+    def requeue(
         self,
         ticket: tickets.Ticket,
         now: float,
@@ -307,18 +309,18 @@
 
         :param found_full: whether the gate refused it for lack of a slot.
         """
-        del self._started_by_id[ticket.request_id]
-        self._queue.finished(ticket.team)
+        del self._started_at_by_id[ticket.request_id]
+        self._queue.record_finish(ticket.team)
         self._queue.push_front(ticket)
-        self._note_waiting(ticket)
+        self._track_waiting(ticket)
         if found_full:
             # Load: entries count on the same free slots. Harm: each would
             # knock at full endpoints over and over. So no more than what
             # runs now; each end then allows one more, which makes at most
             # one refusal for each request that ends.
-            self._ceiling = max(self.in_flight, 1)
+            self._in_flight_limit = max(self.in_flight, 1)
 
-    def withdrawn(self, ticket: tickets.Ticket) -> None:
+    def withdraw(self, ticket: tickets.Ticket) -> None:
         """Drop a waiting ticket whose caller has gone away.
 
         One that was displaced meanwhile is still returned by :meth:`next`.
@@ -326,23 +328,25 @@
         if self._waiting_by_id.pop(ticket.request_id, None) is not None:
             self._queue.remove(ticket)
 
-    def _has_room(self) -> bool:
-        return self.in_flight < min(self._capacity, self._ceiling)
+    def _has_free_slot(self) -> bool:
+        return self.in_flight < min(self._capacity, self._in_flight_limit)
 
-    def _rescale(self) -> None:
+    def _rescale_shares(self) -> None:
         # Load: endpoints are lost and the promises add up to more than what
         # is left. Harm: teams below their full share would go first and
         # shut the others out. All shares shrink by the same factor instead.
-        total = sum(self._shares_by_team.values())
-        self._scale = min(1, self._capacity / total) if total else 1
+        total_shares = sum(self._shares_by_team.values())
+        self._share_scale = (
+            min(1, self._capacity / total_shares) if total_shares else 1
+        )
         self._queue.set_shares(
             {
-                team: share * self._scale
+                team: share * self._share_scale
                 for team, share in self._shares_by_team.items()
             },
         )
 
-    def _refusal(
+    def _immediate_refusal(
         self,
         ticket: tickets.Ticket,
         now: float,
@@ -353,49 +357,55 @@
             # Load: full outage. Harm: requests that pile up are all started
             # together when it ends, most of them too late to matter.
             return reasons.Refusal.NO_CAPACITY
-        if not self._is_in_time(ticket, now + self._expected_wait(ticket)):
+        if not self._can_meet_deadline(
+            ticket, now + self._expected_wait(ticket)
+        ):
             return reasons.Refusal.DEADLINE
         return None
 
     def _enqueue(self, ticket: tickets.Ticket) -> tickets.Decision:
-        limit = self._waiting_limit(ticket.team)
-        waiting = self._queue.waiting(ticket.team)
-        open_part = self._limits.open_part_by_class[ticket.priority_class]
-        if waiting >= limit:
+        waiting_limit = self._waiting_limit(ticket.team)
+        waiting = self._queue.waiting_count(ticket.team)
+        queue_fraction = self._limits.queue_fraction_by_class[
+            ticket.priority_class
+        ]
+        if waiting >= waiting_limit:
             # Load: the team sends more than its queue holds. Harm: an urgent
             # request would be refused while batch work waits before it.
             displaced = self._queue.displace(ticket)
             if displaced is None:
                 return self._refuse(ticket, reasons.Refusal.QUEUE_FULL)
             del self._waiting_by_id[displaced.request_id]
-            self._displaced.append(displaced)
-        elif waiting >= limit * open_part:
+            self._displaced_tickets.append(displaced)
+        elif waiting >= waiting_limit * queue_fraction:
             return self._refuse(ticket, reasons.Refusal.BROWN_OUT)
         self._queue.push(ticket)
-        self._note_waiting(ticket)
-        return tickets.Decision(ticket, tickets.Kind.QUEUE)
+        self._track_waiting(ticket)
+        return tickets.Decision(ticket, tickets.DecisionKind.QUEUE)
 
     def _waiting_limit(self, team: str) -> int:
-        share = self._shares_by_team[team] * self._scale
-        slots = max(share, self._capacity * self._queue.active_weight(team))
+        share = self._shares_by_team[team] * self._share_scale
+        slots = max(share, self._capacity * self._queue.weight_fraction(team))
         return max(
             int(slots * self._limits.waiting_per_slot),
-            self._limits.least_waiting,
+            self._limits.min_waiting,
         )
 
     def _expected_wait(self, ticket: tickets.Ticket) -> float:
-        if self._has_room() and not self._waiting_by_id:
+        if self._has_free_slot() and not self._waiting_by_id:
             return 0
         # By Little's law the team's part of the slots drains its queue at
         # slots / seconds-for-a-unit units of cost a second.
-        ahead = self._queue.waiting_cost(ticket.team, ticket.priority_class)
+        cost_ahead = self._queue.waiting_cost(
+            ticket.team, ticket.priority_class
+        )
         slots = max(
-            self._shares_by_team.get(ticket.team, 0) * self._scale,
-            self._capacity * self._queue.active_weight(ticket.team),
+            self._shares_by_team.get(ticket.team, 0) * self._share_scale,
+            self._capacity * self._queue.weight_fraction(ticket.team),
         )
-        return ahead * self._service_time.mean / slots if slots else 0
+        return cost_ahead * self._service_time.mean / slots if slots else 0
 
-    def _is_in_time(self, ticket: tickets.Ticket, start: float) -> bool:
+    def _can_meet_deadline(self, ticket: tickets.Ticket, start: float) -> bool:
         return start <= self._latest_start(ticket)
 
     def _latest_start(self, ticket: tickets.Ticket) -> float:
@@ -404,47 +414,50 @@
         # wait the estimate is cautious; with slots to spare, trying costs
         # nobody anything and the mean will do.
         if self._waiting_by_id:
-            seconds = self._service_time.cautious
+            seconds_per_unit = self._service_time.conservative
         else:
-            seconds = self._service_time.mean
-        return ticket.deadline - ticket.cost * seconds
+            seconds_per_unit = self._service_time.mean
+        return ticket.deadline - ticket.cost * seconds_per_unit
 
-    def _note_waiting(self, ticket: tickets.Ticket) -> None:
+    def _track_waiting(self, ticket: tickets.Ticket) -> None:
         self._waiting_by_id[ticket.request_id] = ticket
-        entry = (self._latest_start(ticket), ticket.request_id)
-        heapq.heappush(self._expiries, entry)
-        if len(self._expiries) > 2 * self.waiting + _MOST_OUTDATED:
-            self._expiries = [
-                entry
-                for entry in self._expiries
-                if entry[1] in self._waiting_by_id
+        heap_entry = (self._latest_start(ticket), ticket.request_id)
+        heapq.heappush(self._expiry_heap, heap_entry)
+        if (
+            len(self._expiry_heap)
+            > 2 * self.waiting_count + _MAX_OUTDATED_ENTRIES
+        ):
+            self._expiry_heap = [
+                heap_entry
+                for heap_entry in self._expiry_heap
+                if heap_entry[1] in self._waiting_by_id
             ]
-            heapq.heapify(self._expiries)
+            heapq.heapify(self._expiry_heap)
 
-    def _shed(self, now: float) -> list[tickets.Decision]:
+    def _shed_expired(self, now: float) -> list[tickets.Decision]:
         shed = []
-        while self._expiries and self._expiries[0][0] < now:
-            _, request_id = heapq.heappop(self._expiries)
+        while self._expiry_heap and self._expiry_heap[0][0] < now:
+            _, request_id = heapq.heappop(self._expiry_heap)
             ticket = self._waiting_by_id.pop(request_id, None)
             if ticket is not None:
                 self._queue.remove(ticket)
                 shed.append(self._refuse(ticket, reasons.Refusal.DEADLINE))
         return shed
 
-    def _decide_first(self, now: float) -> tickets.Decision:
-        ticket = self._queue.take()
+    def _decide_next(self, now: float) -> tickets.Decision:
+        ticket = self._queue.pop()
         if ticket is None:
             raise RuntimeError('queue and index of waiting tickets differ')
-        is_in_time = self._is_in_time(ticket, now)
+        can_meet_deadline = self._can_meet_deadline(ticket, now)
         del self._waiting_by_id[ticket.request_id]
-        if is_in_time:
+        if can_meet_deadline:
             return self._admit(ticket, now)
         return self._refuse(ticket, reasons.Refusal.DEADLINE)
 
     def _admit(self, ticket: tickets.Ticket, now: float) -> tickets.Decision:
-        self._started_by_id[ticket.request_id] = now
-        self._queue.started(ticket.team)
-        return tickets.Decision(ticket, tickets.Kind.ADMIT)
+        self._started_at_by_id[ticket.request_id] = now
+        self._queue.record_start(ticket.team)
+        return tickets.Decision(ticket, tickets.DecisionKind.ADMIT)
 
     def _refuse(
         self,
@@ -453,7 +466,7 @@
     ) -> tickets.Decision:
         return tickets.Decision(
             ticket,
-            tickets.Kind.REFUSE,
+            tickets.DecisionKind.REFUSE,
             reason,
             self._retry_after(ticket, reason),
         )
@@ -468,9 +481,9 @@
         if self._capacity:
             wait = self._expected_wait(ticket)
         else:
-            wait = self._limits.most_retry_after
-        wait = max(wait, self._limits.least_retry_after)
-        wait = min(wait, self._limits.most_retry_after)
+            wait = self._limits.max_retry_after
+        wait = max(wait, self._limits.min_retry_after)
+        wait = min(wait, self._limits.max_retry_after)
         if self._rng is None:
             return wait
         return wait * self._rng.uniform(0.5, 1)
--- a/clementinepass/decisions/incarnations.py
+++ b/clementinepass/decisions/incarnations.py
@@ -11,7 +11,7 @@
 import typing
 
 #: The start of a process that doesn't tell it.
-UNTOLD = 0
+UNKNOWN_START = 0
 
 
 class Stamp(typing.NamedTuple):
@@ -22,7 +22,7 @@
     :param heartbeat: grows with each word of one start.
     """
 
-    started: int
+    started_at: int
     heartbeat: int
 
 
@@ -39,21 +39,21 @@
     NEW_START = 'new start'
 
 
-def order(known: Stamp, told: Stamp) -> Order:
+def compare(known: Stamp, received: Stamp) -> Order:
     """Compare a word with the newest one that was believed.
 
     A word that doesn't say its start is taken for one of the start that is
     known, so that writers that never say it are ordered by heartbeats alone.
     """
-    if is_over(known.started, told.started):
+    if is_superseded(known.started_at, received.started_at):
         return Order.OLDER_START
-    if told.started > known.started:
+    if received.started_at > known.started_at:
         return Order.NEW_START
-    if told.heartbeat < known.heartbeat:
+    if received.heartbeat < known.heartbeat:
         return Order.OLDER
     return Order.NEWER
 
 
-def is_over(known: int, told: int) -> bool:
+def is_superseded(known: int, received: int) -> bool:
     """Tell whether a start was followed by the one that is known."""
-    return UNTOLD < told < known
+    return UNKNOWN_START < received < known
--- a/clementinepass/decisions/next_try.py
+++ b/clementinepass/decisions/next_try.py
@@ -8,25 +8,25 @@
 #: Attempts of one request in all, those that did not run included. Endpoints
 #: that turn a request away are few; a request that met five of them would
 #: meet a sixth.
-_MOST_ATTEMPTS = 4
+_MAX_ATTEMPTS = 4
 #: Seconds that must be left for another attempt to be of use. Connecting and
 #: the shortest answers take some tens of milliseconds.
-_LEAST_SECONDS = 0.06
+_MIN_SECONDS_LEFT = 0.06
 
 
-class NextTry(enum.Enum):
+class RetryDecision(enum.Enum):
     """Whether to send once more, and why not."""
 
     ALLOWED = 'allowed'
     #: It may have run, and must not run twice.
     MAY_HAVE_RUN = 'may_have_run'
     #: It ran as often as its route allows.
-    ENOUGH_RUNS = 'enough_runs'
-    ENOUGH_ATTEMPTS = 'enough_attempts'
+    TOO_MANY_RUNS = 'enough_runs'
+    TOO_MANY_ATTEMPTS = 'enough_attempts'
     NO_TIME = 'no_time'
 
 
-class Past(typing.NamedTuple):
+class AttemptHistory(typing.NamedTuple):
     """What is known of a request's attempts.
 
     :param runs: attempts that ran, or may have.
@@ -37,19 +37,19 @@
 
     attempts: int
     runs: int
-    most_runs: int
-    repeatable: bool
+    max_runs: int
+    is_repeatable: bool
     seconds_left: float
 
 
-def decide(past: Past) -> NextTry:
+def decide(history: AttemptHistory) -> RetryDecision:
     """Decide by what is allowed; the budget is asked after this."""
-    if past.runs and not past.repeatable:
-        return NextTry.MAY_HAVE_RUN
-    if past.runs >= past.most_runs:
-        return NextTry.ENOUGH_RUNS
-    if past.attempts >= _MOST_ATTEMPTS:
-        return NextTry.ENOUGH_ATTEMPTS
-    if past.seconds_left < _LEAST_SECONDS:
-        return NextTry.NO_TIME
-    return NextTry.ALLOWED
+    if history.runs and not history.is_repeatable:
+        return RetryDecision.MAY_HAVE_RUN
+    if history.runs >= history.max_runs:
+        return RetryDecision.TOO_MANY_RUNS
+    if history.attempts >= _MAX_ATTEMPTS:
+        return RetryDecision.TOO_MANY_ATTEMPTS
+    if history.seconds_left < _MIN_SECONDS_LEFT:
+        return RetryDecision.NO_TIME
+    return RetryDecision.ALLOWED
--- a/clementinepass/decisions/queueing.py
+++ b/clementinepass/decisions/queueing.py
@@ -16,7 +16,7 @@
 from clementinepass.decisions import tickets
 
 #: A team with nothing promised still moves, at this weight.
-_LEAST_WEIGHT = 0.01
+_MIN_WEIGHT = 0.01
 
 
 class Queue(typing.Protocol):
@@ -34,7 +34,7 @@
     def push_front(self, ticket: tickets.Ticket) -> None:
         """Put a ticket back before the others of its team and class."""
 
-    def take(self) -> tickets.Ticket | None:
+    def pop(self) -> tickets.Ticket | None:
         """Remove and return the ticket that goes next."""
 
     def remove(self, ticket: tickets.Ticket) -> None:
@@ -46,13 +46,13 @@
         Only one less urgent than ``ticket`` is removed.
         """
 
-    def started(self, team: str) -> None:
+    def record_start(self, team: str) -> None:
         """Note that a request of the team took a slot."""
 
-    def finished(self, team: str) -> None:
+    def record_finish(self, team: str) -> None:
         """Note that a request of the team left its slot."""
 
-    def waiting(self, team: str) -> int:
+    def waiting_count(self, team: str) -> int:
         """Return the number of the team's tickets that wait."""
 
     def waiting_cost(
@@ -62,38 +62,38 @@
     ) -> float:
         """Return the waiting cost of a team, down to a class."""
 
-    def active_weight(self, team: str) -> float:
+    def weight_fraction(self, team: str) -> float:
         """Return the team's part, 0 to 1, among the teams that wait."""
 
 
-class _TeamLine:
+class _TeamQueue:
     """The waiting tickets of one team, by class."""
 
     __slots__ = (
         'cost_by_class',
         'in_flight',
-        'is_listed_within',
+        'is_listed_within_share',
         'share',
         'stamp',
-        'tag_beyond',
-        'tag_within',
+        'start_tag_beyond',
+        'start_tag_within',
         'tickets_by_class',
-        'waiting',
+        'waiting_count',
     )
 
     def __init__(self, share: float) -> None:
         #: Slots that are the team's own.
         self.share = share
         self.in_flight = 0
-        self.waiting = 0
+        self.waiting_count = 0
         #: Stamp of the one valid heap entry, 0 for none.
         self.stamp = 0
         #: Which heap holds the valid entry while the team waits.
-        self.is_listed_within = False
+        self.is_listed_within_share = False
         #: Virtual start of the next request below the share.
-        self.tag_within: float = 0
+        self.start_tag_within: float = 0
         #: Virtual start of the next request beyond the share.
-        self.tag_beyond: float = 0
+        self.start_tag_beyond: float = 0
         # Ordered dictionaries remove from the middle in constant time.
         self.tickets_by_class: tuple[
             collections.OrderedDict[str, tickets.Ticket], ...
@@ -108,32 +108,32 @@
     @property
     def weight(self) -> float:
         """Return the weight among the teams that wait."""
-        return max(self.share, _LEAST_WEIGHT)
+        return max(self.share, _MIN_WEIGHT)
 
     def add(self, ticket: tickets.Ticket, *, front: bool) -> None:
         """Add a ticket to its class."""
-        by_id = self.tickets_by_class[ticket.priority_class]
-        by_id[ticket.request_id] = ticket
+        class_tickets = self.tickets_by_class[ticket.priority_class]
+        class_tickets[ticket.request_id] = ticket
         if front:
-            by_id.move_to_end(ticket.request_id, last=False)
+            class_tickets.move_to_end(ticket.request_id, last=False)
         self.cost_by_class[ticket.priority_class] += ticket.cost
-        self.waiting += 1
+        self.waiting_count += 1
 
     def discard(self, ticket: tickets.Ticket) -> None:
         """Remove a ticket from its class."""
-        by_id = self.tickets_by_class[ticket.priority_class]
-        del by_id[ticket.request_id]
-        self.waiting -= 1
-        if by_id:
+        class_tickets = self.tickets_by_class[ticket.priority_class]
+        del class_tickets[ticket.request_id]
+        self.waiting_count -= 1
+        if class_tickets:
             self.cost_by_class[ticket.priority_class] -= ticket.cost
         else:
             # Sets the sum right again after many float subtractions.
             self.cost_by_class[ticket.priority_class] = 0
 
-    def first(self) -> tickets.Ticket:
+    def peek(self) -> tickets.Ticket:
         """Return the ticket that goes first; there must be one."""
-        by_id = next(filter(None, self.tickets_by_class))
-        return next(iter(by_id.values()))
+        class_tickets = next(filter(None, self.tickets_by_class))
+        return next(iter(class_tickets.values()))
 
 
 class _Tier:
@@ -148,41 +148,41 @@
         self.virtual_time: float = 0
 
 
-class FirstComeQueue:
+class FifoQueue:
     """The baseline: one line for all teams and classes."""
 
-    __slots__ = ('_by_id',)
+    __slots__ = ('_tickets_by_id',)
 
     def __init__(self) -> None:
-        self._by_id: collections.OrderedDict[str, tickets.Ticket] = (
+        self._tickets_by_id: collections.OrderedDict[str, tickets.Ticket] = (
             collections.OrderedDict()
         )
 
     def __len__(self) -> int:
         """Return the number of tickets that wait."""
-        return len(self._by_id)
+        return len(self._tickets_by_id)
 
     def set_shares(self, shares_by_team: typing.Mapping[str, float]) -> None:
         """Ignore the shares."""
 
     def push(self, ticket: tickets.Ticket) -> None:
         """Add a ticket at the end."""
-        self._by_id[ticket.request_id] = ticket
+        self._tickets_by_id[ticket.request_id] = ticket
 
     def push_front(self, ticket: tickets.Ticket) -> None:
         """Put a ticket back at the front."""
-        self._by_id[ticket.request_id] = ticket
-        self._by_id.move_to_end(ticket.request_id, last=False)
+        self._tickets_by_id[ticket.request_id] = ticket
+        self._tickets_by_id.move_to_end(ticket.request_id, last=False)
 
-    def take(self) -> tickets.Ticket | None:
+    def pop(self) -> tickets.Ticket | None:
         """Remove and return the oldest ticket."""
-        if not self._by_id:
+        if not self._tickets_by_id:
             return None
-        return self._by_id.popitem(last=False)[1]
+        return self._tickets_by_id.popitem(last=False)[1]
 
     def remove(self, ticket: tickets.Ticket) -> None:
         """Remove a ticket that waits."""
-        del self._by_id[ticket.request_id]
+        del self._tickets_by_id[ticket.request_id]
 
     def displace(  # noqa: WPS324
         self,
@@ -192,15 +192,15 @@
         # WPS324: mypy wants the protocol's empty answer written out.
         return None  # noqa: WPS324
 
-    def started(self, team: str) -> None:
+    def record_start(self, team: str) -> None:
         """Ignore the start."""
 
-    def finished(self, team: str) -> None:
+    def record_finish(self, team: str) -> None:
         """Ignore the end."""
 
-    def waiting(self, team: str) -> int:
+    def waiting_count(self, team: str) -> int:
         """Return the number of all tickets that wait."""
-        return len(self._by_id)
+        return len(self._tickets_by_id)
 
     def waiting_cost(
         self,
@@ -208,9 +208,9 @@
         least_urgent: tickets.PriorityClass,
     ) -> float:
         """Return the waiting cost of all teams."""
-        return sum(ticket.cost for ticket in self._by_id.values())
+        return sum(ticket.cost for ticket in self._tickets_by_id.values())
 
-    def active_weight(self, team: str) -> float:
+    def weight_fraction(self, team: str) -> float:
         """Return 1: there is only one line."""
         return 1
 
@@ -223,38 +223,38 @@
     """
 
     __slots__ = (
-        '_active_weight',
-        '_beyond',
-        '_lines',
-        '_stamps',
-        '_waiting',
-        '_within',
+        '_waiting_weight',
+        '_beyond_tier',
+        '_queues_by_team',
+        '_stamp_counter',
+        '_waiting_count',
+        '_within_tier',
     )
 
     def __init__(self) -> None:
-        self._lines: dict[str, _TeamLine] = {}
-        self._waiting = 0
-        self._active_weight: float = 0
-        self._stamps = itertools.count(1)
+        self._queues_by_team: dict[str, _TeamQueue] = {}
+        self._waiting_count = 0
+        self._waiting_weight: float = 0
+        self._stamp_counter = itertools.count(1)
         #: Teams below their share; they go first.
-        self._within = _Tier()
+        self._within_tier = _Tier()
         #: Teams that borrow what nobody below the share wants.
-        self._beyond = _Tier()
+        self._beyond_tier = _Tier()
 
     def __len__(self) -> int:
         """Return the number of tickets that wait."""
-        return self._waiting
+        return self._waiting_count
 
     def set_shares(self, shares_by_team: typing.Mapping[str, float]) -> None:
         """Set the slots that are each team's own; absent teams get none."""
         for team, share in shares_by_team.items():
-            self._line(team).share = share
-        for team, line in list(self._lines.items()):
+            self._team_queue(team).share = share
+        for team, team_queue in list(self._queues_by_team.items()):
             if team not in shares_by_team:
-                line.share = 0
-                if not (line.in_flight or line.waiting):
-                    del self._lines[team]
-        self._relist()
+                team_queue.share = 0
+                if not (team_queue.in_flight or team_queue.waiting_count):
+                    del self._queues_by_team[team]
+        self._relist_waiting_teams()
 
     def push(self, ticket: tickets.Ticket) -> None:
         """Add a ticket behind the others of its team and class."""
@@ -264,51 +264,51 @@
         """Put a ticket back before the others of its team and class."""
         self._add(ticket, front=True)
 
-    def take(self) -> tickets.Ticket | None:
+    def pop(self) -> tickets.Ticket | None:
         """Remove and return the ticket that goes next."""
-        team = self._first_team(self._within)
-        tier = self._within
+        team = self._first_team(self._within_tier)
+        tier = self._within_tier
         if team is None:
-            team = self._first_team(self._beyond)
-            tier = self._beyond
+            team = self._first_team(self._beyond_tier)
+            tier = self._beyond_tier
         if team is None:
             return None
-        line = self._lines[team]
-        ticket = line.first()
-        self._discard(line, ticket)
-        self._charge(tier, line, ticket)
+        team_queue = self._queues_by_team[team]
+        ticket = team_queue.peek()
+        self._discard(team_queue, ticket)
+        self._charge(tier, team_queue, ticket)
         return ticket
 
     def remove(self, ticket: tickets.Ticket) -> None:
         """Remove a ticket that waits."""
-        self._discard(self._lines[ticket.team], ticket)
+        self._discard(self._queues_by_team[ticket.team], ticket)
 
     def displace(self, ticket: tickets.Ticket) -> tickets.Ticket | None:
         """Remove the newest, least urgent ticket of the same team."""
-        line = self._line(ticket.team)
-        less_urgent = line.tickets_by_class[ticket.priority_class + 1 :]
-        by_id = next(filter(None, reversed(less_urgent)), None)
-        if by_id is None:
+        team_queue = self._team_queue(ticket.team)
+        less_urgent = team_queue.tickets_by_class[ticket.priority_class + 1 :]
+        class_tickets = next(filter(None, reversed(less_urgent)), None)
+        if class_tickets is None:
             return None
-        newest = next(reversed(by_id.values()))
-        self._discard(line, newest)
+        newest = next(reversed(class_tickets.values()))
+        self._discard(team_queue, newest)
         return newest
 
-    def started(self, team: str) -> None:
+    def record_start(self, team: str) -> None:
         """Note that a request of the team took a slot."""
-        line = self._line(team)
-        line.in_flight += 1
-        self._update_tier(team, line)
+        team_queue = self._team_queue(team)
+        team_queue.in_flight += 1
+        self._update_tier(team, team_queue)
 
-    def finished(self, team: str) -> None:
+    def record_finish(self, team: str) -> None:
         """Note that a request of the team left its slot."""
-        line = self._line(team)
-        line.in_flight -= 1
-        self._update_tier(team, line)
+        team_queue = self._team_queue(team)
+        team_queue.in_flight -= 1
+        self._update_tier(team, team_queue)
 
-    def waiting(self, team: str) -> int:
+    def waiting_count(self, team: str) -> int:
         """Return the number of the team's tickets that wait."""
-        return self._line(team).waiting
+        return self._team_queue(team).waiting_count
 
     def waiting_cost(
         self,
@@ -316,87 +316,100 @@
         least_urgent: tickets.PriorityClass,
     ) -> float:
         """Return the waiting cost of a team, down to a class."""
-        return sum(self._line(team).cost_by_class[: least_urgent + 1])
+        return sum(self._team_queue(team).cost_by_class[: least_urgent + 1])
 
-    def active_weight(self, team: str) -> float:
+    def weight_fraction(self, team: str) -> float:
         """Return the team's part, 0 to 1, among the teams that wait."""
-        line = self._line(team)
-        others = self._active_weight
-        if line.waiting:
-            others -= line.weight
-        return line.weight / (max(others, 0) + line.weight)
-
-    def _line(self, team: str) -> _TeamLine:
-        line = self._lines.get(team)
-        if line is None:
-            line = _TeamLine(share=0)
-            self._lines[team] = line
-        return line
-
-    def _relist(self) -> None:
-        active = [team for team, line in self._lines.items() if line.waiting]
-        self._active_weight = sum(self._lines[team].weight for team in active)
-        for team in active:
-            self._list_team(team, self._lines[team])
+        team_queue = self._team_queue(team)
+        other_weight = self._waiting_weight
+        if team_queue.waiting_count:
+            other_weight -= team_queue.weight
+        return team_queue.weight / (max(other_weight, 0) + team_queue.weight)
+
+    def _team_queue(self, team: str) -> _TeamQueue:
+        team_queue = self._queues_by_team.get(team)
+        if team_queue is None:
+            team_queue = _TeamQueue(share=0)
+            self._queues_by_team[team] = team_queue
+        return team_queue
+
+    def _relist_waiting_teams(self) -> None:
+        waiting_teams = [
+            team
+            for team, team_queue in self._queues_by_team.items()
+            if team_queue.waiting_count
+        ]
+        self._waiting_weight = sum(
+            self._queues_by_team[team].weight for team in waiting_teams
+        )
+        for team in waiting_teams:
+            self._push_team(team, self._queues_by_team[team])
 
     def _add(self, ticket: tickets.Ticket, *, front: bool) -> None:
-        line = self._line(ticket.team)
-        line.add(ticket, front=front)
-        self._waiting += 1
-        if line.waiting == 1:
-            self._active_weight += line.weight
+        team_queue = self._team_queue(ticket.team)
+        team_queue.add(ticket, front=front)
+        self._waiting_count += 1
+        if team_queue.waiting_count == 1:
+            self._waiting_weight += team_queue.weight
             # A team that was idle starts at the present virtual time, so
             # that it has saved up nothing while it was away.
-            line.tag_within = max(line.tag_within, self._within.virtual_time)
-            line.tag_beyond = max(line.tag_beyond, self._beyond.virtual_time)
-            self._list_team(ticket.team, line)
-
-    def _discard(self, line: _TeamLine, ticket: tickets.Ticket) -> None:
-        line.discard(ticket)
-        self._waiting -= 1
-        if line.waiting:
+            team_queue.start_tag_within = max(
+                team_queue.start_tag_within, self._within_tier.virtual_time
+            )
+            team_queue.start_tag_beyond = max(
+                team_queue.start_tag_beyond, self._beyond_tier.virtual_time
+            )
+            self._push_team(ticket.team, team_queue)
+
+    def _discard(self, team_queue: _TeamQueue, ticket: tickets.Ticket) -> None:
+        team_queue.discard(ticket)
+        self._waiting_count -= 1
+        if team_queue.waiting_count:
             return
-        line.stamp = 0
-        self._active_weight -= line.weight
-        if not self._waiting:
+        team_queue.stamp = 0
+        self._waiting_weight -= team_queue.weight
+        if not self._waiting_count:
             # Sets the sum right again after many float subtractions.
-            self._active_weight = 0
+            self._waiting_weight = 0
 
     def _charge(
         self,
         tier: _Tier,
-        line: _TeamLine,
+        team_queue: _TeamQueue,
         ticket: tickets.Ticket,
     ) -> None:
-        step = ticket.cost / line.weight
-        if tier is self._within:
-            tier.virtual_time = line.tag_within
-            line.tag_within += step
+        tag_step = ticket.cost / team_queue.weight
+        if tier is self._within_tier:
+            tier.virtual_time = team_queue.start_tag_within
+            team_queue.start_tag_within += tag_step
         else:
-            tier.virtual_time = line.tag_beyond
-            line.tag_beyond += step
-        if line.waiting:
-            self._list_team(ticket.team, line)
-
-    def _update_tier(self, team: str, line: _TeamLine) -> None:
-        if line.waiting and line.is_listed_within != line.is_within_share:
-            self._list_team(team, line)
-
-    def _list_team(self, team: str, line: _TeamLine) -> None:
-        line.stamp = next(self._stamps)
-        line.is_listed_within = line.is_within_share
-        if line.is_listed_within:
-            tier, tag = self._within, line.tag_within
+            tier.virtual_time = team_queue.start_tag_beyond
+            team_queue.start_tag_beyond += tag_step
+        if team_queue.waiting_count:
+            self._push_team(ticket.team, team_queue)
+
+    def _update_tier(self, team: str, team_queue: _TeamQueue) -> None:
+        if (
+            team_queue.waiting_count
+            and team_queue.is_listed_within_share != team_queue.is_within_share
+        ):
+            self._push_team(team, team_queue)
+
+    def _push_team(self, team: str, team_queue: _TeamQueue) -> None:
+        team_queue.stamp = next(self._stamp_counter)
+        team_queue.is_listed_within_share = team_queue.is_within_share
+        if team_queue.is_listed_within_share:
+            tier, tag = self._within_tier, team_queue.start_tag_within
         else:
-            tier, tag = self._beyond, line.tag_beyond
-        heapq.heappush(tier.heap, (tag, line.stamp, team))
+            tier, tag = self._beyond_tier, team_queue.start_tag_beyond
+        heapq.heappush(tier.heap, (tag, team_queue.stamp, team))
 
     def _first_team(self, tier: _Tier) -> str | None:
         heap = tier.heap
         while heap:
             _, stamp, team = heap[0]
-            line = self._lines.get(team)
-            if line is not None and line.stamp == stamp:
+            team_queue = self._queues_by_team.get(team)
+            if team_queue is not None and team_queue.stamp == stamp:
                 return team
             heapq.heappop(heap)
         return None
--- a/clementinepass/decisions/reasons.py
+++ b/clementinepass/decisions/reasons.py
@@ -22,7 +22,7 @@
     UNKNOWN_TEAM = 'unknown_team'
 
 
-class Placement(enum.Enum):
+class Selection(enum.Enum):
     """Why an endpoint was chosen."""
 
     #: It was the cheapest of those compared.
@@ -32,7 +32,7 @@
     #: All candidates seemed full or were ejected; the gate decides.
     NONE_USABLE = 'none_usable'
     #: It was next in turn.
-    TURN = 'turn'
+    ROUND_ROBIN = 'turn'
 
 
 class Retry(enum.Enum):
--- a/clementinepass/decisions/retry_budget.py
+++ b/clementinepass/decisions/retry_budget.py
@@ -15,26 +15,26 @@
 
 #: Retries that may be saved up in quiet times. Ten hide the crash of one
 #: endpoint at low traffic and are too few to keep an overload alive.
-_MOST_SAVED = 10.0
+_MAX_TOKENS = 10.0
 #: Attempts of one request in all. A third try seldom finds what two did not.
-_MOST_ATTEMPTS = 3
+_MAX_ATTEMPTS = 3
 #: One retry after a crash: the request itself may be what kills endpoints, so
 #: it may take down two at most before it is quarantined.
-_MOST_CRASHES = 1
+_MAX_CRASHES = 1
 
 
 class Budget(typing.Protocol):
     """Decide whether one more retry fits."""
 
-    def fresh(self, now: float) -> None:
+    def record_first_attempt(self, now: float) -> None:
         """Note a request that is sent for the first time."""
 
-    def may_retry(self, now: float) -> bool:
+    def try_acquire(self, now: float) -> bool:
         """Take one retry out of the budget, if there is one."""
 
 
 @dataclasses.dataclass(slots=True, frozen=True)
-class Attempt:
+class FailedAttempt:
     """The failed attempt that might be repeated."""
 
     #: Attempts so far, this one included.
@@ -52,10 +52,10 @@
 
     __slots__ = ()
 
-    def fresh(self, now: float) -> None:
+    def record_first_attempt(self, now: float) -> None:
         """Ignore the request."""
 
-    def may_retry(self, now: float) -> bool:
+    def try_acquire(self, now: float) -> bool:
         """Allow the retry."""
         return True
 
@@ -67,18 +67,18 @@
 
     def __init__(self, share: float) -> None:
         self._share = share
-        self._tokens = _MOST_SAVED
+        self._tokens = _MAX_TOKENS
 
     @classmethod
     def from_share(cls, share: float) -> RetryBudget:
         """Create a budget of ``share`` retries for each fresh request."""
         return cls(share)
 
-    def fresh(self, now: float) -> None:
+    def record_first_attempt(self, now: float) -> None:
         """Note a request that is sent for the first time."""
-        self._tokens = min(self._tokens + self._share, _MOST_SAVED)
+        self._tokens = min(self._tokens + self._share, _MAX_TOKENS)
 
-    def may_retry(self, now: float) -> bool:
+    def try_acquire(self, now: float) -> bool:
         """Take one retry out of the budget, if there is one."""
         if self._tokens < 1:
             return False
@@ -86,7 +86,7 @@
         return True
 
 
-def decide(attempt: Attempt, budget: Budget, now: float) -> reasons.Retry:
+def decide(attempt: FailedAttempt, budget: Budget, now: float) -> reasons.Retry:
     """Decide whether a failed attempt is repeated.
 
     The checks that protect correctness come before the budget, so that a
@@ -94,10 +94,10 @@
     """
     if attempt.may_have_run and not attempt.idempotent:
         return reasons.Retry.MAY_HAVE_RUN
-    if attempt.crashes > _MOST_CRASHES:
+    if attempt.crashes > _MAX_CRASHES:
         return reasons.Retry.CRASHED_TWICE
-    if attempt.attempts >= _MOST_ATTEMPTS:
+    if attempt.attempts >= _MAX_ATTEMPTS:
         return reasons.Retry.TOO_MANY_ATTEMPTS
-    if budget.may_retry(now):
+    if budget.try_acquire(now):
         return reasons.Retry.ALLOWED
     return reasons.Retry.BUDGET_SPENT
--- a/clementinepass/decisions/placing.py
+++ b/clementinepass/decisions/selection.py
@@ -25,23 +25,23 @@
     endpoint_id: str
     failure_domain: str
     #: Requests running there by its last report, from all entries; it lags.
-    running_reported: int
+    reported_running: int
     #: Requests that it runs at a time.
     capacity: int
     #: Requests of this entry in flight there; exact.
     own_in_flight: int
     #: Whether the ejector has taken it out.
-    ejected: bool = False
+    is_ejected: bool = False
     #: Dispatches of this entry, less those finished, since that report.
-    own_since_report: int = 0
+    own_change_since_report: int = 0
     #: Seconds since that report was taken.
-    report_age: float = 0
+    report_age_seconds: float = 0
 
     @property
-    def others_reported(self) -> int:
+    def others_running(self) -> int:
         """Return what ran there for other entries at the last report."""
-        own_then = self.own_in_flight - self.own_since_report
-        return max(self.running_reported - own_then, 0)
+        own_at_report = self.own_in_flight - self.own_change_since_report
+        return max(self.reported_running - own_at_report, 0)
 
 
 @dataclasses.dataclass(slots=True, frozen=True)
@@ -49,12 +49,12 @@
     """The endpoint chosen, and why."""
 
     endpoint_id: str
-    reason: reasons.Placement
+    reason: reasons.Selection
     #: The expected cost in seconds, as compared between candidates.
     cost: float = 0
 
 
-class Placer(typing.Protocol):
+class Selector(typing.Protocol):
     """Choose among endpoints."""
 
     def choose(
@@ -71,23 +71,23 @@
     """What makes up the expected time to first token, in seconds."""
 
     #: Time that a request occupies its slot.
-    service: float = 1
+    service_seconds: float = 1
     #: Time to process a prompt of which nothing is cached.
-    prefill: float = 0.1
+    prefill_seconds: float = 0.1
     #: Delay of the first token when all slots of the endpoint decode.
-    interference: float = 0.1
+    interference_seconds: float = 0.1
     #: Price of another failure domain. Small against a queue, so that it
     #: decides only between endpoints that are about equally busy.
-    other_domain: float = 0.01
+    other_domain_seconds: float = 0.01
 
 
-class RoundRobinPlacer:
+class RoundRobinSelector:
     """A baseline: one after the other."""
 
-    __slots__ = ('_turn',)
+    __slots__ = ('_counter',)
 
     def __init__(self) -> None:
-        self._turn = 0
+        self._counter = 0
 
     def choose(
         self,
@@ -98,12 +98,12 @@
         """Return the next in turn."""
         if not candidates:
             return None
-        self._turn += 1
-        candidate = candidates[self._turn % len(candidates)]
-        return Choice(candidate.endpoint_id, reasons.Placement.TURN)
+        self._counter += 1
+        candidate = candidates[self._counter % len(candidates)]
+        return Choice(candidate.endpoint_id, reasons.Selection.ROUND_ROBIN)
 
 
-class LeastInFlightPlacer:
+class LeastInFlightSelector:
     """A baseline: the endpoint with the fewest requests of this entry."""
 
     __slots__ = ()
@@ -118,39 +118,41 @@
         if not candidates:
             return None
         candidate = min(candidates, key=_own_in_flight)
-        return Choice(candidate.endpoint_id, reasons.Placement.LEAST_COST)
+        return Choice(candidate.endpoint_id, reasons.Selection.LEAST_COST)
 
 
-class PrefixMemory:
+class PrefixAffinity:
     """Where a prefix was sent lately; bounded in number and in time."""
 
-    __slots__ = ('_by_key', '_lifetime', '_most')
+    __slots__ = ('_expiries_by_prefix', '_lifetime_seconds', '_max_prefixes')
 
-    def __init__(self, *, most: int = 10_000, lifetime: float = 30) -> None:
-        self._most = most
-        self._lifetime = lifetime
-        self._by_key: collections.OrderedDict[str, dict[str, float]]
-        self._by_key = collections.OrderedDict()
+    def __init__(
+        self, *, max_prefixes: int = 10_000, lifetime_seconds: float = 30
+    ) -> None:
+        self._max_prefixes = max_prefixes
+        self._lifetime_seconds = lifetime_seconds
+        self._expiries_by_prefix: collections.OrderedDict[str, dict[str, float]]
+        self._expiries_by_prefix = collections.OrderedDict()
 
-    def note(self, prefix_key: str, endpoint_id: str, now: float) -> None:
+    def record(self, prefix_key: str, endpoint_id: str, now: float) -> None:
         """Note that a request with the prefix was sent to an endpoint.
 
         The least recently used prefix is forgotten beyond the bound, since
         callers make up as many prefixes as they like.
         """
-        expiry_by_id = self._by_key.setdefault(prefix_key, {})
-        expiry_by_id[endpoint_id] = now + self._lifetime
-        self._by_key.move_to_end(prefix_key)
-        if len(self._by_key) > self._most:
-            self._by_key.popitem(last=False)
+        expiry_by_id = self._expiries_by_prefix.setdefault(prefix_key, {})
+        expiry_by_id[endpoint_id] = now + self._lifetime_seconds
+        self._expiries_by_prefix.move_to_end(prefix_key)
+        if len(self._expiries_by_prefix) > self._max_prefixes:
+            self._expiries_by_prefix.popitem(last=False)
 
-    def warm(self, prefix_key: str, now: float) -> frozenset[str]:
+    def warm_endpoints(self, prefix_key: str, now: float) -> frozenset[str]:
         """Return the endpoints that probably still hold the prefix.
 
         The lifetime is for caches that evict without telling: trusting one
         that has forgotten sends the request into a queue for nothing.
         """
-        expiry_by_id = self._by_key.get(prefix_key)
+        expiry_by_id = self._expiries_by_prefix.get(prefix_key)
         if not expiry_by_id:
             return frozenset()
         expired = [
@@ -163,7 +165,7 @@
         return frozenset(expiry_by_id)
 
 
-class CostPlacer:
+class CostSelector:
     """Compare the expected cost of a few endpoints drawn at random.
 
     Load: many entries that place on the same reports, up to 2 s old. Harm: if
@@ -178,7 +180,7 @@
     :param memory: prefers endpoints that hold a prompt's prefix, if given.
     """
 
-    __slots__ = ('_costs', '_domain', '_memory', '_rng', '_sample')
+    __slots__ = ('_costs', '_domain', '_affinity', '_rng', '_sample_size')
 
     def __init__(
         self,
@@ -186,14 +188,14 @@
         *,
         domain: str = '',
         costs: Costs | None = None,
-        sample: int = 8,
-        memory: PrefixMemory | None = None,
+        sample_size: int = 8,
+        affinity: PrefixAffinity | None = None,
     ) -> None:
         self._rng = rng
         self._domain = domain
         self._costs = costs or Costs()
-        self._sample = sample
-        self._memory = memory
+        self._sample_size = sample_size
+        self._affinity = affinity
 
     def choose(
         self,
@@ -204,60 +206,72 @@
         """Return the cheapest of a sample, or one that holds the prefix."""
         if not candidates:
             return None
-        choice = self._choose_cold(candidates)
-        if self._memory is None or not prefix_key:
+        choice = self._choose_by_cost(candidates)
+        if self._affinity is None or not prefix_key:
             return choice
         choice = self._prefer_warm(candidates, now, prefix_key, choice)
-        self._memory.note(prefix_key, choice.endpoint_id, now)
+        self._affinity.record(prefix_key, choice.endpoint_id, now)
         return choice
 
-    def _choose_cold(
+    def _choose_by_cost(
         self,
         candidates: typing.Sequence[Candidate],
     ) -> Choice:
-        drawn = self._draw(candidates)
-        reason = reasons.Placement.LEAST_COST
-        usable = self._usable(drawn) or self._estimates(self._scan(candidates))
+        sampled = self._draw_sample(candidates)
+        reason = reasons.Selection.LEAST_COST
+        usable = self._usable_estimates(sampled) or self._estimate_loads(
+            self._find_free(candidates)
+        )
         if not usable:
             # Load: every endpoint looks full or bad. Harm: refusing all
             # because of reports that lag and a judgement that only compares
             # peers. The gate at the endpoint knows better; let it decide.
-            in_use = [one for one in drawn if not one.ejected]
-            usable = self._estimates(in_use or drawn)
-            reason = reasons.Placement.NONE_USABLE
-        best = min(usable, key=self._cost)
-        return Choice(best.candidate.endpoint_id, reason, self._cost(best))
+            not_ejected = [
+                endpoint for endpoint in sampled if not endpoint.is_ejected
+            ]
+            usable = self._estimate_loads(not_ejected or sampled)
+            reason = reasons.Selection.NONE_USABLE
+        best_estimate = min(usable, key=self._expected_cost)
+        return Choice(
+            best_estimate.candidate.endpoint_id,
+            reason,
+            self._expected_cost(best_estimate),
+        )
 
     def _prefer_warm(
         self,
         candidates: typing.Sequence[Candidate],
         now: float,
         prefix_key: str,
-        cold: Choice,
+        cheapest: Choice,
     ) -> Choice:
         # Load: many requests that begin with the same long prompt. Harm:
         # each endpoint computes each prompt again and again. The bound on
         # the cost keeps a popular prompt from queueing at one endpoint
         # while others are free: its saving must outweigh the wait.
-        if self._memory is None:
-            return cold
-        warm_ids = self._memory.warm(prefix_key, now)
-        warm = self._usable(
-            [one for one in candidates if one.endpoint_id in warm_ids],
+        if self._affinity is None:
+            return cheapest
+        warm_ids = self._affinity.warm_endpoints(prefix_key, now)
+        warm_estimates = self._usable_estimates(
+            [
+                endpoint
+                for endpoint in candidates
+                if endpoint.endpoint_id in warm_ids
+            ],
         )
-        if not warm:
-            return cold
-        best = min(warm, key=self._cost)
-        cost = self._cost(best) - self._costs.prefill
-        if cost > cold.cost:
-            return cold
+        if not warm_estimates:
+            return cheapest
+        best_estimate = min(warm_estimates, key=self._expected_cost)
+        cost = self._expected_cost(best_estimate) - self._costs.prefill_seconds
+        if cost > cheapest.cost:
+            return cheapest
         return Choice(
-            best.candidate.endpoint_id,
-            reasons.Placement.WARM_PREFIX,
+            best_estimate.candidate.endpoint_id,
+            reasons.Selection.WARM_PREFIX,
             cost,
         )
 
-    def _draw(
+    def _draw_sample(
         self,
         candidates: typing.Sequence[Candidate],
     ) -> typing.Sequence[Candidate]:
@@ -265,10 +279,10 @@
         # told apart by their place. Otherwise the requests of a quiet hour
         # would all go to the first endpoint, and those of all entries to the
         # same one.
-        number = min(len(candidates), self._sample)
-        return self._rng.sample(candidates, number)
+        sample_size = min(len(candidates), self._sample_size)
+        return self._rng.sample(candidates, sample_size)
 
-    def _scan(
+    def _find_free(
         self,
         candidates: typing.Sequence[Candidate],
     ) -> list[Candidate]:
@@ -284,24 +298,26 @@
             itertools.islice(candidates, start),
         )
         return list(
-            itertools.islice(filter(_has_room, rotated), self._sample),
+            itertools.islice(
+                filter(_has_free_slot, rotated), self._sample_size
+            ),
         )
 
-    def _usable(
+    def _usable_estimates(
         self,
         candidates: typing.Sequence[Candidate],
-    ) -> list[_Estimate]:
+    ) -> list[_LoadEstimate]:
         return [
             estimate
-            for estimate in self._estimates(candidates)
+            for estimate in self._estimate_loads(candidates)
             if estimate.load < estimate.candidate.capacity
-            and not estimate.candidate.ejected
+            and not estimate.candidate.is_ejected
         ]
 
-    def _estimates(
+    def _estimate_loads(
         self,
         candidates: typing.Sequence[Candidate],
-    ) -> list[_Estimate]:
+    ) -> list[_LoadEstimate]:
         """Estimate what runs at each candidate now.
 
         Load: reports 2 s late while a request takes 1 s. Harm: what the
@@ -310,47 +326,52 @@
         its deviation from the mean, the less the older it is; the own count
         is exact.
         """
-        others = [candidate.others_reported for candidate in candidates]
-        if not others:
+        others_by_candidate = [
+            candidate.others_running for candidate in candidates
+        ]
+        if not others_by_candidate:
             return []
-        mean = sum(others) / len(others)
+        mean_others = sum(others_by_candidate) / len(others_by_candidate)
         return [
-            _Estimate(
+            _LoadEstimate(
                 candidate,
                 candidate.own_in_flight
-                + mean
-                + (reported - mean) * self._confidence(candidate.report_age),
+                + mean_others
+                + (reported - mean_others)
+                * self._report_confidence(candidate.report_age_seconds),
+            )
+            for candidate, reported in zip(
+                candidates, others_by_candidate, strict=True
             )
-            for candidate, reported in zip(candidates, others, strict=True)
         ]
 
-    def _confidence(self, report_age: float) -> float:
-        return math.exp(-report_age / self._costs.service)
+    def _report_confidence(self, report_age_seconds: float) -> float:
+        return math.exp(-report_age_seconds / self._costs.service_seconds)
 
-    def _cost(self, estimate: _Estimate) -> float:
+    def _expected_cost(self, estimate: _LoadEstimate) -> float:
         costs = self._costs
         capacity = max(estimate.candidate.capacity, 1)
-        ahead = max(estimate.load + 1 - capacity, 0)
-        wait = ahead * costs.service / capacity
-        interference = costs.interference * estimate.load / capacity
-        cost = wait + costs.prefill + interference
+        queued_ahead = max(estimate.load + 1 - capacity, 0)
+        wait_seconds = queued_ahead * costs.service_seconds / capacity
+        interference = costs.interference_seconds * estimate.load / capacity
+        cost = wait_seconds + costs.prefill_seconds + interference
         if estimate.candidate.failure_domain != self._domain:
-            cost += costs.other_domain
+            cost += costs.other_domain_seconds
         return cost
 
 
 @dataclasses.dataclass(slots=True, frozen=True)
-class _Estimate:
+class _LoadEstimate:
     """A candidate with the load that it probably has now."""
 
     candidate: Candidate
     load: float
 
 
-def _has_room(candidate: Candidate) -> bool:
-    reported = candidate.running_reported + candidate.own_since_report
+def _has_free_slot(candidate: Candidate) -> bool:
+    reported = candidate.reported_running + candidate.own_change_since_report
     load = max(reported, candidate.own_in_flight)
-    return load < candidate.capacity and not candidate.ejected
+    return load < candidate.capacity and not candidate.is_ejected
 
 
 def _own_in_flight(candidate: Candidate) -> int:
--- a/clementinepass/decisions/service_time.py
+++ b/clementinepass/decisions/service_time.py
@@ -5,7 +5,7 @@
 #: Weight of a new sample; about the last 20 requests count.
 _GAIN = 0.1
 #: Deviations added for the cautious estimate.
-_CAUTION = 2
+_CONSERVATIVE_DEVIATIONS = 2
 
 
 class ServiceTime:
@@ -27,9 +27,9 @@
         return self._mean
 
     @property
-    def cautious(self) -> float:
+    def conservative(self) -> float:
         """Return the seconds that few requests exceed."""
-        return self._mean + _CAUTION * self._deviation
+        return self._mean + _CONSERVATIVE_DEVIATIONS * self._deviation
 
     def observe(self, seconds: float, cost: float) -> None:
         """Note that work of ``cost`` took ``seconds``."""
--- a/clementinepass/decisions/shares.py
+++ b/clementinepass/decisions/shares.py
@@ -26,7 +26,7 @@
 import typing
 
 #: Amounts below this are not worth a transfer.
-_LEAST_TRANSFER = 0.01
+_MIN_TRANSFER = 0.01
 
 
 @dataclasses.dataclass(slots=True, frozen=True)
@@ -50,7 +50,7 @@
 class Share(typing.Protocol):
     """One entry's part of one team's promise."""
 
-    def held(self) -> float:
+    def held_slots(self) -> float:
         """Return the slots that are the team's own at this entry."""
 
     def receive(self, report: Report) -> None:
@@ -63,22 +63,22 @@
 class EqualShare:
     """The baseline: each entry has the same part for good."""
 
-    __slots__ = ('_entry', '_part')
+    __slots__ = ('_entry', '_slots')
 
     def __init__(self, entry: str, promise: float, entries: int) -> None:
         self._entry = entry
-        self._part = promise / entries
+        self._slots = promise / entries
 
-    def held(self) -> float:
+    def held_slots(self) -> float:
         """Return the equal part."""
-        return self._part
+        return self._slots
 
     def receive(self, report: Report) -> None:
         """Ignore the report."""
 
     def report(self, demand: float) -> Report:
         """Return a report that gives nothing."""
-        return Report(self._entry, '', demand, self._part, {}, {})
+        return Report(self._entry, '', demand, self._slots, {}, {})
 
 
 class PromiseShare:
@@ -145,7 +145,7 @@
         """Return the view that this share belongs to."""
         return self._epoch
 
-    def held(self) -> float:
+    def held_slots(self) -> float:
         """Return the slots that are the team's own at this entry."""
         received = sum(self._received_by_entry.values())
         given = sum(self._given_by_entry.values())
@@ -157,52 +157,56 @@
             return
         self._reports_by_entry[report.entry] = report
         given = report.given_by_entry.get(self._entry, 0)
-        known = self._received_by_entry.get(report.entry, 0)
-        self._received_by_entry[report.entry] = max(given, known)
+        known_received = self._received_by_entry.get(report.entry, 0)
+        self._received_by_entry[report.entry] = max(given, known_received)
 
     def report(self, demand: float) -> Report:
         """Give away what is not needed, and return the report to send."""
         self._demand = demand
-        self._give()
+        self._transfer_surplus()
         return Report(
             self._entry,
             self._epoch,
             demand,
-            self.held(),
+            self.held_slots(),
             dict(self._given_by_entry),
             dict(self._received_by_entry),
         )
 
-    def _give(self) -> None:
-        targets = self._targets()
-        surplus = self.held() - targets[self._entry]
-        if surplus < _LEAST_TRANSFER:
+    def _transfer_surplus(self) -> None:
+        fair_slots_by_entry = self._fair_slots_by_entry()
+        surplus = self.held_slots() - fair_slots_by_entry[self._entry]
+        if surplus < _MIN_TRANSFER:
             return
-        lacks_by_entry = {
-            peer: max(targets[peer] - self._arriving(report), 0)
+        deficits_by_entry = {
+            peer: max(
+                fair_slots_by_entry[peer] - self._held_or_arriving(report), 0
+            )
             for peer, report in self._reports_by_entry.items()
         }
-        lack = sum(lacks_by_entry.values())
-        if lack < _LEAST_TRANSFER:
+        total_deficit = sum(deficits_by_entry.values())
+        if total_deficit < _MIN_TRANSFER:
             return
         # Several entries may see the same lack; each covers it in proportion
         # to its part of all surplus, or the lack would be filled many times.
-        surplus_of_all = surplus + sum(
-            max(report.held - targets[peer], 0)
+        total_surplus = surplus + sum(
+            max(report.held - fair_slots_by_entry[peer], 0)
             for peer, report in self._reports_by_entry.items()
         )
-        gift = surplus * min(lack / surplus_of_all, 1)
-        for peer, peer_lack in lacks_by_entry.items():
+        transfer = surplus * min(total_deficit / total_surplus, 1)
+        for peer, deficit in deficits_by_entry.items():
             given = self._given_by_entry.get(peer, 0)
-            self._given_by_entry[peer] = given + gift * peer_lack / lack
+            self._given_by_entry[peer] = (
+                given + transfer * deficit / total_deficit
+            )
 
-    def _arriving(self, report: Report) -> float:
+    def _held_or_arriving(self, report: Report) -> float:
         """Return what a peer holds or is about to receive from here."""
         given = self._given_by_entry.get(report.entry, 0)
         arrived = report.received_by_entry.get(self._entry, 0)
         return report.held + max(given - arrived, 0)
 
-    def _targets(self) -> dict[str, float]:
+    def _fair_slots_by_entry(self) -> dict[str, float]:
         """Return the part that each entry should have, by max-min fairness.
 
         Demand beyond the promise is cut evenly; what nobody wants stays
@@ -212,11 +216,11 @@
         for peer, report in self._reports_by_entry.items():
             demands[peer] = report.demand
         demands[self._entry] = self._demand
-        left = self._promise
-        targets: dict[str, float] = {}
-        by_demand = sorted(demands, key=demands.__getitem__)
-        for index, entry in enumerate(by_demand):
-            level = left / (len(by_demand) - index)
-            targets[entry] = min(demands[entry], level)
-            left -= targets[entry]
-        return targets
+        remaining = self._promise
+        fair_slots_by_entry: dict[str, float] = {}
+        entries_by_demand = sorted(demands, key=demands.__getitem__)
+        for index, entry in enumerate(entries_by_demand):
+            equal_part = remaining / (len(entries_by_demand) - index)
+            fair_slots_by_entry[entry] = min(demands[entry], equal_part)
+            remaining -= fair_slots_by_entry[entry]
+        return fair_slots_by_entry
--- a/clementinepass/decisions/subsetting.py
+++ b/clementinepass/decisions/subsetting.py
@@ -20,26 +20,26 @@
     from collections.abc import Iterable
 
 #: Engines of the own failure domain that an entry uses.
-_MOST_NEAR = 16
+_MAX_SAME_DOMAIN = 16
 #: Engines elsewhere that it uses.
-_MOST_FAR = 4
+_MAX_OTHER_DOMAINS = 4
 #: Engines that it uses at least, if there are so many: in a small fleet all, as
 #: a domain may have a single engine that works.
-_LEAST = 12
+_MIN_ENGINES = 12
 #: Seconds between two reports of an engine's load: at least. Requests that an
 #: entry sends meanwhile are added by itself, and those of others are not known.
-_SHORTEST_INTERVAL = 0.1
+_MIN_INTERVAL_SECONDS = 0.1
 #: The longest. Over a second an engine ends half of what it runs, and its last
 #: report says nothing any more.
-_LONGEST_INTERVAL = 0.5
+_MAX_INTERVAL_SECONDS = 0.5
 #: Reports that one agent sends in a second, over all entries.
 _REPORTS_PER_SECOND = 240
 
 
 def subset(
-    own_ip: str,
-    near: Iterable[str],
-    far: Iterable[str],
+    entry_ip: str,
+    same_domain: Iterable[str],
+    other_domains: Iterable[str],
 ) -> list[str]:
     """Return the engines that an entry uses, by rendezvous hashing.
 
@@ -49,8 +49,12 @@
     :param near: addresses of the engines in its failure domain.
     :param far: those of the others.
     """
-    chosen = _highest(own_ip, near, _MOST_NEAR)
-    return chosen + _highest(own_ip, far, max(_MOST_FAR, _LEAST - len(chosen)))
+    chosen = _top_ranked(entry_ip, same_domain, _MAX_SAME_DOMAIN)
+    return chosen + _top_ranked(
+        entry_ip,
+        other_domains,
+        max(_MAX_OTHER_DOMAINS, _MIN_ENGINES - len(chosen)),
+    )
 
 
 def report_interval(subscribers: int) -> float:
@@ -59,11 +63,13 @@
     :param subscribers: entries that are told.
     """
     seconds = subscribers / _REPORTS_PER_SECOND
-    return min(max(seconds, _SHORTEST_INTERVAL), _LONGEST_INTERVAL)
+    return min(max(seconds, _MIN_INTERVAL_SECONDS), _MAX_INTERVAL_SECONDS)
 
 
-def _highest(own_ip: str, addresses: Iterable[str], most: int) -> list[str]:
+def _top_ranked(
+    entry_ip: str, addresses: Iterable[str], limit: int
+) -> list[str]:
     return sorted(
         addresses,
-        key=lambda address: zlib.crc32(f'{own_ip} {address}'.encode()),
-    )[:most]
+        key=lambda address: zlib.crc32(f'{entry_ip} {address}'.encode()),
+    )[:limit]
--- a/clementinepass/decisions/tickets.py
+++ b/clementinepass/decisions/tickets.py
@@ -18,7 +18,7 @@
     BATCH = 2
 
 
-class Kind(enum.Enum):
+class DecisionKind(enum.Enum):
     """What was decided about a request."""
 
     #: Start it now; a slot is taken until it is reported as finished.
@@ -49,7 +49,7 @@
     """What was decided about a ticket, and why."""
 
     ticket: Ticket
-    kind: Kind
+    kind: DecisionKind
     #: Set for refusals only.
     reason: reasons.Refusal | None = None
     #: Seconds after which asking again makes sense; refusals only.
--- a/clementinepass/decisions/window_budget.py
+++ b/clementinepass/decisions/window_budget.py
@@ -13,7 +13,7 @@
 #: The part of the bound that is used. The rest covers what an entry can't
 #: see: repeats of a process that was restarted within the window, entries
 #: that count one another differently, and windows that lie otherwise.
-_USED_PART = 0.6
+_USABLE_FRACTION = 0.6
 
 
 class WindowBudget:
@@ -24,35 +24,35 @@
     :param window: seconds.
     """
 
-    __slots__ = ('_first', '_repeats', '_share', '_surplus', '_window')
+    __slots__ = ('_first_attempts', '_retries', '_share', '_surplus', '_window')
 
     def __init__(self, share: float, surplus: float, window: float) -> None:
         self._share = share
         self._surplus = surplus
         self._window = window
-        self._first: collections.deque[float] = collections.deque()
-        self._repeats: collections.deque[float] = collections.deque()
+        self._first_attempts: collections.deque[float] = collections.deque()
+        self._retries: collections.deque[float] = collections.deque()
 
-    def sent_first(self, now: float) -> None:
+    def record_first_attempt(self, now: float) -> None:
         """Note a request that is sent for the first time."""
-        self._forget(now)
-        self._first.append(now)
+        self._drop_expired(now)
+        self._first_attempts.append(now)
 
-    def may_repeat(self, now: float, entries: int) -> bool:
+    def try_acquire(self, now: float, entry_count: int) -> bool:
         """Take one repeat out of the budget, if there is one.
 
         :param entries: how many entries draw on it.
         """
-        self._forget(now)
-        allowed = self._share * len(self._first)
-        allowed += self._surplus / max(entries, 1)
-        if len(self._repeats) + 1 > allowed * _USED_PART:
+        self._drop_expired(now)
+        allowed_retries = self._share * len(self._first_attempts)
+        allowed_retries += self._surplus / max(entry_count, 1)
+        if len(self._retries) + 1 > allowed_retries * _USABLE_FRACTION:
             return False
-        self._repeats.append(now)
+        self._retries.append(now)
         return True
 
-    def _forget(self, now: float) -> None:
+    def _drop_expired(self, now: float) -> None:
         oldest = now - self._window
-        for times in (self._first, self._repeats):
+        for times in (self._first_attempts, self._retries):
             while times and times[0] < oldest:
                 times.popleft()
--- a/clementinepass/direct/cluster_state.py
+++ b/clementinepass/direct/cluster_state.py
@@ -197,7 +197,7 @@
     def failed(self, endpoint: endpoints.Endpoint, now: float) -> None:
         """Note a failure, unless it is of a start that is over."""
         if self.endpoints.get(endpoint.listing.id) is endpoint:
-            self.ejector.failed(endpoint.listing.id, now)
+            self.ejector.observe_failure(endpoint.listing.id, now)
 
     def heard_held(self, held: heartbeats.Held, now: float) -> None:
         """Take an agent's word on its engine and its link."""
@@ -307,5 +307,5 @@
     before came after that, and requests went to weights that the engine no
     longer held.
     """
-    is_over = incarnations.is_over(endpoint.weights_started, started)
+    is_over = incarnations.is_superseded(endpoint.weights_started, started)
     return not is_over and endpoint.gone_at is None
--- a/clementinepass/direct/endpoints.py
+++ b/clementinepass/direct/endpoints.py
@@ -70,7 +70,7 @@
     heartbeat: int
     weights: Weights
     #: When its process started, in milliseconds of Unix time.
-    started: int = incarnations.UNTOLD
+    started: int = incarnations.UNKNOWN_START
     #: Grows with each word in the list, whosever it is.
     written: int = 0
 
@@ -254,7 +254,7 @@
         if known is None:
             self._add(Endpoint(listing))
             return True
-        order = incarnations.order(known.listing.stamp, listing.stamp)
+        order = incarnations.compare(known.listing.stamp, listing.stamp)
         if order is incarnations.Order.OLDER_START:
             return False
         is_moved = listing.is_elsewhere(known.listing)
@@ -264,7 +264,7 @@
             # dropped it are all that a restart shows.
             may_have_restarted = (
                 known.removed_at is not None
-                and listing.started == incarnations.UNTOLD
+                and listing.started == incarnations.UNKNOWN_START
             )
             if not (leaves_here or may_have_restarted):
                 return False
@@ -332,7 +332,7 @@
         returned = known.removed_at is not None
         is_same = listing == known.listing._replace(written=listing.written)
         changed = returned or known.is_unreadable or not is_same
-        is_current = not incarnations.is_over(
+        is_current = not incarnations.is_superseded(
             known.weights_started, listing.started
         )
         if listing.weights != known.listing.weights and is_current:
--- a/clementinepass/direct/heartbeats.py
+++ b/clementinepass/direct/heartbeats.py
@@ -33,7 +33,7 @@
 
     active: int
     queued: int
-    started: int = incarnations.UNTOLD
+    started: int = incarnations.UNKNOWN_START
 
 
 class Held(typing.NamedTuple):
@@ -48,7 +48,7 @@
     first: int
     end: int
     congested: bool = False
-    started: int = incarnations.UNTOLD
+    started: int = incarnations.UNKNOWN_START
 
 
 class Heartbeat(msgspec.Struct, kw_only=True):
--- a/clementinepass/direct/path.py
+++ b/clementinepass/direct/path.py
@@ -247,23 +247,23 @@
     def _note_sending(self, admitted: serving.Serving) -> None:
         if not admitted.attempts:
             now = asyncio.get_running_loop().time()
-            self._budget(admitted.service.name).sent_first(now)
+            self._budget(admitted.service.name).record_first_attempt(now)
 
     def _may_repeat(self, admitted: serving.Serving) -> bool:
         now = asyncio.get_running_loop().time()
         decision = next_try.decide(
-            next_try.Past(
+            next_try.AttemptHistory(
                 attempts=len(admitted.attempts),
                 runs=admitted.runs,
-                most_runs=admitted.route.most_attempts,
-                repeatable=admitted.route.repeatable,
+                max_runs=admitted.route.most_attempts,
+                is_repeatable=admitted.route.repeatable,
                 seconds_left=_seconds_left(admitted, now),
             ),
         )
-        allowed = decision is next_try.NextTry.ALLOWED
+        allowed = decision is next_try.RetryDecision.ALLOWED
         if allowed:
             budget = self._budget(admitted.service.name)
-            allowed = budget.may_repeat(now, self._entries())
+            allowed = budget.try_acquire(now, self._entries())
         self._log.repeat(admitted, decision, allowed)
         return allowed
 
--- a/clementinepass/direct/placing.py
+++ b/clementinepass/direct/placing.py
@@ -104,7 +104,7 @@
 
         Where all do, each would be the wrong one to leave out.
         """
-        ejected = self._cluster.ejector.ejected(now)
+        ejected = self._cluster.ejector.ejected_endpoints(now)
         sound = [
             one
             for one in untried
--- a/clementinepass/direct/request_log.py
+++ b/clementinepass/direct/request_log.py
@@ -233,7 +233,7 @@
     def repeat(
         self,
         admitted: serving.Serving,
-        decision: next_try.NextTry,
+        decision: next_try.RetryDecision,
         allowed: bool,  # noqa: FBT001
     ) -> None:
         """Tell whether a request is sent once more."""
--- a/clementinepass/direct/telling.py
+++ b/clementinepass/direct/telling.py
@@ -38,7 +38,7 @@
         self._peers = peers
         self._held: endpoints.Weights | None = None
         #: When the engine started that holds them.
-        self._started = incarnations.UNTOLD
+        self._started = incarnations.UNKNOWN_START
         #: When entries were last told that the link is slow; ``None`` where
         #: they take it for sound.
         self._congested_at: float | None = None
--- a/clementinepass/direct/weights.py
+++ b/clementinepass/direct/weights.py
@@ -23,7 +23,7 @@
     orders: int
     active: int
     queued: int
-    started: int = incarnations.UNTOLD
+    started: int = incarnations.UNKNOWN_START
 
 
 class Piece(typing.NamedTuple):
--- a/clementinepass/entry/desk.py
+++ b/clementinepass/entry/desk.py
@@ -61,7 +61,7 @@
         """Wait until the request may start, or is refused."""
         self._count(ticket.team, 1)
         decision = self._controller.offer(ticket, self._clock.now())
-        if decision.kind is tickets.Kind.QUEUE:
+        if decision.kind is tickets.DecisionKind.QUEUE:
             decision = await self._wait(ticket)
         return self._counted(decision)
 
@@ -75,7 +75,7 @@
 
         :param found_full: whether the gates refused for lack of a slot.
         """
-        self._controller.returned(
+        self._controller.requeue(
             ticket,
             self._clock.now(),
             found_full=found_full,
@@ -85,7 +85,7 @@
     def leave(self, ticket: tickets.Ticket, *, succeeded: bool) -> None:
         """Free the slot of a request that was admitted."""
         self._count(ticket.team, -1)
-        self._controller.finished(
+        self._controller.release(
             ticket,
             self._clock.now(),
             succeeded=succeeded,
@@ -105,7 +105,7 @@
             self._waiting_by_id.pop(ticket.request_id, None)
 
     def _counted(self, decision: tickets.Decision) -> tickets.Decision:
-        if decision.kind is tickets.Kind.REFUSE:
+        if decision.kind is tickets.DecisionKind.REFUSE:
             self._count(decision.ticket.team, -1)
         return decision
 
@@ -117,22 +117,22 @@
         admitted = (
             future.done()
             and not future.cancelled()
-            and future.result().kind is tickets.Kind.ADMIT
+            and future.result().kind is tickets.DecisionKind.ADMIT
         )
         if admitted:
             # The caller went away at the very moment of admission; without
             # this the slot would be taken for good.
-            self._controller.finished(
+            self._controller.release(
                 ticket,
                 self._clock.now(),
                 succeeded=False,
             )
         else:
-            self._controller.withdrawn(ticket)
+            self._controller.withdraw(ticket)
         self._count(ticket.team, -1)
 
     def _advance(self) -> None:
-        for decision in self._controller.next(self._clock.now()):
+        for decision in self._controller.poll(self._clock.now()):
             request_id = decision.ticket.request_id
             future = self._waiting_by_id.get(request_id)
             if future is not None and not future.done():
@@ -143,7 +143,7 @@
         if self._timer is not None:
             self._timer.cancel()
             self._timer = None
-        wake_at = self._controller.wake_at()
+        wake_at = self._controller.next_expiry()
         if wake_at is not None:
             delay = max(wake_at - self._clock.now(), 0)
             loop = asyncio.get_running_loop()
--- a/clementinepass/entry/dispatcher.py
+++ b/clementinepass/entry/dispatcher.py
@@ -158,7 +158,7 @@
         began = self._clock.now()
         decision = await desk.enter(ticket)
         self._metrics.waited(request, self._clock.now() - began)
-        if decision.kind is tickets.Kind.REFUSE:
+        if decision.kind is tickets.DecisionKind.REFUSE:
             return _refused(self._refusal(request, decision))
         return await self._serve_admitted(work, outbox, desk, ticket)
 
@@ -170,7 +170,7 @@
         ticket: tickets.Ticket,
     ) -> Served:
         trial = Trial()
-        self._budget.fresh(self._clock.now())
+        self._budget.record_first_attempt(self._clock.now())
         admitted = True
         served: Served | None = None
         try:
@@ -182,7 +182,7 @@
                         ticket,
                         found_full=_found_full(trial),
                     )
-                    admitted = decision.kind is tickets.Kind.ADMIT
+                    admitted = decision.kind is tickets.DecisionKind.ADMIT
                     if not admitted:
                         served = _refused(
                             self._refusal(work.request, decision),
@@ -387,7 +387,7 @@
             trial.crash_retries += 1
             if self._judge(request) is not None:
                 return self._failed(exchange)
-        elif not self._budget.may_retry(self._clock.now()):
+        elif not self._budget.try_acquire(self._clock.now()):
             return self._failed(exchange)
         self._metrics.retried(request)
         return None
--- a/clementinepass/entry/fleet.py
+++ b/clementinepass/entry/fleet.py
@@ -5,7 +5,7 @@
 import collections
 import typing
 
-from clementinepass.decisions import ejection, placing
+from clementinepass.decisions import ejection, selection
 from clementinepass.membership import view as views
 from clementinepass.requests import quarantine as quarantines
 from clementinepass.wire import messages
@@ -51,10 +51,10 @@
         self._view = view
         self._quarantine = quarantine
         self._clock = clock
-        self._placer = placing.CostPlacer(
+        self._placer = selection.CostSelector(
             chance,
             domain=failure_domain,
-            memory=placing.PrefixMemory(),
+            affinity=selection.PrefixAffinity(),
         )
         self._others_by_agent: dict[str, int] = {}
         self._since_report_by_agent: dict[str, int] = {}
@@ -87,7 +87,7 @@
         :return: whether it counted; then nothing more is to be noted of the
             first piece.
         """
-        return self._ejectors_by_target[target].overdue(
+        return self._ejectors_by_target[target].observe_overdue(
             agent,
             seconds,
             self._clock.now(),
@@ -101,7 +101,9 @@
 
     def failed(self, target: str, agent: str) -> None:
         """Note an attempt that an endpoint failed or left unanswered."""
-        self._ejectors_by_target[target].failed(agent, self._clock.now())
+        self._ejectors_by_target[target].observe_failure(
+            agent, self._clock.now()
+        )
 
     def full(self, agent: str) -> None:
         """Note that an agent's gate refused an attempt because it is full.
@@ -121,7 +123,9 @@
         ejector = self._ejectors_by_target[target]
         return sum(
             max(
-                ejector.slots(candidate.agent, candidate.report.capacity, now)
+                ejector.usable_slots(
+                    candidate.agent, candidate.report.capacity, now
+                )
                 - self._others_by_agent.get(candidate.agent, 0),
                 0,
             )
@@ -145,7 +149,7 @@
         """
         now = self._clock.now()
         ejector = self._ejectors_by_target[target]
-        ejected = ejector.ejected(now)
+        ejected = ejector.ejected_endpoints(now)
         candidates_by_id = {
             candidate.agent: candidate
             for candidate in self._view.candidates(target)
@@ -237,21 +241,21 @@
         now: float,
         *,
         ejected: bool,
-    ) -> placing.Candidate:
+    ) -> selection.Candidate:
         agent = candidate.agent
-        return placing.Candidate(
+        return selection.Candidate(
             endpoint_id=agent,
             failure_domain=candidate.failure_domain,
-            running_reported=candidate.report.running,
-            capacity=ejector.slots(
+            reported_running=candidate.report.running,
+            capacity=ejector.usable_slots(
                 agent,
                 candidate.report.capacity,
                 now,
             ),
             own_in_flight=self.in_flight.count(agent),
-            ejected=ejected,
-            own_since_report=self._since_report_by_agent.get(agent, 0),
-            report_age=now - self._reported_at_by_agent.get(agent, now),
+            is_ejected=ejected,
+            own_change_since_report=self._since_report_by_agent.get(agent, 0),
+            report_age_seconds=now - self._reported_at_by_agent.get(agent, now),
         )
 
 
--- a/clementinepass/entry/share_book.py
+++ b/clementinepass/entry/share_book.py
@@ -98,7 +98,7 @@
         """Return the slots of each team here, by target."""
         by_target: dict[str, dict[str, float]] = collections.defaultdict(dict)
         for key, share in self._shares_by_key.items():
-            by_target[key.target][key.team] = share.held()
+            by_target[key.target][key.team] = share.held_slots()
         return by_target
 
     def _renew(self) -> None:
--- a/clementinepass/platform/registry.py
+++ b/clementinepass/platform/registry.py
@@ -91,7 +91,7 @@
 def started(born: int | msgspec.UnsetType) -> int:
     """Return when a process started, as far as it tells."""
     if isinstance(born, msgspec.UnsetType):
-        return incarnations.UNTOLD
+        return incarnations.UNKNOWN_START
     return born
 
 
--- a/tests/decisions/test_admission.py
+++ b/tests/decisions/test_admission.py
@@ -43,10 +43,10 @@
         for ticket in late:
             self.controller.offer(ticket, 0)
         for ticket in late:
-            self.controller.returned(ticket, 0, found_full=True)
-        self.assertEqual([], self.controller.next(0))
-        self.controller.finished(self.running[0], 1)
-        admitted = self.controller.next(1)
+            self.controller.requeue(ticket, 0, found_full=True)
+        self.assertEqual([], self.controller.poll(0))
+        self.controller.release(self.running[0], 1)
+        admitted = self.controller.poll(1)
         self.assertEqual(2, len(admitted))
 
     def test_urgent_displaces_batch(self) -> None:
@@ -65,8 +65,8 @@
             self.controller.offer(urgent, 0)
         last = _make('u9', priority_class=tickets.PriorityClass.URGENT)
         decision = self.controller.offer(last, 0)
-        self.assertEqual(tickets.Kind.QUEUE, decision.kind)
-        displaced = self.controller.next(0)
+        self.assertEqual(tickets.DecisionKind.QUEUE, decision.kind)
+        displaced = self.controller.poll(0)
         self.assertEqual(
             [('b3', reasons.Refusal.DISPLACED)],
             [(one.ticket.request_id, one.reason) for one in displaced],
@@ -75,7 +75,7 @@
     def test_hopeless_is_refused_at_once(self) -> None:
         """A request that can't be answered in time isn't queued."""
         for ticket in self.running:
-            self.controller.finished(ticket, 10)
+            self.controller.release(ticket, 10)
         for index in range(4):
             self.controller.offer(_make(f'n{index}'), 10)
         decision = self.controller.offer(_make('late', deadline=15), 10)
@@ -85,10 +85,10 @@
     def test_waiting_is_shed_in_time(self) -> None:
         """The time to look again is when a request becomes hopeless."""
         self.controller.offer(_make('short', deadline=3), 0)
-        wake_at = self.controller.wake_at()
+        wake_at = self.controller.next_expiry()
         self.assertIsNotNone(wake_at)
-        self.assertEqual([], self.controller.next(wake_at - 0.1))
-        shed = self.controller.next(wake_at + 0.1)
+        self.assertEqual([], self.controller.poll(wake_at - 0.1))
+        shed = self.controller.poll(wake_at + 0.1)
         self.assertEqual(
             [reasons.Refusal.DEADLINE],
             [one.reason for one in shed],
--- a/tests/decisions/test_direct_decisions.py
+++ b/tests/decisions/test_direct_decisions.py
@@ -29,17 +29,17 @@
         for _ in range(entries):
             budget = window_budget.WindowBudget(0.2, 100, 10)
             for number in range(requests):
-                budget.sent_first(number * 0.1)
-            while budget.may_repeat(requests * 0.1, entries):
+                budget.record_first_attempt(number * 0.1)
+            while budget.try_acquire(requests * 0.1, entries):
                 repeats += 1
         self.assertLessEqual(repeats, 0.2 * requests * entries + 100)
 
     def test_returns_with_time(self) -> None:
         """What left the window no longer counts."""
         budget = window_budget.WindowBudget(0, 10, 10)
-        taken = sum(budget.may_repeat(0, 1) for _ in range(20))
-        self.assertFalse(budget.may_repeat(5, 1))
-        self.assertTrue(budget.may_repeat(11, 1))
+        taken = sum(budget.try_acquire(0, 1) for _ in range(20))
+        self.assertFalse(budget.try_acquire(5, 1))
+        self.assertTrue(budget.try_acquire(11, 1))
         self.assertEqual(6, taken)
 
 
@@ -48,23 +48,28 @@
 
     def test_table(self) -> None:
         """Each rule alone forbids another attempt."""
-        allowed = next_try.Past(1, 1, 2, repeatable=True, seconds_left=1)
+        allowed = next_try.AttemptHistory(
+            1, 1, 2, is_repeatable=True, seconds_left=1
+        )
         table = (
-            (allowed, next_try.NextTry.ALLOWED),
+            (allowed, next_try.RetryDecision.ALLOWED),
             (
-                allowed._replace(repeatable=False),
-                next_try.NextTry.MAY_HAVE_RUN,
+                allowed._replace(is_repeatable=False),
+                next_try.RetryDecision.MAY_HAVE_RUN,
             ),
             (
-                allowed._replace(repeatable=False, runs=0),
-                next_try.NextTry.ALLOWED,
+                allowed._replace(is_repeatable=False, runs=0),
+                next_try.RetryDecision.ALLOWED,
             ),
-            (allowed._replace(runs=2), next_try.NextTry.ENOUGH_RUNS),
+            (allowed._replace(runs=2), next_try.RetryDecision.TOO_MANY_RUNS),
             (
                 allowed._replace(attempts=4),
-                next_try.NextTry.ENOUGH_ATTEMPTS,
+                next_try.RetryDecision.TOO_MANY_ATTEMPTS,
+            ),
+            (
+                allowed._replace(seconds_left=0.01),
+                next_try.RetryDecision.NO_TIME,
             ),
-            (allowed._replace(seconds_left=0.01), next_try.NextTry.NO_TIME),
         )
         for past, expected in table:
             self.assertIs(expected, next_try.decide(past), past)
--- a/tests/decisions/test_incarnations.py
+++ b/tests/decisions/test_incarnations.py
@@ -33,7 +33,7 @@
     def test_table(self) -> None:
         """Each pair, with and without a start that is told."""
         for known, told, expected in ORDERS:
-            found = incarnations.order(
+            found = incarnations.compare(
                 incarnations.Stamp(*known),
                 incarnations.Stamp(*told),
             )
@@ -50,7 +50,7 @@
             rng.shuffle(words)
             believed = words[0]
             for word in words[1:]:
-                order = incarnations.order(believed, word)
+                order = incarnations.compare(believed, word)
                 if order in {Order.NEWER, Order.NEW_START}:
                     self.assertGreater(word, believed)
                     believed = word
--- a/tests/decisions/test_invariants.py
+++ b/tests/decisions/test_invariants.py
@@ -90,7 +90,7 @@
         ticket = self._pick(index)
         if ticket is not None:
             self.final[ticket.request_id] += 1
-            self.controller.finished(ticket, self.now, succeeded=succeeded)
+            self.controller.release(ticket, self.now, succeeded=succeeded)
 
     def _fail(self, index: int) -> None:
         self._finish(index, succeeded=False)
@@ -99,7 +99,7 @@
         ticket = self._pick(index)
         if ticket is not None:
             self.queued[ticket.request_id] = ticket
-            self.controller.returned(
+            self.controller.requeue(
                 ticket,
                 self.now,
                 found_full=bool(index % 2),
@@ -110,7 +110,7 @@
         if ids:
             ticket = self.queued.pop(ids[index % len(ids)])
             self.final[ticket.request_id] += 1
-            self.controller.withdrawn(ticket)
+            self.controller.withdraw(ticket)
 
     def _capacity(self, capacity: int) -> None:
         self.capacity = capacity
@@ -122,21 +122,21 @@
 
     def _drain(self) -> None:
         before = len(self.running)
-        for decision in self.controller.next(self.now):
+        for decision in self.controller.poll(self.now):
             self.queued.pop(decision.ticket.request_id)
             self._note(decision)
         if len(self.running) > before:
             assert len(self.running) <= self.capacity
-        assert self.controller.waiting == len(self.queued)
+        assert self.controller.waiting_count == len(self.queued)
         assert self.controller.in_flight == len(self.running)
 
     def _note(self, decision: tickets.Decision) -> None:
         ticket = decision.ticket
-        if decision.kind is tickets.Kind.ADMIT:
+        if decision.kind is tickets.DecisionKind.ADMIT:
             assert ticket.deadline >= self.now
             self.running[ticket.request_id] = ticket
             assert len(self.running) <= self.capacity
-        elif decision.kind is tickets.Kind.QUEUE:
+        elif decision.kind is tickets.DecisionKind.QUEUE:
             self.queued[ticket.request_id] = ticket
         else:
             assert isinstance(decision.reason, reasons.Refusal)
@@ -166,7 +166,7 @@
     )
     def test_queue_bound_holds(self, offers, least) -> None:
         """However much arrives, each team's queue stays within its bound."""
-        limits = admission.Limits(waiting_per_slot=1, least_waiting=least)
+        limits = admission.Limits(waiting_per_slot=1, min_waiting=least)
         history = _History(limits)
         history.play(offers)
         by_team = collections.Counter(
--- a/tests/decisions/test_retry_budget.py
+++ b/tests/decisions/test_retry_budget.py
@@ -15,8 +15,8 @@
         budget = retry_budget.RetryBudget.from_share(0.1)
         allowed = 0
         for _ in range(1000):
-            budget.fresh(0)
-            allowed += budget.may_retry(0) + budget.may_retry(0)
+            budget.record_first_attempt(0)
+            allowed += budget.try_acquire(0) + budget.try_acquire(0)
         self.assertLessEqual(allowed, 1000 * 0.1 + 10)
         self.assertGreater(allowed, 100)
 
@@ -32,7 +32,7 @@
         ]
         for fields, expected in table:
             budget = retry_budget.RetryBudget.from_share(0.1)
-            attempt = retry_budget.Attempt(*fields)
+            attempt = retry_budget.FailedAttempt(*fields)
             self.assertEqual(
                 expected,
                 retry_budget.decide(attempt, budget, 0),
--- a/tests/decisions/test_shares.py
+++ b/tests/decisions/test_shares.py
@@ -26,7 +26,7 @@
 
 
 def _held(share_by_entry: dict[str, shares.PromiseShare]) -> float:
-    return sum(share.held() for share in share_by_entry.values())
+    return sum(share.held_slots() for share in share_by_entry.values())
 
 
 class _Network:
@@ -75,7 +75,9 @@
                 self.assertLessEqual(_held(by_entry), _PROMISE + 1e-6)
             network.deliver(by_entry, turn)
             self.assertLessEqual(_held(by_entry), _PROMISE + 1e-6)
-            self.assertTrue(all(one.held() >= 0 for one in by_entry.values()))
+            self.assertTrue(
+                all(one.held_slots() >= 0 for one in by_entry.values())
+            )
 
     def test_follows_demand_and_comes_back(self) -> None:
         """All callers at one entry, then at another, then everywhere."""
@@ -91,7 +93,7 @@
                 network.deliver(by_entry, turn)
             fair = _PROMISE / len(crowd)
             for entry in crowd:
-                self.assertGreater(by_entry[entry].held(), 0.9 * fair)
+                self.assertGreater(by_entry[entry].held_slots(), 0.9 * fair)
 
     def test_other_epoch_is_ignored(self) -> None:
         """A transfer under another promise or member list doesn't count."""
@@ -105,4 +107,4 @@
         asking = shares.Report('e0', stranger.epoch, 40, 0, {}, {})
         stranger.receive(asking)
         by_entry['e0'].receive(stranger.report(0))
-        self.assertEqual(_PROMISE / 9, by_entry['e0'].held())
+        self.assertEqual(_PROMISE / 9, by_entry['e0'].held_slots())
--- a/tests/direct/test_cluster_state.py
+++ b/tests/direct/test_cluster_state.py
@@ -120,14 +120,14 @@
         before = self.endpoint
         for _ in range(3):
             self.known.failed(before, 1)
-        self.assertIn('i-1', self.known.ejector.ejected(1))
+        self.assertIn('i-1', self.known.ejector.ejected_endpoints(1))
         self.known.listed(listing(2000, 1))
         for _ in range(3):
             self.known.failed(before, 1.1)
-        self.assertNotIn('i-1', self.known.ejector.ejected(1.5))
+        self.assertNotIn('i-1', self.known.ejector.ejected_endpoints(1.5))
         for _ in range(3):
             self.known.failed(self.endpoint, 1.6)
-        self.assertIn('i-1', self.known.ejector.ejected(2))
+        self.assertIn('i-1', self.known.ejector.ejected_endpoints(2))
 
     def test_load_told_by_peers(self) -> None:
         """Others' requests at the start before are no load of the new one."""
--- a/tests/direct/test_telling.py
+++ b/tests/direct/test_telling.py
@@ -75,7 +75,7 @@
         """
 
         def story(own: telling.Telling) -> None:
-            own.holds(HELD, incarnations.UNTOLD)
+            own.holds(HELD, incarnations.UNKNOWN_START)
             own.loads(3)
             own.congested(is_slow=True)
 
@@ -108,7 +108,7 @@
         """It is told once that the link is sound again."""
 
         def story(own: telling.Telling) -> None:
-            own.holds(HELD, incarnations.UNTOLD)
+            own.holds(HELD, incarnations.UNKNOWN_START)
             own.congested(is_slow=True)
             own.congested(is_slow=False)
             own.congested(is_slow=False)
