--- a/clementinepass/direct/announcer.py
+++ b/clementinepass/direct/announcer.py
@@ -38,7 +38,7 @@
         self._peers = peers
         self._weights: endpoints.Weights | None = None
         #: When the engine that holds the weights was started.
-        self._started = incarnations.UNTOLD
+        self._started = incarnations.UNKNOWN_START
         #: Monotonic seconds of the last announcement that the link is
         #: congested; ``None`` while entries consider it uncongested.
         self._congestion_sent_at: float | None = None
--- a/tests/direct/test_announcer.py
+++ b/tests/direct/test_announcer.py
@@ -78,7 +78,7 @@
         """Congestion while the engine loads doesn't announce its old weights."""
 
         def scenario(agent_announcer: announcer.Announcer) -> None:
-            agent_announcer.announce_weights(HELD, incarnations.UNTOLD)
+            agent_announcer.announce_weights(HELD, incarnations.UNKNOWN_START)
             agent_announcer.announce_loading(3)
             agent_announcer.update_congestion(is_slow=True)
 
@@ -113,7 +113,7 @@
         """The end of congestion is announced once."""
 
         def scenario(agent_announcer: announcer.Announcer) -> None:
-            agent_announcer.announce_weights(HELD, incarnations.UNTOLD)
+            agent_announcer.announce_weights(HELD, incarnations.UNKNOWN_START)
             agent_announcer.update_congestion(is_slow=True)
             agent_announcer.update_congestion(is_slow=False)
             agent_announcer.update_congestion(is_slow=False)
