--- a/clementinepass/direct/agent.py
+++ b/clementinepass/direct/agent.py
@@ -66,7 +66,7 @@
 
 
 class Agent:
-    """Agent process beside one engine.
+    """The agent process beside one engine.
 
     :param local_node: the local node.
     :param boundary: adapters to the engine, the origin and the store.
@@ -231,6 +231,7 @@
             await asyncio.sleep(_POLL_SECONDS)
 
     async def _read_store(self) -> None:
+        """Read the newest records and the list of entries from the store."""
         store = self._boundary.store
         try:
             for topic, follower in self._followers.items():
--- a/clementinepass/direct/fetching.py
+++ b/clementinepass/direct/fetching.py
@@ -33,15 +33,15 @@
 #: that more pieces would delay the engine's prompts and events.
 _MAX_IN_FLIGHT_SEVERAL = 2
 #: Pieces in flight from an agent while other pieces enter the region here and
-#: don't fill the link.
+#: don't fill the link, so that the rest of the link isn't idle.
 _MAX_IN_FLIGHT_BESIDE = 1
 #: Pieces in flight that a source doesn't have yet, while requests follow what
 #: sources report: the next one and the one behind it.
 _MAX_IN_FLIGHT_AHEAD = 2
 #: Seconds without a piece after which the origin and all agents are used as
 #: sources, and the additional seconds for each agent that comes before in the
-#: chain. The origin should send to only two agents; if all agents used it, none
-#: would finish in time.
+#: chain. The delays let the origin send to only two agents; if all agents used
+#: it, none would finish in time.
 _LOST_SECONDS = 8.0
 _LOST_SECONDS_PER_AGENT = 1.0
 #: Pieces that a source may have more than this agent. A larger difference shows
@@ -61,7 +61,7 @@
 
 
 class FetchContext(typing.Protocol):
-    """The agent's view of sources and of the version to fetch."""
+    """What a fetch needs from the rest of the agent."""
 
     def plan_input(self, model: str, version: int) -> piece_chains.Question:
         """Return the input for choosing the sources of pieces."""
@@ -185,7 +185,7 @@
     ) -> None:
         """Request the next pieces of a lane.
 
-        :param limit: how many pieces may be in flight from its sources.
+        :param limit: how many pieces may be in flight from the lane's sources.
         """
         usable_suppliers = self._suppliers.usable(lane.sources, now)
         total_limit = self._limit_in_flight(_MAX_IN_FLIGHT_ONE_AGENT)
@@ -206,7 +206,7 @@
 
         If they arrive slowly, pieces of other lanes are requested too. If those
         are slow as well, the local link is the bottleneck, and another agent
-        should become the head of the stripe.
+        should head the stripe.
         """
         if not any(map(lane.has, self._version_pieces.missing)):
             return False
@@ -239,7 +239,7 @@
         ordered: list[int],
         now: float,
     ) -> None:
-        """Request pieces that some source is known to have."""
+        """Request pieces that a source is known to have."""
         remaining = self._limit_in_flight(_MAX_IN_FLIGHT_SEVERAL)
         remaining -= sum(
             len(supplier.available.intersection(supplier.in_flight))
@@ -563,12 +563,12 @@
 
 
 def _max_in_flight(lanes: list[piece_chains.Lane]) -> int:
-    """Return how many pieces may be in flight from the sources of lanes.
+    """Return how many pieces may be in flight from each of some lanes.
 
-    The limit is for all sources together if there are several. It is applied to
-    each lane of relayed pieces by itself: an agent alone in its region used to
-    fetch one stripe after the other, each at half of its link's rate, and was
-    complete after 8.0 s instead of 5.4 s.
+    The limit applies to each lane, so that all stripes that enter the region at
+    one agent are fetched at the same time. One after the other, each used only
+    half of the link's rate: an agent alone in its region was complete after 8.0
+    s instead of 5.4 s.
     """
     lane_sources = [source for lane in lanes for source in lane.sources]
     if len(lane_sources) > 1 or piece_chains.ORIGIN in lane_sources:
--- a/clementinepass/direct/piece_server.py
+++ b/clementinepass/direct/piece_server.py
@@ -17,8 +17,8 @@
 _BAD_REQUEST = 400
 _NOT_FOUND = 404
 #: Seconds for which a request waits for more pieces while this agent fetches
-#: them. It is short because the response also shows the other agent that this
-#: one is alive.
+#: them. The time is short because the response also shows the other agent that
+#: this one is alive.
 _WAIT_SECONDS = 0.3
 #: Seconds for which a request waits for a manifest: the agent before in the
 #: chain has to receive it first.
@@ -157,8 +157,8 @@
                 query.version,
                 query.number,
             )
-        # If pieces arrive here slowly, the other agent does better to request
-        # them from the agent before this one.
+        # If pieces arrive here slowly, the other agent should request them from
+        # the agent before this one instead of waiting.
         timeout_seconds = 0 if version_pieces.is_slow else _WAIT_SECONDS
         return await version_pieces.wait_for_piece(
             query.number, timeout_seconds
--- a/clementinepass/direct/uplink.py
+++ b/clementinepass/direct/uplink.py
@@ -19,12 +19,12 @@
 _STREAM_BITS_PER_SECOND = 36_000
 #: Rate of the engine's load reports and of heartbeats.
 _CONTROL_BITS_PER_SECOND = 100_000
-#: Share of the link that pieces take regardless of the number of streams.
+#: The least share of the link for pieces, with any number of streams.
 _MIN_PIECE_SHARE = 0.5
 #: The longest time in seconds that a part may take, whatever the settings say
 #: about the link.
 _MAX_PART_SECONDS = 0.5
-#: Seconds by which a timer may be late and the delay still be made up for.
+#: The longest delay of a timer in seconds that the next wait makes up for.
 _MAX_TIMER_DELAY_SECONDS = 0.02
 #: Bytes sent at a time: 14 ms on a link of 3.65 Mbit/s.
 _PART_BYTES = 6144
@@ -75,9 +75,9 @@
     async def _wait_until_sent(self, byte_count: int) -> None:
         """Wait until the link has carried the bytes that were just sent.
 
-        The wait ends at the time when they should be out, not after their
-        duration: timers are late, and the delays of four parts for each piece
-        would add up.
+        The end of the wait is computed from the planned end of the previous
+        one: timers are late, and the delays of four parts for each piece would
+        add up.
         """
         now = asyncio.get_running_loop().time()
         seconds = min(
--- a/clementinepass/direct/version_selector.py
+++ b/clementinepass/direct/version_selector.py
@@ -121,8 +121,7 @@
     ) -> int:
         """Return the version that the engine should load next.
 
-        If the operator has named none, it is the newest that other engines
-        hold.
+        Without a desired version, it is the newest that other engines hold.
         """
         desired_version = self._cluster.wanted_version(engine.model)
         if not desired_version:
