--- a/clementinepass/direct/chain_order.py
+++ b/clementinepass/direct/chain_order.py
@@ -16,7 +16,7 @@
 #: than the stall limit, and requesting only pieces that sources report to have
 #: costs a quarter of the rate.
 _RESUME_AFTER_PIECES = 4
-#: Pieces within which one may overtake another in flight.
+#: Pieces within which arrivals may be out of order and still count as in order.
 _REORDER_WINDOW = 5
 
 
--- a/clementinepass/direct/manifests.py
+++ b/clementinepass/direct/manifests.py
@@ -13,8 +13,8 @@
 if typing.TYPE_CHECKING:
     from clementinepass.direct import fetching, weights
 
-#: Seconds for one round. An agent without the manifest says so after a second;
-#: a silent source mustn't keep the others from being requested again.
+#: Seconds for one round. An agent without the manifest responds after a second;
+#: a silent source must not keep the others from being requested again.
 _ROUND_SECONDS = 1.5
 
 
--- a/clementinepass/direct/peer_source.py
+++ b/clementinepass/direct/peer_source.py
@@ -61,9 +61,12 @@
         version: int,
         known_count: int,
     ) -> weights.Availability:
-        """Return what the agent has, soon after it has more than known.
+        """Return the pieces that the agent has.
 
-        :param known_count: how many of its pieces are known already.
+        The response arrives as soon as there are more than known, or after a
+        short time.
+
+        :param known_count: how many of the agent's pieces are known already.
         :raises PeerUnavailableError: the agent doesn't answer.
         :raises MalformedMessageError: the response can't be decoded.
         """
--- a/clementinepass/direct/weights.py
+++ b/clementinepass/direct/weights.py
@@ -134,9 +134,12 @@
         version: int,
         known_count: int,
     ) -> Availability:
-        """Return what the source has, soon after it has more than known.
+        """Return the pieces that the source has.
 
-        :param known_count: how many of its pieces are known already.
+        The response arrives as soon as there are more than known, or after a
+        short time.
+
+        :param known_count: how many of the source's pieces are known already.
         :raises PeerUnavailableError: the source doesn't answer.
         """
 
