--- a/clementinepass/decisions/ejection.py
+++ b/clementinepass/decisions/ejection.py
@@ -40,7 +40,7 @@
     #: Consecutive failures after which an endpoint is ejected. A single
     #: failure can be accidental.
     failure_threshold: int = 3
-    #: Number of endpoints with enough samples that a significant median needs.
+    #: Minimum number of endpoints with enough samples for a significant median.
     min_peers: int = 3
     #: No endpoint is ejected for slowness once this fraction is ejected. If
     #: more endpoints are slow, the cause is hardly a single endpoint, and the
@@ -180,7 +180,7 @@
 
 
 class Ejector:
-    """Eject slow and failing endpoints, which return after a probation."""
+    """Ejects slow and failing endpoints, which return after a probation."""
 
     __slots__ = (
         '_ejected_endpoints',
--- a/clementinepass/decisions/next_try.py
+++ b/clementinepass/decisions/next_try.py
@@ -5,9 +5,9 @@
 import enum
 import typing
 
-#: Maximum attempts of one request, including those that did not run. Few
-#: endpoints reject requests; a request that five endpoints have rejected would
-#: be rejected by a sixth one as well.
+#: Maximum number of attempts of one request, including those that did not run.
+#: Few endpoints reject requests; a request that five endpoints have rejected
+#: would be rejected by a sixth one as well.
 _MAX_ATTEMPTS = 4
 #: Minimum seconds left for another attempt, as connecting and the shortest
 #: answers take some tens of milliseconds.
--- a/clementinepass/decisions/retry_budget.py
+++ b/clementinepass/decisions/retry_budget.py
@@ -17,10 +17,10 @@
 #: hide the crash of one endpoint at low traffic, and too few to sustain an
 #: overload.
 _MAX_TOKENS = 10.0
-#: Maximum attempts of one request, including the first. Where two attempts
-#: have failed, a third one seldom succeeds.
+#: Maximum number of attempts of one request, including the first. If two
+#: attempts have failed, a third one seldom succeeds.
 _MAX_ATTEMPTS = 3
-#: Maximum crashes of endpoints after which a request is retried. The request
+#: Maximum number of crashes after which a request is retried. The request
 #: itself may cause the crashes; with one retry it crashes at most two endpoints
 #: before it is quarantined.
 _MAX_CRASHES = 1
--- a/clementinepass/decisions/selection.py
+++ b/clementinepass/decisions/selection.py
@@ -177,7 +177,7 @@
 
 
 class CostSelector:
-    """Select by the expected cost of a random sample of the endpoints.
+    """Selects by the expected costs of a random sample of the endpoints.
 
     Many entries select by the same reports, which are up to 2 s old. If each
     entry compared all endpoints, all of them would choose the same idle
--- a/clementinepass/decisions/subsetting.py
+++ b/clementinepass/decisions/subsetting.py
@@ -20,12 +20,14 @@
 if typing.TYPE_CHECKING:
     from collections.abc import Iterable
 
-#: Maximum engines of its own failure domain that an entry uses.
-_MAX_SAME_DOMAIN = 16
-#: Engines of other failure domains that an entry uses.
-_MAX_OTHER_DOMAINS = 4
-#: Minimum engines that an entry uses, as far as there are so many. In a small
-#: fleet it uses all, as only one engine of its failure domain may be healthy.
+#: Maximum number of engines of its own failure domain that an entry uses.
+_MAX_SAME_DOMAIN_ENGINES = 16
+#: Engines of other failure domains that an entry uses; more if it needs them
+#: to reach the minimum.
+_OTHER_DOMAIN_ENGINES = 4
+#: Minimum number of engines that an entry uses, if there are that many. In a
+#: small fleet an entry uses all engines, as its failure domain may have only
+#: one healthy engine.
 _MIN_ENGINES = 12
 #: Minimum seconds between two load reports of an engine. Between reports an
 #: entry adds its own requests to the reported load, but does not know those of
@@ -53,11 +55,11 @@
     :param other_domains: addresses of the engines in other failure domains.
     :returns: addresses, those of the same failure domain first.
     """
-    chosen = _top_ranked(entry_ip, same_domain, _MAX_SAME_DOMAIN)
+    chosen = _top_ranked(entry_ip, same_domain, _MAX_SAME_DOMAIN_ENGINES)
     return chosen + _top_ranked(
         entry_ip,
         other_domains,
-        max(_MAX_OTHER_DOMAINS, _MIN_ENGINES - len(chosen)),
+        max(_OTHER_DOMAIN_ENGINES, _MIN_ENGINES - len(chosen)),
     )
 
 
--- a/tests/decisions/test_invariants.py
+++ b/tests/decisions/test_invariants.py
@@ -162,11 +162,11 @@
     @settings(max_examples=150, deadline=None, derandomize=True)
     @given(
         offers=strategies.lists(_offers, max_size=120),
-        min_waiting=strategies.integers(min_value=1, max_value=5),
+        min_length=strategies.integers(min_value=1, max_value=5),
     )
-    def test_queue_bound_holds(self, offers, min_waiting) -> None:
+    def test_queue_bound_holds(self, offers, min_length) -> None:
         """Each team's queue stays within its limit under any load."""
-        limits = admission.Limits(waiting_per_slot=1, min_waiting=min_waiting)
+        limits = admission.Limits(waiting_per_slot=1, min_waiting=min_length)
         history = _History(limits)
         history.play(offers)
         waiting_by_team = collections.Counter(
@@ -175,5 +175,5 @@
         for team, waiting in waiting_by_team.items():
             self.assertLessEqual(
                 waiting,
-                max(history.capacity, history.promises[team], min_waiting),
+                max(history.capacity, history.promises[team], min_length),
             )
--- a/tests/decisions/test_outcomes.py
+++ b/tests/decisions/test_outcomes.py
@@ -102,7 +102,7 @@
         self.assertLessEqual(with_budget.recovery, 5)
 
     def test_half_of_endpoints_lost(self) -> None:
-        """The remaining half is fully used, and retries stay in their budget."""
+        """The remaining half is fully used, and retries are limited."""
         outcome = _run('half_lost')
         self.assertLessEqual(outcome.amplification, 1.1)
         self.assertLess(outcome.wasted, 0.02)
--- a/tests/decisions/test_selection.py
+++ b/tests/decisions/test_selection.py
@@ -36,7 +36,7 @@
         return self.selector.choose(candidates, now, prefix_key).endpoint_id
 
     def test_cheapest_is_chosen(self) -> None:
-        """Load, failure domain, ejection and age of reports determine the cost."""
+        """Load, failure domain, ejection and age of reports are compared."""
         table = [
             (
                 'less loaded',
--- a/tests/decisions/test_spread.py
+++ b/tests/decisions/test_spread.py
@@ -31,8 +31,8 @@
         outcome = simulate(spread.Setting(), striped=True)
         self.assertEqual((1, 2), (outcome.copies, outcome.crossed))
 
-    def test_first_complete_agent(self) -> None:
-        """The first agent is complete soon after the minimum time of its link."""
+    def test_first_agent_completes_in_time(self) -> None:
+        """The first agent is complete soon after its link's minimum time."""
         setting = spread.Setting()
         outcome = simulate(setting, striped=True)
         bits = setting.pieces * setting.piece_bits
@@ -72,7 +72,7 @@
     )
 
     def test_all_agents_complete_in_time(self) -> None:
-        """All agents are complete soon after the minimum time of their links."""
+        """All agents are complete soon after their links' minimum time."""
         outcome = simulate(self.SETTING, striped=True)
         bits = self.SETTING.pieces * self.SETTING.piece_bits
         link_seconds = bits / (self.SETTING.link_mbps * 1_000_000)
--- a/tests/decisions/test_subsetting.py
+++ b/tests/decisions/test_subsetting.py
@@ -39,7 +39,7 @@
             )
 
     def test_subsets_of_large_fleet_are_balanced(self) -> None:
-        """Subsets stay small, and engines are used by similar numbers of entries."""
+        """Subsets stay small, and all engines are used about equally often."""
         same_domain, other_domains = (
             engine_addresses(1, 86),
             engine_addresses(2, 514),
