--- a/benchmarks/load_reports.py
+++ b/benchmarks/load_reports.py
@@ -14,7 +14,7 @@
 import random
 import typing
 
-from clementinepass.decisions import first_event, nearest_place, subsetting
+from clementinepass.decisions import endpoint_choice, first_event, subsetting
 from clementinepass.direct import endpoints
 
 if typing.TYPE_CHECKING:
@@ -101,7 +101,7 @@
     def advance(self, now: float) -> None:
         """Let what is known become that of a moment."""
 
-    def choose(self, entry: int, now: float) -> nearest_place.Choice | None:
+    def choose(self, entry: int, now: float) -> endpoint_choice.Choice | None:
         """Choose an engine by its address."""
 
     def sent(self, entry: int, address: str, now: float) -> None:
@@ -133,17 +133,17 @@
             self._loads.append(totals)
             self._next_tick += _TICK
 
-    def choose(self, entry: int, now: float) -> nearest_place.Choice | None:
+    def choose(self, entry: int, now: float) -> endpoint_choice.Choice | None:
         """Compare all engines."""
         loads = zip(self._engines, self._loads[0], strict=True)
         domain = entry % self._setting.domains
         options = [
-            nearest_place.Option(
+            endpoint_choice.Candidate(
                 one.address, load, self._setting.slots, one.domain == domain
             )
             for one, load in loads
         ]
-        return nearest_place.choose(options, self._rng)
+        return endpoint_choice.choose(options, self._rng)
 
     def sent(self, entry: int, address: str, now: float) -> None:
         """Nothing is known of it before it is told."""
@@ -190,12 +190,12 @@
             interval = self._interval_by_address[address]
             heapq.heappush(self._due, (made + interval, address))
 
-    def choose(self, entry: int, now: float) -> nearest_place.Choice | None:
+    def choose(self, entry: int, now: float) -> endpoint_choice.Choice | None:
         """Compare a sample of the engines that the entry uses."""
         domain = entry % self._setting.domains
         reports = self._reports_by_entry[entry]
         options = [
-            nearest_place.Option(
+            endpoint_choice.Candidate(
                 address,
                 report.total,
                 self._setting.slots,
@@ -203,10 +203,10 @@
             )
             for address, report in reports.items()
         ]
-        near = [one for one in options if one.is_near]
-        far = [one for one in options if not one.is_near]
-        drawn = nearest_place.sample(near, far, self._rng)
-        return nearest_place.choose(drawn, self._rng)
+        near = [one for one in options if one.is_same_domain]
+        far = [one for one in options if not one.is_same_domain]
+        drawn = endpoint_choice.sample(near, far, self._rng)
+        return endpoint_choice.choose(drawn, self._rng)
 
     def sent(self, entry: int, address: str, now: float) -> None:
         """Add what no report knows of yet."""
@@ -234,9 +234,9 @@
     engines = [_Engine(number, setting) for number in range(setting.engines)]
     by_address = {one.address: one for one in engines}
     way = make(engines, setting, rng)
-    pace = first_event.Pace(
-        read_per_second=1e6,
-        ended_per_second=setting.slots / setting.hold_seconds,
+    pace = first_event.ServiceRate(
+        prompt_tokens_per_second=1e6,
+        requests_per_second=setting.slots / setting.hold_seconds,
     )
     counts: collections.Counter[str] = collections.Counter()
     now: float = 0
@@ -263,18 +263,18 @@
 
 
 def _fits(
-    choice: nearest_place.Choice,
-    pace: first_event.Pace,
+    choice: endpoint_choice.Choice,
+    pace: first_event.ServiceRate,
     setting: Setting,
 ) -> bool:
-    wish = first_event.Wish(
-        waiting=choice.waiting,
+    wish = first_event.PendingRequest(
+        queue_depth=choice.queue_depth,
         slots=choice.slots,
         prompt_tokens=0,
-        aim=setting.aim,
-        passed=0,
+        latency_target=setting.aim,
+        elapsed_seconds=0,
     )
-    return first_event.fits(wish, pace)
+    return first_event.meets_target(wish, pace)
 
 
 def main() -> None:
--- a/benchmarks/spread.py
+++ b/benchmarks/spread.py
@@ -65,25 +65,27 @@
     crossed: float
 
 
-def striped(setting: Setting) -> dict[str, piece_chains.Plan]:
+def striped(setting: Setting) -> dict[str, piece_chains.FetchPlan]:
     """Return the plans that agents make."""
     peers = _peers(setting)
-    stripes = piece_stripes.stripes(setting.origin_mbps, setting.link_mbps)
+    stripes = piece_stripes.count_stripes(
+        setting.origin_mbps, setting.link_mbps
+    )
     return {
-        own.ip: piece_chains.plan(
-            piece_chains.Question(
+        own.ip: piece_chains.plan_fetch(
+            piece_chains.FetchContext(
                 own,
                 [peer for peer in peers if peer != own],
                 peers[0].region,
                 stripes,
-                origin_part=setting.origin_mbps / setting.link_mbps,
+                origin_link_ratio=setting.origin_mbps / setting.link_mbps,
             ),
         )
         for own in peers
     }
 
 
-def chained(setting: Setting) -> dict[str, piece_chains.Plan]:
+def chained(setting: Setting) -> dict[str, piece_chains.FetchPlan]:
     """Return plans of two chains, split at the border nearest the middle.
 
     The second begins at the other end of the version: its stripes are single
@@ -104,14 +106,16 @@
 
 
 def _chain(
-    peers: list[piece_chains.Peer],
+    peers: list[piece_chains.Agent],
     order: range,
-) -> dict[str, piece_chains.Plan]:
+) -> dict[str, piece_chains.FetchPlan]:
     sources = [piece_chains.ORIGIN, *(peer.ip for peer in peers)]
     return {
-        peer.ip: piece_chains.Plan(
+        peer.ip: piece_chains.FetchPlan(
             tuple(
-                piece_chains.Lane((source,), frozenset((one,)), len(order))
+                piece_chains.PieceGroup(
+                    (source,), frozenset((one,)), len(order)
+                )
                 for one in order
             ),
         )
@@ -119,15 +123,15 @@
     }
 
 
-def _peers(setting: Setting) -> list[piece_chains.Peer]:
+def _peers(setting: Setting) -> list[piece_chains.Agent]:
     return [
-        piece_chains.Peer(f'region-{place}', '', f'10.{place}.0.{number:03}')
+        piece_chains.Agent(f'region-{place}', '', f'10.{place}.0.{number:03}')
         for place, count in enumerate(setting.counts)
         for number in range(count)
     ]
 
 
-def _most_asked(urgent: list[piece_chains.Lane]) -> int:
+def _most_asked(urgent: list[piece_chains.PieceGroup]) -> int:
     """Return how many pieces to ask for at once of the source of each lane."""
     sources = [lane.sources[0] for lane in urgent]
     if len(sources) == 1 and sources[0]:
@@ -159,7 +163,7 @@
     def __init__(
         self,
         setting: Setting,
-        plans: dict[str, piece_chains.Plan],
+        plans: dict[str, piece_chains.FetchPlan],
     ) -> None:
         self._setting = setting
         self._plans = plans
@@ -194,21 +198,27 @@
 
     def _ask(self, ip: str) -> None:
         """Ask for what comes next, as long as few pieces are on their way."""
-        lanes = self._plans[ip].lanes
+        lanes = self._plans[ip].groups
         read = [lane for lane in lanes if not lane.sources[0]]
-        entering = [one for one in lanes if one.enters and one not in read]
+        entering = [
+            one for one in lanes if one.enters_region and one not in read
+        ]
         most_relayed = _ASKED_OF_AGENT
         for urgent in (read, entering):
             most = _most_asked(urgent)
             if any([self._ask_lane(ip, one, most) for one in urgent]):
-                has_room = urgent is not read or self._plans[ip].has_room
+                has_room = (
+                    urgent is not read or self._plans[ip].has_spare_bandwidth
+                )
                 most_relayed = _ASKED_BESIDE if has_room else 0
                 break
         for relayed in lanes:
-            if not relayed.enters:
+            if not relayed.enters_region:
                 self._ask_lane(ip, relayed, most_relayed)
 
-    def _ask_lane(self, ip: str, lane: piece_chains.Lane, most: int) -> int:
+    def _ask_lane(
+        self, ip: str, lane: piece_chains.PieceGroup, most: int
+    ) -> int:
         """Ask for pieces of a lane; return how many are missing.
 
         :param most: pieces of it that may be on their way.
@@ -222,7 +232,7 @@
         missing = [
             number
             for number in range(self._setting.pieces)
-            if lane.has(number) and number not in self._held[ip]
+            if lane.contains(number) and number not in self._held[ip]
         ]
         fresh = [number for number in missing if number not in on_way]
         for number in fresh[: max(most - len(on_way), 0)]:
--- a/clementinepass/decisions/named_versions.py
+++ b/clementinepass/decisions/desired_versions.py
@@ -10,36 +10,36 @@
 import math
 
 #: Versions remembered. Those before are long past their bound.
-_MOST_VERSIONS = 8
+_MAX_VERSIONS = 8
 
 
-class NamedVersions:
+class DesiredVersions:
     """The versions of one model that were named lately.
 
     :param bound: seconds after the naming of a version from which requests
         begin on no older one.
     """
 
-    __slots__ = ('_bound', 'guessed', 'since_by_version')
+    __slots__ = ('_deadline_seconds', 'guessed_versions', 'since_by_version')
 
-    def __init__(self, bound: float) -> None:
-        self._bound = bound
+    def __init__(self, deadline_seconds: float) -> None:
+        self._deadline_seconds = deadline_seconds
         #: When each version was named; monotonic seconds.
         self.since_by_version: dict[int, float] = {}
         #: The versions whose time is a guess.
-        self.guessed: set[int] = set()
+        self.guessed_versions: set[int] = set()
 
     @property
     def newest(self) -> int:
         """Return the newest version; 0 where none was named."""
         return max(self.since_by_version, default=0)
 
-    def named(
+    def record(
         self,
         version: int,
         since: float,
         *,
-        guessed: bool = False,
+        is_guess: bool = False,
     ) -> bool:
         """Take it that a version was named; tell whether it is news.
 
@@ -48,23 +48,23 @@
         started later, gives way to whatever else is heard, and is passed
         over where more is known.
         """
-        known = self.since_by_version.get(version)
-        if known is None:
-            self._add(version, since, guessed=guessed)
+        known_since = self.since_by_version.get(version)
+        if known_since is None:
+            self._add(version, since, is_guess=is_guess)
             return version == self.newest
-        if version in self.guessed and not guessed:
-            self.guessed.discard(version)
+        if version in self.guessed_versions and not is_guess:
+            self.guessed_versions.discard(version)
             self.since_by_version[version] = since
-        elif guessed == (version in self.guessed):
-            self.since_by_version[version] = min(known, since)
+        elif is_guess == (version in self.guessed_versions):
+            self.since_by_version[version] = min(known_since, since)
         return False
 
     def usable_until(self, version: int) -> float:
         """Return the time until which requests may begin on a version."""
         newer = [
-            since + self._bound
-            for other, since in self.since_by_version.items()
-            if other > version
+            since + self._deadline_seconds
+            for other_version, since in self.since_by_version.items()
+            if other_version > version
         ]
         return min(newer, default=math.inf)
 
@@ -74,16 +74,16 @@
             (
                 version
                 for version, since in self.since_by_version.items()
-                if now >= since + self._bound
+                if now >= since + self._deadline_seconds
             ),
             default=0,
         )
 
-    def _add(self, version: int, since: float, *, guessed: bool) -> None:
+    def _add(self, version: int, since: float, *, is_guess: bool) -> None:
         self.since_by_version[version] = since
-        if guessed:
-            self.guessed.add(version)
-        if len(self.since_by_version) > _MOST_VERSIONS:
+        if is_guess:
+            self.guessed_versions.add(version)
+        if len(self.since_by_version) > _MAX_VERSIONS:
             oldest = min(self.since_by_version)
             del self.since_by_version[oldest]
-            self.guessed.discard(oldest)
+            self.guessed_versions.discard(oldest)
--- a/clementinepass/decisions/dissemination.py
+++ b/clementinepass/decisions/dissemination.py
@@ -20,43 +20,45 @@
     from collections.abc import Sequence
 
 #: Members up to which one message goes to all, and each fifth tells of all.
-MOST_DIRECT = 16
+MAX_BROADCAST_MEMBERS = 16
 #: Where there are more: members of the own failure domain that a message goes
 #: to, and members elsewhere.
-_NEAR_TARGETS = 10
-_FAR_TARGETS = 4
+_SAME_DOMAIN_TARGETS = 10
+_OTHER_DOMAIN_TARGETS = 4
 #: Members of which a message then tells.
-_DRAWN = 14
+_MAX_DIGESTS = 14
 
-_Word = typing.TypeVar('_Word')
+_Member = typing.TypeVar('_Member')
 
 
-def targets(
-    near: Sequence[str],
-    far: Sequence[str],
+def choose_targets(
+    same_domain: Sequence[str],
+    other_domains: Sequence[str],
     rng: random.Random,
 ) -> list[str]:
     """Return the members that a message goes to.
 
     :param near: those of the own failure domain.
     """
-    if len(near) + len(far) <= MOST_DIRECT:
-        return [*near, *far]
-    drawn_near = rng.sample(near, min(_NEAR_TARGETS, len(near)))
-    wanted = _NEAR_TARGETS + _FAR_TARGETS - len(drawn_near)
-    return drawn_near + rng.sample(far, min(wanted, len(far)))
+    if len(same_domain) + len(other_domains) <= MAX_BROADCAST_MEMBERS:
+        return [*same_domain, *other_domains]
+    targets = rng.sample(
+        same_domain, min(_SAME_DOMAIN_TARGETS, len(same_domain))
+    )
+    missing = _SAME_DOMAIN_TARGETS + _OTHER_DOMAIN_TARGETS - len(targets)
+    return targets + rng.sample(other_domains, min(missing, len(other_domains)))
 
 
-def digests(
-    members: int,
-    fresh: Sequence[_Word],
+def choose_digests(
+    member_count: int,
+    recently_seen: Sequence[_Member],
     rng: random.Random,
-) -> list[_Word]:
+) -> list[_Member]:
     """Return the members to tell of by digests.
 
     :param members: how many there are.
     :param fresh: those of them that were heard of just now.
     """
-    if members <= MOST_DIRECT:
+    if member_count <= MAX_BROADCAST_MEMBERS:
         return []
-    return rng.sample(fresh, min(_DRAWN, len(fresh)))
+    return rng.sample(recently_seen, min(_MAX_DIGESTS, len(recently_seen)))
--- a/clementinepass/decisions/first_event.py
+++ b/clementinepass/decisions/first_event.py
@@ -14,21 +14,21 @@
 #: The part of the aim that a request may be expected to take and still be
 #: sent. The estimate is of means, and other entries send there until the next
 #: report; with all of the aim, half of those sent are late.
-_SENT_PART = 0.85
+_TARGET_FRACTION = 0.85
 #: Seconds to an endpoint and back, and to the first event of an empty engine
 #: beside reading the prompt.
-BASE_SECONDS = 0.06
+BASE_LATENCY_SECONDS = 0.06
 #: Requests that may wait at an endpoint of unknown speed, for each slot.
-_UNKNOWN_PART = 0.35
+_UNKNOWN_RATE_QUEUE_FRACTION = 0.35
 #: Seconds after which a refused caller may come back: the shortest, in which
 #: an engine ends three answers.
-_SHORTEST_RETURN = 0.25
+_MIN_RETRY_AFTER = 0.25
 #: The longest. Callers heed a third of the six seconds that they have, and
 #: what keeps all endpoints from serving, such as new weights, takes seconds.
-LONGEST_RETURN = 2.0
+MAX_RETRY_AFTER = 2.0
 
 
-class Pace(typing.NamedTuple):
+class ServiceRate(typing.NamedTuple):
     """How fast an endpoint works.
 
     :param read_per_second: prompt tokens read in a second.
@@ -36,11 +36,11 @@
         0 where it isn't known.
     """
 
-    read_per_second: float
-    ended_per_second: float
+    prompt_tokens_per_second: float
+    requests_per_second: float
 
 
-class Wish(typing.NamedTuple):
+class PendingRequest(typing.NamedTuple):
     """A request that looks for a place.
 
     :param waiting: requests that would wait at the best endpoint, this one
@@ -50,44 +50,52 @@
     :param passed: seconds that have passed already.
     """
 
-    waiting: float
+    queue_depth: float
     slots: int
     prompt_tokens: int
-    aim: float
-    passed: float
+    latency_target: float
+    elapsed_seconds: float
 
 
-def pace(
-    read_per_second: float,
-    usual_prompt: float,
-    usual_answer: float,
+def service_rate(
+    prompt_tokens_per_second: float,
+    mean_prompt_tokens: float,
+    mean_answer_tokens: float,
     step_seconds: float,
     slots: int,
-) -> Pace:
+) -> ServiceRate:
     """Work out an engine's pace from what the operator says of it.
 
     A full engine spends on a request the time to read its prompt, in which
     nothing else is written, and its share of the steps for its answer.
     """
-    if not read_per_second or not slots:
-        return Pace(0, 0)
-    seconds = usual_prompt / read_per_second
-    seconds += usual_answer * step_seconds / slots
-    return Pace(read_per_second, 1 / seconds if seconds else 0)
+    if not prompt_tokens_per_second or not slots:
+        return ServiceRate(0, 0)
+    seconds = mean_prompt_tokens / prompt_tokens_per_second
+    seconds += mean_answer_tokens * step_seconds / slots
+    return ServiceRate(prompt_tokens_per_second, 1 / seconds if seconds else 0)
 
 
-def fits(wish: Wish, endpoint: Pace) -> bool:
+def meets_target(request: PendingRequest, rate: ServiceRate) -> bool:
     """Tell whether a request may be sent to the best endpoint."""
-    if not endpoint.ended_per_second:
-        return wish.waiting <= wish.slots * _UNKNOWN_PART
-    seconds = BASE_SECONDS + wish.waiting / endpoint.ended_per_second
-    seconds += wish.prompt_tokens / endpoint.read_per_second
-    return wish.waiting <= 1 or seconds + wish.passed <= wish.aim * _SENT_PART
-
-
-def come_back(waiting: float, endpoint: Pace) -> float:
+    if not rate.requests_per_second:
+        return (
+            request.queue_depth <= request.slots * _UNKNOWN_RATE_QUEUE_FRACTION
+        )
+    seconds = (
+        BASE_LATENCY_SECONDS + request.queue_depth / rate.requests_per_second
+    )
+    seconds += request.prompt_tokens / rate.prompt_tokens_per_second
+    return (
+        request.queue_depth <= 1
+        or seconds + request.elapsed_seconds
+        <= request.latency_target * _TARGET_FRACTION
+    )
+
+
+def retry_after(queue_depth: float, rate: ServiceRate) -> float:
     """Return the seconds after which a refused caller may find room."""
-    if not endpoint.ended_per_second:
-        return _SHORTEST_RETURN
-    seconds = waiting / endpoint.ended_per_second
-    return min(max(seconds, _SHORTEST_RETURN), LONGEST_RETURN)
+    if not rate.requests_per_second:
+        return _MIN_RETRY_AFTER
+    seconds = queue_depth / rate.requests_per_second
+    return min(max(seconds, _MIN_RETRY_AFTER), MAX_RETRY_AFTER)
--- a/clementinepass/decisions/load_turns.py
+++ b/clementinepass/decisions/load_turns.py
@@ -16,39 +16,45 @@
 
 #: Seconds before that bound at which the last engine begins: it finishes what
 #: runs, and loads, while the first ones serve the new version already.
-_LAST_BEFORE = 1.0
+_LAST_LOAD_SECONDS = 1.0
 
 
-class Peer(typing.NamedTuple):
+class LoadingEngine(typing.NamedTuple):
     """An engine that takes up the version."""
 
     address: str
     domain: str
 
 
-def delay(own: Peer, endpoints: Iterable[Peer], left: float) -> float:
+def delay(
+    local_engine: LoadingEngine,
+    engines: Iterable[LoadingEngine],
+    seconds_left: float,
+) -> float:
     """Return the seconds until the own engine's turn.
 
     :param left: seconds until older versions may not be used.
     """
-    ordered = _round_domains({own, *endpoints})
+    ordered = _interleave_domains({local_engine, *engines})
     if len(ordered) == 1:
         return 0
-    window = max(left - _LAST_BEFORE, 0)
-    return window * ordered.index(own) / (len(ordered) - 1)
+    window = max(seconds_left - _LAST_LOAD_SECONDS, 0)
+    return window * ordered.index(local_engine) / (len(ordered) - 1)
 
 
-def _round_domains(endpoints: Iterable[Peer]) -> list[Peer]:
+def _interleave_domains(
+    engines: Iterable[LoadingEngine],
+) -> list[LoadingEngine]:
     """Return engines so that neighbours are of different domains."""
-    by_domain: dict[str, list[Peer]] = {}
-    for endpoint in sorted(endpoints):
-        by_domain.setdefault(endpoint.domain, []).append(endpoint)
-    ranked: list[tuple[int, Peer]] = []
-    for members in by_domain.values():
-        ranked.extend(enumerate(members))
-    return [member for _, member in sorted(ranked, key=_place_and_domain)]
-
-
-def _place_and_domain(ranked: tuple[int, Peer]) -> tuple[int, str]:
-    place, member = ranked
-    return place, member.domain
+    by_domain: dict[str, list[LoadingEngine]] = {}
+    for engine in sorted(engines):
+        by_domain.setdefault(engine.domain, []).append(engine)
+    ranked: list[tuple[int, LoadingEngine]] = []
+    for domain_engines in by_domain.values():
+        ranked.extend(enumerate(domain_engines))
+    return [peer for _, peer in sorted(ranked, key=_position_and_domain)]
+
+
+def _position_and_domain(ranked: tuple[int, LoadingEngine]) -> tuple[int, str]:
+    position, engine = ranked
+    return position, engine.domain
--- a/clementinepass/decisions/manifest_round.py
+++ b/clementinepass/decisions/manifest_round.py
@@ -18,30 +18,37 @@
 
 #: Other agents asked in a round: what some have from the origin, all have after
 #: a few rounds, whose number grows with the logarithm of the agents.
-_OTHERS_ASKED = 2
+_EXTRA_AGENTS = 2
 #: Agents of a chain that ask the origin in each round. Those behind ask it in
 #: every second, third and so on: a manifest of 96 pieces is some 7 KB, which
 #: takes the origin's link 8 ms, and 150 agents that ask at once would hold up
 #: the first pieces by a second. So 22 of 300 ask it in one round.
-_ASK_EACH_ROUND = 4
+_ORIGIN_EACH_ROUND = 4
 
 
-def choose(plan: piece_chains.Plan, number: int) -> tuple[str, ...]:
+def choose_sources(
+    plan: piece_chains.FetchPlan, failed_rounds: int
+) -> tuple[str, ...]:
     """Return whom to ask at the same time: IP numbers, and the origin.
 
     :param plan: from whom the agent is to get pieces.
     :param number: how many rounds brought nothing.
     """
-    asked = [*plan.sources, *(_others(plan, number) if number else ())]
-    turns = 1 + plan.place // _ASK_EACH_ROUND
-    if not (number + plan.place) % turns:
-        asked.append(piece_chains.ORIGIN)
-    return tuple(dict.fromkeys(asked))
-
-
-def _others(plan: piece_chains.Plan, number: int) -> list[str]:
+    chosen = [
+        *plan.sources,
+        *(_extra_agents(plan, failed_rounds) if failed_rounds else ()),
+    ]
+    origin_interval = 1 + plan.position // _ORIGIN_EACH_ROUND
+    if not (failed_rounds + plan.position) % origin_interval:
+        chosen.append(piece_chains.ORIGIN)
+    return tuple(dict.fromkeys(chosen))
+
+
+def _extra_agents(
+    plan: piece_chains.FetchPlan, failed_rounds: int
+) -> list[str]:
     """Return the other agents whose turn it is; each agent begins elsewhere."""
-    others = list(dict.fromkeys(plan.anyone))
-    start = plan.place + number * _OTHERS_ASKED
-    count = min(_OTHERS_ASKED, len(others))
-    return [others[(start + turn) % len(others)] for turn in range(count)]
+    agents = list(dict.fromkeys(plan.all_peer_ips))
+    start = plan.position + failed_rounds * _EXTRA_AGENTS
+    count = min(_EXTRA_AGENTS, len(agents))
+    return [agents[(start + offset) % len(agents)] for offset in range(count)]
--- a/clementinepass/decisions/piece_chains.py
+++ b/clementinepass/decisions/piece_chains.py
@@ -28,10 +28,10 @@
 #: Stands for the origin among sources.
 ORIGIN = ''
 #: Agents asked at once that have the whole version.
-_HOLDERS_ASKED = 2
+_HOLDERS_PER_AGENT = 2
 
 
-class Peer(typing.NamedTuple):
+class Agent(typing.NamedTuple):
     """An agent of the service.
 
     :param holds: whether it has the whole version already.
@@ -40,10 +40,10 @@
     region: str
     domain: str
     ip: str
-    holds: bool = False
+    has_version: bool = False
 
 
-class Question(typing.NamedTuple):
+class FetchContext(typing.NamedTuple):
     """Who asks, and who else there is.
 
     :param origin_region: the region in which the origin stands.
@@ -52,20 +52,20 @@
     :param origin_part: the origin's link, as a multiple of an agent's.
     """
 
-    own: Peer
-    peers: Sequence[Peer]
+    local_agent: Agent
+    peers: Sequence[Agent]
     origin_region: str
-    stripes: int = piece_stripes.LEAST_STRIPES
-    avoided: frozenset[str] = frozenset()
-    origin_part: float = 0
+    stripe_count: int = piece_stripes.MIN_STRIPES
+    excluded_ips: frozenset[str] = frozenset()
+    origin_link_ratio: float = 0
 
     @property
-    def sound(self) -> list[Peer]:
+    def usable_peers(self) -> list[Agent]:
         """Return the peers that bring something."""
-        return [peer for peer in self.peers if peer.ip not in self.avoided]
+        return [peer for peer in self.peers if peer.ip not in self.excluded_ips]
 
 
-class Lane(typing.NamedTuple):
+class PieceGroup(typing.NamedTuple):
     """Some pieces of a version, and whom to ask for them.
 
     :param rests: the pieces whose numbers leave one of these rests,
@@ -74,16 +74,16 @@
     """
 
     sources: tuple[str, ...]
-    rests: frozenset[int] = frozenset((0,))
-    stripes: int = 1
-    enters: bool = False
+    remainders: frozenset[int] = frozenset((0,))
+    stripe_count: int = 1
+    enters_region: bool = False
 
-    def has(self, number: int) -> bool:
+    def contains(self, number: int) -> bool:
         """Tell whether a piece is one of these."""
-        return number % self.stripes in self.rests
+        return number % self.stripe_count in self.remainders
 
 
-class Plan(typing.NamedTuple):
+class FetchPlan(typing.NamedTuple):
     """From whom to get pieces, in the order in which to ask.
 
     :param place: how many agents come before the asking one, about.
@@ -93,89 +93,103 @@
     :param has_room: whether what comes from the origin leaves room on the link.
     """
 
-    lanes: tuple[Lane, ...]
-    place: int = 0
-    partners: tuple[str, ...] = ()
-    anyone: tuple[str, ...] = ()
-    has_room: bool = False
+    groups: tuple[PieceGroup, ...]
+    position: int = 0
+    fallback_ips: tuple[str, ...] = ()
+    all_peer_ips: tuple[str, ...] = ()
+    has_spare_bandwidth: bool = False
 
     @property
     def sources(self) -> tuple[str, ...]:
         """Return all that are asked, each once."""
-        every = [source for lane in self.lanes for source in lane.sources]
-        return tuple(dict.fromkeys(every))
+        repeated = [source for group in self.groups for source in group.sources]
+        return tuple(dict.fromkeys(repeated))
 
     @property
     def is_striped(self) -> bool:
         """Tell whether different pieces come from different sources."""
-        return any(lane.stripes > 1 for lane in self.lanes)
+        return any(group.stripe_count > 1 for group in self.groups)
 
-    def in_order(self, numbers: Sequence[int]) -> list[int]:
+    def in_fetch_order(self, numbers: Sequence[int]) -> list[int]:
         """Return pieces in the order in which they are to come."""
         return [
             number
-            for lane in self.lanes
+            for group in self.groups
             for number in numbers
-            if lane.has(number)
+            if group.contains(number)
         ]
 
 
-def plan(question: Question) -> Plan:
+def plan_fetch(context: FetchContext) -> FetchPlan:
     """Return from whom the asking agent gets its pieces."""
-    chosen = _sources(question)
-    return chosen._replace(anyone=tuple(anyone(question)))
+    plan = _plan_sources(context)
+    return plan._replace(all_peer_ips=tuple(all_peer_ips(context)))
 
 
-def _sources(question: Question) -> Plan:
-    sound = question.sound
-    near = [peer for peer in sound if peer.region == question.own.region]
-    holders = _turned(question.own, near)
+def _plan_sources(context: FetchContext) -> FetchPlan:
+    usable_peers = context.usable_peers
+    region_peers = [
+        peer
+        for peer in usable_peers
+        if peer.region == context.local_agent.region
+    ]
+    holders = _rotated_holders(context.local_agent, region_peers)
     if holders:
-        return _behind(question.own, near, holders, holders)
-    holders = _turned(question.own, sound)
+        return _chain_plan(context.local_agent, region_peers, holders, holders)
+    holders = _rotated_holders(context.local_agent, usable_peers)
     if holders:
-        return _behind(question.own, near, holders[:1], holders)
-    return _striped(question)
+        return _chain_plan(
+            context.local_agent, region_peers, holders[:1], holders
+        )
+    return _striped_plan(context)
 
 
-def anyone(question: Question) -> list[str]:
+def all_peer_ips(context: FetchContext) -> list[str]:
     """Return all other agents, those of the own region first."""
-    near = [
-        peer.ip for peer in question.peers if peer.region == question.own.region
+    region_peers = [
+        peer.ip
+        for peer in context.peers
+        if peer.region == context.local_agent.region
+    ]
+    other_peers = [
+        peer.ip for peer in context.peers if peer.ip not in region_peers
     ]
-    far = [peer.ip for peer in question.peers if peer.ip not in near]
-    return near + far
+    return region_peers + other_peers
 
 
-def _turned(own: Peer, peers: Sequence[Peer]) -> list[str]:
+def _rotated_holders(local_agent: Agent, peers: Sequence[Agent]) -> list[str]:
     """Return agents that have the version; each region begins with another."""
-    holders = sorted(peer.ip for peer in peers if peer.holds)
-    return _rotated(holders, zlib.crc32(own.region.encode()))
+    holders = sorted(peer.ip for peer in peers if peer.has_version)
+    return _rotated(holders, zlib.crc32(local_agent.region.encode()))
 
 
-def _behind(
-    own: Peer,
-    near: Sequence[Peer],
+def _chain_plan(
+    local_agent: Agent,
+    region_peers: Sequence[Agent],
     holders: list[str],
-    partners: list[str],
-) -> Plan:
+    fallback_candidates: list[str],
+) -> FetchPlan:
     """Return a place in a chain that a holder heads, one for each holder.
 
     Heads ask two holders, since askers don't know of one another at once:
     where two chose the same single one, each was done after ten seconds.  And
     all askers can't ask holders: two of those served eight for 17 seconds.
     """
-    askers = sorted({own, *(peer for peer in near if not peer.holds)})
-    place = askers.index(own)
-    if place >= len(holders):
-        before = askers[place - len(holders)]
-        return Plan((Lane((before.ip,)),), place=place // len(holders))
-    sources = _holders_of(own, holders)
-    others = tuple(ip for ip in partners if ip not in sources)
-    return Plan((Lane(sources),), partners=others)
-
-
-def _holders_of(own: Peer, holders: list[str]) -> tuple[str, ...]:
+    fetchers = sorted(
+        {local_agent, *(peer for peer in region_peers if not peer.has_version)}
+    )
+    position = fetchers.index(local_agent)
+    if position >= len(holders):
+        predecessor = fetchers[position - len(holders)]
+        return FetchPlan(
+            (PieceGroup((predecessor.ip,)),), position=position // len(holders)
+        )
+    sources = _holders_for(local_agent, holders)
+    fallbacks = tuple(ip for ip in fallback_candidates if ip not in sources)
+    return FetchPlan((PieceGroup(sources),), fallback_ips=fallbacks)
+
+
+def _holders_for(local_agent: Agent, holders: list[str]) -> tuple[str, ...]:
     """Return the holders that an agent asks, by its own address alone.
 
     Failure: engines were added at once, and their agents didn't know of one
@@ -185,70 +199,79 @@
     Machines that are added together have addresses in a row, mostly, and so
     holders in a row.
     """
-    start = _HOLDERS_ASKED * int.from_bytes(own.ip.encode())
-    return tuple(_rotated(holders, start)[:_HOLDERS_ASKED])
+    start = _HOLDERS_PER_AGENT * int.from_bytes(local_agent.ip.encode())
+    return tuple(_rotated(holders, start)[:_HOLDERS_PER_AGENT])
 
 
-def _striped(question: Question) -> Plan:
-    own = question.own
-    found = piece_stripes.layout(
-        piece_stripes.Agent(own.region, own.ip),
+def _striped_plan(context: FetchContext) -> FetchPlan:
+    local_agent = context.local_agent
+    layout = piece_stripes.compute_layout(
+        piece_stripes.Agent(local_agent.region, local_agent.ip),
         piece_stripes.Fleet(
             [
                 piece_stripes.Agent(peer.region, peer.ip)
-                for peer in (own, *question.peers)
+                for peer in (local_agent, *context.peers)
             ],
-            question.origin_region,
-            question.stripes,
-            question.avoided,
+            context.origin_region,
+            context.stripe_count,
+            context.excluded_ips,
         ),
     )
-    lanes = _lanes(found)
+    groups = _piece_groups(layout)
     # Whoever isn't a head waits for those before it. Where all looked
     # elsewhere, they met at the same few.
-    is_head = any(lane.enters for lane in lanes)
-    partners = _partners(question) if is_head else ()
-    return Plan(
-        lanes,
-        found.place,
-        partners,
-        has_room=piece_stripes.leaves_room(
-            question.origin_part,
-            found.stripes,
+    is_head = any(group.enters_region for group in groups)
+    fallback_ips = _fallback_ips(context) if is_head else ()
+    return FetchPlan(
+        groups,
+        layout.position,
+        fallback_ips,
+        has_spare_bandwidth=piece_stripes.leaves_spare_bandwidth(
+            context.origin_link_ratio,
+            layout.stripe_count,
         ),
     )
 
 
-def _lanes(found: piece_stripes.Layout) -> tuple[Lane, ...]:
+def _piece_groups(layout: piece_stripes.Layout) -> tuple[PieceGroup, ...]:
     """Return one lane for all that enters from a source, others apart.
 
     Others come in an order, stripe after stripe.
     """
-    stripes = found.stripes
-    entering: dict[str, frozenset[int]] = {}
-    relayed: list[Lane] = []
-    for source in found.sources:
+    stripe_count = layout.stripe_count
+    remainders_by_ip: dict[str, frozenset[int]] = {}
+    relayed: list[PieceGroup] = []
+    for source in layout.sources:
         ip = ORIGIN if source.ip is None else source.ip
-        rests = frozenset((source.stripe,))
-        if source.enters:
-            entering[ip] = entering.get(ip, frozenset()) | rests
+        remainders = frozenset((source.stripe,))
+        if source.enters_region:
+            remainders_by_ip[ip] = (
+                remainders_by_ip.get(ip, frozenset()) | remainders
+            )
         else:
-            relayed.append(Lane((ip,), rests, stripes))
+            relayed.append(PieceGroup((ip,), remainders, stripe_count))
     return (
-        *(Lane((ip,), own, stripes, True) for ip, own in entering.items()),
+        *(
+            PieceGroup((ip,), entering, stripe_count, True)
+            for ip, entering in remainders_by_ip.items()
+        ),
         *relayed,
     )
 
 
-def _partners(question: Question) -> tuple[str, ...]:
+def _fallback_ips(context: FetchContext) -> tuple[str, ...]:
     """Return the others of the region; each agent begins with another."""
-    near = sorted(
-        peer.ip for peer in question.sound if peer.region == question.own.region
+    region_peers = sorted(
+        peer.ip
+        for peer in context.usable_peers
+        if peer.region == context.local_agent.region
+    )
+    return tuple(
+        _rotated(region_peers, zlib.crc32(context.local_agent.ip.encode()))
     )
-    return tuple(_rotated(near, zlib.crc32(question.own.ip.encode())))
 
 
-def _rotated(ips: list[str], turn: int) -> list[str]:
+def _rotated(ips: list[str], offset: int) -> list[str]:
     """Return addresses in their order, beginning with another."""
-    start = turn % max(len(ips), 1)
+    start = offset % max(len(ips), 1)
     return ips[start:] + ips[:start]
--- a/clementinepass/decisions/piece_stripes.py
+++ b/clementinepass/decisions/piece_stripes.py
@@ -32,11 +32,11 @@
     from collections.abc import Container, Sequence
 
 #: Stripes at least: with one the origin's link would wait for a single agent's.
-LEAST_STRIPES = 2
+MIN_STRIPES = 2
 #: The part of an agent's link from which on it counts as filled.
-_FILLED_PART = 0.8
+_FILLED_FRACTION = 0.8
 #: Stripes at most. Each is another source that an agent may get pieces from.
-MOST_STRIPES = 8
+MAX_STRIPES = 8
 
 
 class Agent(typing.NamedTuple):
@@ -55,9 +55,9 @@
     """
 
     agents: Sequence[Agent]
-    home: str
-    stripes: int
-    avoided: Container[str] = frozenset()
+    origin_region: str
+    stripe_count: int
+    excluded_ips: Container[str] = frozenset()
 
 
 class Source(typing.NamedTuple):
@@ -69,7 +69,7 @@
 
     stripe: int
     ip: str | None
-    enters: bool
+    enters_region: bool
 
 
 class Layout(typing.NamedTuple):
@@ -81,62 +81,71 @@
     """
 
     sources: tuple[Source, ...]
-    stripes: int
-    place: int
+    stripe_count: int
+    position: int
 
 
-def stripes(origin_mbps: float, link_mbps: float) -> int:
+def count_stripes(origin_mbps: float, link_mbps: float) -> int:
     """Return how many agents' links the origin's link can fill.
 
     :param origin_mbps: megabits a second; 0 where it isn't told.
     :param link_mbps: the same of an agent's link.
     """
     if not origin_mbps or not link_mbps:
-        return LEAST_STRIPES
-    filled = -int(-origin_mbps // link_mbps)
-    return min(max(filled, LEAST_STRIPES), MOST_STRIPES)
+        return MIN_STRIPES
+    filled_links = -int(-origin_mbps // link_mbps)
+    return min(max(filled_links, MIN_STRIPES), MAX_STRIPES)
 
 
-def leaves_room(origin_part: float, stripes_dealt: int) -> bool:
+def leaves_spare_bandwidth(origin_link_ratio: float, stripe_count: int) -> bool:
     """Tell whether a stripe from the origin leaves room on an agent's link.
 
     :param origin_part: the origin's link, as a multiple of an agent's; 0 where
         it isn't told.
     """
-    return 0 < origin_part / stripes_dealt < _FILLED_PART
+    return 0 < origin_link_ratio / stripe_count < _FILLED_FRACTION
 
 
-def layout(own: Agent, fleet: Fleet) -> Layout:
+def compute_layout(local_agent: Agent, fleet: Fleet) -> Layout:
     """Return from whom an agent gets each stripe."""
-    fleet = _fitting(fleet)
-    rings = _rings(fleet)
-    ring = next(one for one in rings if one.region == own.region)
-    place = ring.place(own)
+    fleet = _limit_stripes(fleet)
+    rings = _build_rings(fleet)
+    ring = next(
+        region_ring
+        for region_ring in rings
+        if region_ring.region == local_agent.region
+    )
+    position = ring.position(local_agent)
     sources = [
-        _source(stripe, place, ring, rings) for stripe in range(fleet.stripes)
+        _find_source(stripe, position, ring, rings)
+        for stripe in range(fleet.stripe_count)
     ]
-    sources.sort(key=lambda source: ring.distance(source.stripe, place))
-    before = sum(len(one.agents) for one in rings[: rings.index(ring)])
-    places = math.ceil((before + place) / fleet.stripes)
-    return Layout(tuple(sources), fleet.stripes, places)
+    sources.sort(key=lambda source: ring.distance(source.stripe, position))
+    preceding_agents = sum(
+        len(region_ring.agents) for region_ring in rings[: rings.index(ring)]
+    )
+    depth = math.ceil((preceding_agents + position) / fleet.stripe_count)
+    return Layout(tuple(sources), fleet.stripe_count, depth)
 
 
-def _fitting(fleet: Fleet) -> Fleet:
+def _limit_stripes(fleet: Fleet) -> Fleet:
     """Return the same with no more stripes than the origin's region heads.
 
     Two at least: the second then begins in the next region.  With three for
     two agents at home the last of five had all pieces after twice its link's
     time.
     """
-    at_home = sum(agent.region == fleet.home for agent in set(fleet.agents))
-    most = max(at_home, LEAST_STRIPES)
-    return fleet._replace(stripes=min(fleet.stripes, most))
+    origin_agents = sum(
+        agent.region == fleet.origin_region for agent in set(fleet.agents)
+    )
+    max_stripes = max(origin_agents, MIN_STRIPES)
+    return fleet._replace(stripe_count=min(fleet.stripe_count, max_stripes))
 
 
 class _Ring:
     """The agents of one region."""
 
-    __slots__ = ('_avoided', '_stripes', 'agents', 'region')
+    __slots__ = ('_excluded_ips', '_stripe_count', 'agents', 'region')
 
     def __init__(
         self,
@@ -146,110 +155,117 @@
     ) -> None:
         self.region = region
         self.agents = agents
-        self._stripes = fleet.stripes
-        self._avoided = fleet.avoided
+        self._stripe_count = fleet.stripe_count
+        self._excluded_ips = fleet.excluded_ips
 
-    def place(self, own: Agent) -> int:
+    def position(self, agent: Agent) -> int:
         """Return where in the ring an agent stands."""
-        return self.agents.index(own)
+        return self.agents.index(agent)
 
     def head(self, stripe: int) -> int | None:
         """Return the place of the agent at which a stripe enters.
 
         Where that one brings nothing, of the next one after it.
         """
-        return self._sound(self._planned_head(stripe), 1)
+        return self._first_usable(self._planned_head(stripe), 1)
 
     def feeder(self, stripe: int) -> int | None:
         """Return the place of the agent that hands a stripe on."""
         head = self._planned_head(stripe)
-        next_head = (stripe + 1) * len(self.agents) // self._stripes
-        for place in reversed(range(head, next_head)):
-            if self.agents[place].ip not in self._avoided:
-                return place
+        next_head = (stripe + 1) * len(self.agents) // self._stripe_count
+        for position in reversed(range(head, next_head)):
+            if self.agents[position].ip not in self._excluded_ips:
+                return position
         return self.head(stripe)
 
-    def before(self, place: int) -> int | None:
+    def predecessor(self, position: int) -> int | None:
         """Return the place of whoever sends to an agent in the ring."""
-        return self._sound(place - 1, -1)
+        return self._first_usable(position - 1, -1)
 
-    def distance(self, stripe: int, place: int) -> int:
+    def distance(self, stripe: int, position: int) -> int:
         """Return how many agents pass a stripe on before it comes to one."""
         head = self.head(stripe)
         if head is None:
             return 0
-        return (place - head) % len(self.agents)
+        return (position - head) % len(self.agents)
 
     def _planned_head(self, stripe: int) -> int:
-        if len(self.agents) < self._stripes:
+        if len(self.agents) < self._stripe_count:
             return stripe % len(self.agents)
-        return stripe * len(self.agents) // self._stripes
+        return stripe * len(self.agents) // self._stripe_count
 
-    def _sound(self, start: int, step: int) -> int | None:
+    def _first_usable(self, start: int, step: int) -> int | None:
         """Return the first place from one on whose agent isn't avoided."""
         count = len(self.agents)
-        for turn in range(count):
-            place = (start + turn * step) % count
-            if self.agents[place].ip not in self._avoided:
-                return place
+        for offset in range(count):
+            position = (start + offset * step) % count
+            if self.agents[position].ip not in self._excluded_ips:
+                return position
         return None
 
 
-def _rings(fleet: Fleet) -> list[_Ring]:
+def _build_rings(fleet: Fleet) -> list[_Ring]:
     """Return the agents by region: the origin's first, then large ones."""
     by_region: dict[str, list[Agent]] = {}
     for agent in sorted(set(fleet.agents)):
         by_region.setdefault(agent.region, []).append(agent)
-    rings = [_Ring(region, own, fleet) for region, own in by_region.items()]
+    rings = [
+        _Ring(region, region_agents, fleet)
+        for region, region_agents in by_region.items()
+    ]
     return sorted(
         rings,
         key=lambda ring: (
-            ring.region != fleet.home,
+            ring.region != fleet.origin_region,
             -len(ring.agents),
             ring.region,
         ),
     )
 
 
-def _source(
+def _find_source(
     stripe: int,
-    place: int,
+    position: int,
     ring: _Ring,
     rings: list[_Ring],
 ) -> Source:
     """Return where the agent at a place of a ring gets a stripe."""
-    if ring.head(stripe) != place:
-        before = ring.before(place)
-        if before is not None and before != place:
-            return Source(stripe, ring.agents[before].ip, enters=False)
-    return Source(stripe, _handed_on_by(stripe, ring, rings), enters=True)
+    if ring.head(stripe) != position:
+        predecessor = ring.predecessor(position)
+        if predecessor is not None and predecessor != position:
+            return Source(
+                stripe, ring.agents[predecessor].ip, enters_region=False
+            )
+    return Source(
+        stripe, _preceding_feeder(stripe, ring, rings), enters_region=True
+    )
 
 
-def _handed_on_by(
+def _preceding_feeder(
     stripe: int,
     ring: _Ring,
     rings: list[_Ring],
 ) -> str | None:
     """Return who hands a stripe on to a region; ``None`` for the origin."""
-    first = rings[_first_ring(stripe, rings)]
-    start = rings.index(first)
+    origin_ring = rings[_origin_ring_index(stripe, rings)]
+    start = rings.index(origin_ring)
     ordered = rings[start:] + rings[:start]
-    for earlier in reversed(ordered[: ordered.index(ring)]):
-        feeder = earlier.feeder(stripe)
+    for preceding in reversed(ordered[: ordered.index(ring)]):
+        feeder = preceding.feeder(stripe)
         if feeder is not None:
-            return earlier.agents[feeder].ip
+            return preceding.agents[feeder].ip
     return None
 
 
-def _first_ring(stripe: int, rings: list[_Ring]) -> int:
+def _origin_ring_index(stripe: int, rings: list[_Ring]) -> int:
     """Return the number of the ring that gets a stripe from the origin.
 
     The origin's region; where that has fewer agents than there are stripes,
     the others go to the next regions, so that they too are out at once.
     """
-    before = 0
-    for number, ring in enumerate(rings):
-        before += len(ring.agents)
-        if stripe < before:
-            return number
+    agent_count = 0
+    for index, ring in enumerate(rings):
+        agent_count += len(ring.agents)
+        if stripe < agent_count:
+            return index
     return 0
--- a/clementinepass/decisions/reading_turns.py
+++ b/clementinepass/decisions/reading_turns.py
@@ -24,12 +24,12 @@
 #: a read is overdue, one new read and two heartbeat messages this stays within
 #: the 3 s after a disturbance in which no bound holds, also where the entry
 #: whose turn it was is gone.
-STEP = 0.7
+STEP_SECONDS = 0.7
 #: Seconds that a read waits at most. An entry that hears of no change by others
 #: notices a silent read after that.
-LONGEST = 8.0
+MAX_WAIT_SECONDS = 8.0
 #: Steps without an end from which a turn is taken that nobody has.
-_FREE = 1.5
+_FREE_TURN_STEPS = 1.5
 
 
 class Turn(typing.NamedTuple):
@@ -39,25 +39,27 @@
     :param entries: how many there are, itself included.
     """
 
-    before: int
-    entries: int
+    position: int
+    entry_count: int
 
     @property
-    def step(self) -> float:
+    def step_seconds(self) -> float:
         """Return the seconds between the ends of two reads."""
-        return min(STEP, LONGEST / self.entries)
+        return min(STEP_SECONDS, MAX_WAIT_SECONDS / self.entry_count)
 
 
-def after_news(turn: Turn) -> float:
+def wait_after_change(turn: Turn) -> float:
     """Return the seconds that a read waits which begins with a change.
 
     All entries hear of it and begin at the same moment, so what they said of
     their reads holds no more.
     """
-    return turn.step * (turn.before + 1)
+    return turn.step_seconds * (turn.position + 1)
 
 
-def after_silence(turn: Turn, ends: Iterable[float]) -> float:
+def wait_after_empty_read(
+    turn: Turn, remaining_waits: Iterable[float]
+) -> float:
     """Return the seconds that a read waits after one without a record.
 
     It takes the first turn that nobody has: that of an entry that is gone or
@@ -65,10 +67,10 @@
 
     :param ends: seconds until reads of the others end.
     """
-    step = turn.step
-    last: float = 0
-    for end in sorted(ends):
-        if end - last > _FREE * step:
+    step_seconds = turn.step_seconds
+    last_taken: float = 0
+    for remaining in sorted(remaining_waits):
+        if remaining - last_taken > _FREE_TURN_STEPS * step_seconds:
             break
-        last = max(last, end)
-    return min(last + step, LONGEST)
+        last_taken = max(last_taken, remaining)
+    return min(last_taken + step_seconds, MAX_WAIT_SECONDS)
--- a/clementinepass/decisions/region_readers.py
+++ b/clementinepass/decisions/region_readers.py
@@ -20,20 +20,20 @@
 #: Seconds in which an entry was heard of that others rely on. Three heartbeat
 #: messages; a reader that fell silent has to be replaced, and the change read
 #: and passed on, within the two seconds in which it has to be in force.
-RELIED_SECONDS = 1.2
+MAX_SILENCE_SECONDS = 1.2
 #: Entries of a region that read the store.
-_READERS = 2
+_READERS_PER_REGION = 2
 #: Entries of a region up to which all read: their reads are few.
-_ALL_READ = 3
+_MAX_ALL_READERS = 3
 
 
-def reads(own_ip: str, others: Iterable[str]) -> bool:
+def is_reader(local_ip: str, peer_ips: Iterable[str]) -> bool:
     """Tell whether an entry reads the store itself.
 
     :param others: the IP numbers of the other entries of its region that were
         heard of lately and aren't about to end.
     """
-    near = [own_ip, *others]
-    if len(near) <= _ALL_READ:
+    region_ips = [local_ip, *peer_ips]
+    if len(region_ips) <= _MAX_ALL_READERS:
         return True
-    return own_ip in sorted(near)[:_READERS]
+    return local_ip in sorted(region_ips)[:_READERS_PER_REGION]
--- a/clementinepass/decisions/start_reading.py
+++ b/clementinepass/decisions/start_reading.py
@@ -22,35 +22,35 @@
 #: unless a peer has told it what is there. A seed has read it after 0.1 s and
 #: may have started 0.3 s later. The span is for a hundred processes of a
 #: region, of which the first two or three are to be done before the next.
-_EARLIEST = 0.6
-_LATEST = 2.0
+_MIN_DELAY_SECONDS = 0.6
+_MAX_DELAY_SECONDS = 2.0
 #: Seconds until a process that knows nothing asks for the second time, and by
 #: how much longer it waits each time after that.
-_FIRST_PAUSE = 0.1
-_LONGER = 1.5
-_LONGEST_PAUSE = 0.4
+_FIRST_PAUSE_SECONDS = 0.1
+_BACKOFF_FACTOR = 1.5
+_MAX_PAUSE_SECONDS = 0.4
 #: Seconds in which only entries of the own region are asked.
-_NEAR_ONLY = 0.4
+_SAME_REGION_SECONDS = 0.4
 
 
-def delay(
-    own_ip: str,
+def read_delay(
+    local_ip: str,
     seeds: typing.Collection[str],
     rng: random.Random,
 ) -> float:
     """Return the seconds until a process reads the store by itself."""
-    others = [ip for ip in seeds if ip != own_ip]
-    if own_ip in seeds or not others:
+    other_seeds = [ip for ip in seeds if ip != local_ip]
+    if local_ip in seeds or not other_seeds:
         return 0
-    return rng.uniform(_EARLIEST, _LATEST)
+    return rng.uniform(_MIN_DELAY_SECONDS, _MAX_DELAY_SECONDS)
 
 
-def may_ask(*, is_near: bool, since_start: float) -> bool:
+def may_request(*, is_same_region: bool, uptime_seconds: float) -> bool:
     """Tell whether to take the first records from a peer.
 
     :param is_near: whether it is an entry of the own region.
     """
-    return is_near or since_start >= _NEAR_ONLY
+    return is_same_region or uptime_seconds >= _SAME_REGION_SECONDS
 
 
 class SeedPolling:
@@ -66,29 +66,29 @@
     :param seeds: IP numbers; the own one is passed over.
     """
 
-    __slots__ = ('_asked', '_pause', '_turns')
+    __slots__ = ('_batch_size', '_pause_seconds', '_seed_cycle')
 
     def __init__(
         self,
-        own_ip: str,
+        local_ip: str,
         seeds: typing.Collection[str],
         rng: random.Random,
     ) -> None:
-        others = [ip for ip in seeds if ip != own_ip]
-        rng.shuffle(others)
-        self._turns = itertools.cycle(others)
+        other_seeds = [ip for ip in seeds if ip != local_ip]
+        rng.shuffle(other_seeds)
+        self._seed_cycle = itertools.cycle(other_seeds)
         #: How many are asked next.
-        self._asked = len(others)
-        self._pause = _FIRST_PAUSE
+        self._batch_size = len(other_seeds)
+        self._pause_seconds = _FIRST_PAUSE_SECONDS
 
-    def due(self) -> list[str]:
+    def next_seeds(self) -> list[str]:
         """Return the seeds to ask now."""
-        found = list(itertools.islice(self._turns, self._asked))
-        self._asked = 1
-        return found
+        seeds = list(itertools.islice(self._seed_cycle, self._batch_size))
+        self._batch_size = 1
+        return seeds
 
-    def pause(self) -> float:
+    def next_pause(self) -> float:
         """Return the seconds until the next question, longer each time."""
-        seconds = self._pause
-        self._pause = min(seconds * _LONGER, _LONGEST_PAUSE)
+        seconds = self._pause_seconds
+        self._pause_seconds = min(seconds * _BACKOFF_FACTOR, _MAX_PAUSE_SECONDS)
         return seconds
--- a/clementinepass/decisions/superseding.py
+++ b/clementinepass/decisions/superseding.py
@@ -13,7 +13,7 @@
 
 #: Seconds until an agent has all of a version that it begins with, for each
 #: second that its own link needs: pieces come through those before it.
-_SPREAD_PART = 1.25
+_SPREAD_FACTOR = 1.25
 
 
 class Transfer(typing.NamedTuple):
@@ -23,11 +23,11 @@
     :param left: seconds until requests begin on no older version.
     """
 
-    seconds: float
-    left: float
+    remaining_seconds: float
+    deadline_seconds: float
 
 
-def finish_first(
+def should_finish_first(
     current: Transfer,
     newer: Transfer,
     *,
@@ -46,9 +46,11 @@
     :param is_decided: whether that was decided before.
     """
     if is_decided:
-        return current.seconds < newer.left
-    late_first = max(current.seconds - current.left, 0)
-    spread = newer.seconds * _SPREAD_PART
-    late_second = max(current.seconds + spread - newer.left, 0)
-    dropped = max(spread - current.left, 0)
-    return late_first + late_second <= dropped
+        return current.remaining_seconds < newer.deadline_seconds
+    current_gap = max(current.remaining_seconds - current.deadline_seconds, 0)
+    newer_seconds = newer.remaining_seconds * _SPREAD_FACTOR
+    newer_gap = max(
+        current.remaining_seconds + newer_seconds - newer.deadline_seconds, 0
+    )
+    dropped_gap = max(newer_seconds - current.deadline_seconds, 0)
+    return current_gap + newer_gap <= dropped_gap
--- a/clementinepass/decisions/timely_begin.py
+++ b/clementinepass/decisions/timely_start.py
@@ -16,7 +16,7 @@
 if typing.TYPE_CHECKING:
     from collections.abc import Iterable
 
-    from clementinepass.decisions import nearest_place
+    from clementinepass.decisions import endpoint_choice
 
 
 class Request(typing.NamedTuple):
@@ -27,36 +27,40 @@
     """
 
     prompt_tokens: float
-    usual_prompt: float
+    mean_prompt_tokens: float
 
 
-def begins_after(
+def seconds_until_start(
     request: Request,
-    option: nearest_place.Option,
-    pace: first_event.Pace,
+    candidate: endpoint_choice.Candidate,
+    rate: first_event.ServiceRate,
 ) -> float:
     """Return the seconds after which a request sent now would begin.
 
     Those that wait for a slot come before it, and an engine reads the prompts
     of those that it has taken up before it reads another.
     """
-    seconds = first_event.BASE_SECONDS
-    if pace.ended_per_second:
-        seconds += option.waiting / pace.ended_per_second
-    if pace.read_per_second:
-        tokens = option.unbegun * request.usual_prompt + request.prompt_tokens
-        seconds += tokens / pace.read_per_second
+    seconds = first_event.BASE_LATENCY_SECONDS
+    if rate.requests_per_second:
+        seconds += candidate.queue_depth / rate.requests_per_second
+    if rate.prompt_tokens_per_second:
+        tokens = (
+            candidate.unstarted * request.mean_prompt_tokens
+            + request.prompt_tokens
+        )
+        seconds += tokens / rate.prompt_tokens_per_second
     return seconds
 
 
-def timely(
+def filter_timely(
     request: Request,
-    options: Iterable[nearest_place.Option],
-    pace: first_event.Pace,
-) -> list[nearest_place.Option]:
+    candidates: Iterable[endpoint_choice.Candidate],
+    rate: first_event.ServiceRate,
+) -> list[endpoint_choice.Candidate]:
     """Return the endpoints at which a request would begin in time."""
     return [
-        option
-        for option in options
-        if begins_after(request, option, pace) <= option.usable_for
+        candidate
+        for candidate in candidates
+        if seconds_until_start(request, candidate, rate)
+        <= candidate.usable_seconds
     ]
--- a/clementinepass/direct/agent.py
+++ b/clementinepass/direct/agent.py
@@ -184,7 +184,7 @@
         """
         return self._aims.wanted(self._loading)
 
-    def question(self, model: str, version: int) -> piece_chains.Question:
+    def question(self, model: str, version: int) -> piece_chains.FetchContext:
         """Return what choosing a source for pieces needs."""
         return self._neighbours.question(version)
 
@@ -201,7 +201,9 @@
     async def _keep_up(self) -> None:
         """Speak to entries; read the store where none answers."""
         loop = asyncio.get_running_loop()
-        patience = start_reading.delay(self._own.ip, self._own.seeds, self._rng)
+        patience = start_reading.read_delay(
+            self._own.ip, self._own.seeds, self._rng
+        )
         alone_since = loop.time() + patience - _ALONE_SECONDS
         while True:
             if self.peers.members.alive(loop.time()):
@@ -342,9 +344,11 @@
         if turn is None:
             left = self._seconds_usable(engine, version)
             turn = now + load_turns.delay(
-                load_turns.Peer(self._own.endpoint, self._own.domain),
+                load_turns.LoadingEngine(self._own.endpoint, self._own.domain),
                 [
-                    load_turns.Peer(one.listing.address, one.listing.domain)
+                    load_turns.LoadingEngine(
+                        one.listing.address, one.listing.domain
+                    )
                     for one in self._neighbours.of_service()
                 ],
                 left,
--- a/clementinepass/direct/aims.py
+++ b/clementinepass/direct/aims.py
@@ -136,7 +136,7 @@
         left = self._cluster.seconds_left(engine.model, current)
         if left is None:
             return False
-        finishes = superseding.finish_first(
+        finishes = superseding.should_finish_first(
             superseding.Transfer(
                 self._seconds(engine, len(begun.missing)),
                 left,
--- a/clementinepass/direct/catching_up.py
+++ b/clementinepass/direct/catching_up.py
@@ -120,10 +120,10 @@
         if self._begun is None:
             self._begun = now
         sender = heartbeat.sender
-        return start_reading.may_ask(
+        return start_reading.may_request(
             # An agent's link is narrow, and its heartbeats have no sender.
-            is_near=sender is not None and self._is_near(sender),
-            since_start=now - self._begun,
+            is_same_region=sender is not None and self._is_near(sender),
+            uptime_seconds=now - self._begun,
         )
 
     def _is_near(self, member: members.Member) -> bool:
--- a/clementinepass/direct/cluster_state.py
+++ b/clementinepass/direct/cluster_state.py
@@ -8,7 +8,7 @@
 
 from loguru import logger
 
-from clementinepass.decisions import ejection, incarnations, named_versions
+from clementinepass.decisions import desired_versions, ejection, incarnations
 from clementinepass.direct import endpoint_loads, endpoints, heartbeats
 
 if typing.TYPE_CHECKING:
@@ -66,7 +66,7 @@
         self.endpoints = endpoints.Endpoints()
         self.loads = endpoint_loads.EndpointLoads()
         self.ejector = ejection.Ejector()
-        self._named_by_model: dict[str, named_versions.NamedVersions] = {}
+        self._named_by_model: dict[str, desired_versions.DesiredVersions] = {}
 
     def configured(self, newer: routing.Routing) -> bool:
         """Take a configuration, unless a newer one is in force."""
@@ -107,9 +107,9 @@
         known = self._named_by_model.get(model)
         if known is None:
             bound = self._own.duties.version - _VERSION_MARGIN
-            known = named_versions.NamedVersions(bound)
+            known = desired_versions.DesiredVersions(bound)
             self._named_by_model[model] = known
-        if not known.named(version, since, guessed=guessed):
+        if not known.record(version, since, is_guess=guessed):
             return False
         logger.bind(
             model=model,
@@ -140,7 +140,7 @@
                 model,
                 version,
                 max(now - since, 0),
-                version in named.guessed,
+                version in named.guessed_versions,
             )
             for model, named in self._named_by_model.items()
             for version, since in named.since_by_version.items()
--- a/clementinepass/direct/departure.py
+++ b/clementinepass/direct/departure.py
@@ -42,13 +42,13 @@
         #: Until when a list is kept that this entry told.
         self._told_until = -math.inf
         #: The times of leaving; ``None`` while the entry is to stay.
-        self.plan: decisions.Plan | None = None
+        self.plan: decisions.DrainPlan | None = None
         #: Requests taken, and turned away, since it was told to end.
         self.taken = 0
         self.refused = 0
 
     @property
-    def lists(self) -> decisions.Lists:
+    def lists(self) -> decisions.ListPolicy:
         """Return how entries are named to callers.
 
         Before a configuration is known any request may be the longest.
@@ -56,19 +56,19 @@
         current = self._cluster.routing
         timeouts = () if current is None else current.timeouts
         duties = self._own.duties
-        taking = decisions.taking_seconds(duties.grace, timeouts)
-        return decisions.lists(taking, duties.longest_offer)
+        taking = decisions.accepting_seconds(duties.grace, timeouts)
+        return decisions.list_policy(taking, duties.longest_offer)
 
     def told(self, now: float) -> float:
         """Return for how long a list is to be kept that is told now."""
-        seconds = self.lists.seconds
-        until = now + decisions.kept_seconds(seconds)
+        seconds = self.lists.ttl_seconds
+        until = now + decisions.max_kept_seconds(seconds)
         self._told_until = max(self._told_until, until)
         return seconds
 
-    def begin(self, now: float) -> decisions.Plan:
+    def begin(self, now: float) -> decisions.DrainPlan:
         """Begin to leave; return the times of it."""
-        self.plan = decisions.plan(
+        self.plan = decisions.plan_drain(
             now,
             self._own.duties.grace,
             self.lists,
@@ -79,17 +79,17 @@
     def is_named(self, now: float) -> bool:
         """Tell whether callers are sent here where no entry is ready."""
         since = self.since(now)
-        return since is None or since <= self.lists.named_seconds
+        return since is None or since <= self.lists.listed_seconds
 
     def since(self, now: float) -> float | None:
         """Return the seconds since it was told; ``None`` before that."""
-        return None if self.plan is None else now - self.plan.begun
+        return None if self.plan is None else now - self.plan.started_at
 
     def takes(self, final_at: float) -> bool:
         """Tell whether a request is taken whose final answer is due then."""
         if self.plan is None:
             return True
-        if self.plan.takes(final_at):
+        if self.plan.accepts(final_at):
             self.taken += 1
             return True
         self.refused += 1
--- a/clementinepass/direct/entry.py
+++ b/clementinepass/direct/entry.py
@@ -66,7 +66,7 @@
         self.cluster = cluster_state.ClusterState(own)
         taking = intake.Intake(self.cluster, boundary.readers)
         self._followers = taking.followers(boundary.store, rng)
-        patience = start_reading.delay(own.ip, own.seeds, rng)
+        patience = start_reading.read_delay(own.ip, own.seeds, rng)
         for follow in self._followers.values():
             follow.patience = patience
         self.peers = gossip.Peers(own, self._followers, self.cluster, rng)
@@ -138,7 +138,7 @@
         also those that took nothing any more. The ones told last still take
         what comes.
         """
-        named = self._departure.lists.named_seconds
+        named = self._departure.lists.listed_seconds
         lately = self.peers.members.leaving_lately(now, named)
         found = [member.callers for member in lately]
         if not found or self._departure.is_named(now):
--- a/clementinepass/direct/fetching.py
+++ b/clementinepass/direct/fetching.py
@@ -57,7 +57,7 @@
 class View(typing.Protocol):
     """What getting pieces asks of the rest of the agent."""
 
-    def question(self, model: str, version: int) -> piece_chains.Question:
+    def question(self, model: str, version: int) -> piece_chains.FetchContext:
         """Return what choosing a source needs."""
 
     def source(self, ip: str) -> weights.Source | None:
@@ -77,7 +77,7 @@
         self._held = held
         self._view = view
         self._suppliers = suppliers.Suppliers(view.source)
-        self._plan: piece_chains.Plan | None = None
+        self._plan: piece_chains.FetchPlan | None = None
         #: Whether to get pieces from those whose engines have the version.
         self._by_holders = False
         self._changed = asyncio.Event()
@@ -107,13 +107,13 @@
         """Ask for pieces until enough are on their way."""
         self._suppliers.judge(now, self._count_to_keep_up())
         question = self._question(now)
-        plan = piece_chains.plan(question)
+        plan = piece_chains.plan_fetch(question)
         self._follow_plan(plan, now)
         if self._order.gives_up(now):
             self._by_holders = True
             logger.bind(
                 sources=plan.sources,
-                partners=plan.partners[:1],
+                partners=plan.fallback_ips[:1],
                 missing=len(self._held.missing),
             ).info('pieces stalled')
         if self._order.is_given_up:
@@ -121,7 +121,7 @@
         else:
             self._ask_in_order(plan, now)
 
-    def _follow_plan(self, plan: piece_chains.Plan, now: float) -> None:
+    def _follow_plan(self, plan: piece_chains.FetchPlan, now: float) -> None:
         """Begin anew where pieces come from others than before."""
         if self._plan is not None and plan.sources != self._plan.sources:
             logger.bind(
@@ -132,40 +132,48 @@
             self._order.begin_anew(now)
         self._plan = plan
 
-    def _ask_in_order(self, plan: piece_chains.Plan, now: float) -> None:
+    def _ask_in_order(self, plan: piece_chains.FetchPlan, now: float) -> None:
         """Ask the planned sources for what comes next in their order.
 
         They are asked before they have it, and send each piece as it comes:
         to ask for what is there takes a question and an answer more, each
         behind a piece on the link.
         """
-        read = [one for one in plan.lanes if piece_chains.ORIGIN in one.sources]
-        entering = [one for one in plan.lanes if one.enters and one not in read]
+        read = [
+            one for one in plan.groups if piece_chains.ORIGIN in one.sources
+        ]
+        entering = [
+            one for one in plan.groups if one.enters_region and one not in read
+        ]
         beside = _ASKED_OF_AGENT
         if self._ask_urgent(read, now):
-            beside = _ASKED_BESIDE if plan.has_room else 0
+            beside = _ASKED_BESIDE if plan.has_spare_bandwidth else 0
         elif self._ask_urgent(entering, now):
             beside = _ASKED_BESIDE
-        for relayed in plan.lanes:
-            if not relayed.enters and beside:
+        for relayed in plan.groups:
+            if not relayed.enters_region and beside:
                 most = min(self._most_asked(_most_asked_in([relayed])), beside)
                 self._ask_lane(relayed, most, now)
 
-    def _ask_urgent(self, lanes: list[piece_chains.Lane], now: float) -> bool:
+    def _ask_urgent(
+        self, lanes: list[piece_chains.PieceGroup], now: float
+    ) -> bool:
         """Ask for what others wait for; tell whether it comes."""
         most = self._most_asked(_most_asked_in(lanes))
         for lane in lanes:
             self._ask_lane(lane, most, now)
         return any(self._flows(one, now) for one in lanes)
 
-    def _ask_lane(self, lane: piece_chains.Lane, most: int, now: float) -> None:
+    def _ask_lane(
+        self, lane: piece_chains.PieceGroup, most: int, now: float
+    ) -> None:
         """Ask for the next pieces of a lane.
 
         :param most: how many may be on their way from its sources.
         """
         able = self._suppliers.usable(lane.sources, now)
         most_in_all = self._most_asked(_ASKED_OF_AGENT)
-        for number in filter(lane.has, self._in_order()):
+        for number in filter(lane.contains, self._in_order()):
             asked = sum(len(one.on_way) for one in able)
             if not able or asked >= most:
                 return
@@ -173,13 +181,13 @@
                 return
             self._ask(min(able, key=_next_after), number, now)
 
-    def _flows(self, lane: piece_chains.Lane, now: float) -> bool:
+    def _flows(self, lane: piece_chains.PieceGroup, now: float) -> bool:
         """Tell whether pieces of a lane are still coming, and fast.
 
         Where they come slowly the others are asked, too: if theirs are slow
         as well, it is the link here, and another is to head the stripe.
         """
-        if not any(map(lane.has, self._held.missing)):
+        if not any(map(lane.contains, self._held.missing)):
             return False
         return any(
             one.flows(now) and one.piece_seconds <= suppliers.SLOW_PIECE
@@ -188,8 +196,8 @@
 
     def _ask_for_held(
         self,
-        question: piece_chains.Question,
-        plan: piece_chains.Plan,
+        question: piece_chains.FetchContext,
+        plan: piece_chains.FetchPlan,
         now: float,
     ) -> None:
         """Ask for what sources say that they have."""
@@ -253,14 +261,14 @@
 
     def _sources(
         self,
-        plan: piece_chains.Plan,
+        plan: piece_chains.FetchPlan,
         now: float,
     ) -> list[suppliers.Supplier]:
         """Return whom to ask for what they have."""
-        partners = self._suppliers.usable(plan.partners, now)[:1]
+        partners = self._suppliers.usable(plan.fallback_ips, now)[:1]
         found = [*self._suppliers.usable(plan.sources, now), *partners]
-        if now - self._order.progress > _LOST + plan.place * _LOST_EACH:
-            others = (*plan.anyone, piece_chains.ORIGIN)
+        if now - self._order.progress > _LOST + plan.position * _LOST_EACH:
+            others = (*plan.all_peer_ips, piece_chains.ORIGIN)
             found.extend(
                 one
                 for one in self._suppliers.usable(others, now)
@@ -276,18 +284,22 @@
     def _missing(self) -> list[int]:
         """Return the missing numbers in the order in which they come."""
         missing = self._held.missing
-        return missing if self._plan is None else self._plan.in_order(missing)
+        return (
+            missing
+            if self._plan is None
+            else self._plan.in_fetch_order(missing)
+        )
 
-    def _question(self, now: float) -> piece_chains.Question:
+    def _question(self, now: float) -> piece_chains.FetchContext:
         """Return who there is, and who is passed over."""
         manifest = self._held.manifest
         question = self._view.question(manifest.model, manifest.version)
         if self._plan is None:
-            self._by_holders = any(peer.holds for peer in question.peers)
+            self._by_holders = any(peer.has_version for peer in question.peers)
         avoided = self._suppliers.passed_over(now)
         return question._replace(
             peers=question.peers if self._by_holders else _newcomers(question),
-            avoided=avoided,
+            excluded_ips=avoided,
         )
 
     def _count_to_keep_up(self) -> int:
@@ -314,11 +326,11 @@
 
     def _learn(
         self,
-        question: piece_chains.Question,
+        question: piece_chains.FetchContext,
         sources: list[suppliers.Supplier],
     ) -> None:
         """Follow what sources have; those whose engine has it have all."""
-        holders = {peer.ip for peer in question.peers if peer.holds}
+        holders = {peer.ip for peer in question.peers if peer.has_version}
         for one in sources:
             if one.ip in holders:
                 one.has = frozenset(range(len(self._held.manifest.digests)))
@@ -458,17 +470,17 @@
 
 
 def _newcomers(
-    question: piece_chains.Question,
-) -> list[piece_chains.Peer]:
+    question: piece_chains.FetchContext,
+) -> list[piece_chains.Agent]:
     """Return all peers as if no engine had the version yet.
 
     Failure: as soon as one engine had loaded a version, all agents of other
     regions that lacked some pieces turned to the one beside it.
     """
-    return [peer._replace(holds=False) for peer in question.peers]
+    return [peer._replace(has_version=False) for peer in question.peers]
 
 
-def _most_asked_in(lanes: list[piece_chains.Lane]) -> int:
+def _most_asked_in(lanes: list[piece_chains.PieceGroup]) -> int:
     """Return how many pieces to ask for at once of the sources of each lane.
 
     Failure: an agent alone in its region got one stripe after the other, each
--- a/clementinepass/direct/follower.py
+++ b/clementinepass/direct/follower.py
@@ -45,7 +45,7 @@
 
     def wait(self, now: float, *, has_news: bool) -> float:
         """Return the seconds that a read which begins now waits."""
-        return reading_turns.LONGEST
+        return reading_turns.MAX_WAIT_SECONDS
 
 
 #: Seconds between tries while the store doesn't answer: first, and at most.
--- a/clementinepass/direct/gossip.py
+++ b/clementinepass/direct/gossip.py
@@ -108,13 +108,15 @@
         while True:
             self.speak()
             is_new = self.is_new
-            seconds = self._polling.pause() if is_new else _HEARTBEAT_SECONDS
+            seconds = (
+                self._polling.next_pause() if is_new else _HEARTBEAT_SECONDS
+            )
             await asyncio.sleep(seconds * self._rng.uniform(0.9, 1.1))
 
     def ask(self) -> float:
         """Ask seeds what there is; return the seconds until the next time."""
-        self.tell(self._polling.due())
-        return self._polling.pause()
+        self.tell(self._polling.next_seeds())
+        return self._polling.next_pause()
 
     def speak(self, *, whole: bool = False) -> None:
         """Send one heartbeat to some of the others.
@@ -280,8 +282,8 @@
     ) -> heartbeats.Heartbeat:
         now = asyncio.get_running_loop().time()
         alive = self.members.alive(now)
-        is_small = len(alive) <= dissemination.MOST_DIRECT
-        drawn = dissemination.digests(
+        is_small = len(alive) <= dissemination.MAX_BROADCAST_MEMBERS
+        drawn = dissemination.choose_digests(
             len(alive),
             self.members.heard_within(now, _FRESH_SECONDS),
             self._rng,
@@ -329,11 +331,11 @@
         near, far = self.members.addresses(self._own.domain)
         others: set[str] = set()
         if self.is_new:
-            others.update(self._polling.due())
+            others.update(self._polling.next_seeds())
         elif whole or not (near or far):
             others.update(self._own.seeds, self._near_agents())
         far.extend(others.difference(near, far))
-        drawn = dissemination.targets(near, far, self._rng)
+        drawn = dissemination.choose_targets(near, far, self._rng)
         return [*drawn, *self._relying().difference(drawn)]
 
     def tell_relying(self) -> None:
--- a/clementinepass/direct/leaving.py
+++ b/clementinepass/direct/leaving.py
@@ -59,12 +59,12 @@
         self._peers.phase = members.Phase.LEAVING
         self._peers.speak()
         self._front.leaving = True
-        self._path.end_by(plan.last)
+        self._path.end_by(plan.last_answer_at)
         logger.bind(
             connections=len(self._front.connections),
             open=self._front.busy(),
-            lists_end=round(plan.lists_end - plan.begun, 3),
-            last=round(plan.last - plan.begun, 3),
+            lists_end=round(plan.lists_expire_at - plan.started_at, 3),
+            last=round(plan.last_answer_at - plan.started_at, 3),
         ).info('leaving')
         while not plan.may_end(loop.time(), self._front.busy()):
             await asyncio.sleep(_LOOK_SECONDS)
@@ -74,7 +74,7 @@
                 break
             await asyncio.sleep(_LOOK_SECONDS)
         logger.bind(
-            seconds=round(loop.time() - plan.begun, 3),
+            seconds=round(loop.time() - plan.started_at, 3),
             open=self._front.busy(),
             taken=self._departure.taken,
             refused=self._departure.refused,
--- a/clementinepass/direct/manifests.py
+++ b/clementinepass/direct/manifests.py
@@ -38,8 +38,8 @@
         :raises ContentMissingError: nobody that was asked has it.
         """
         number = self._rounds_by_version.get(version, 0)
-        plan = piece_chains.plan(self._view.question(model, version))
-        asked = manifest_round.choose(plan, number)
+        plan = piece_chains.plan_fetch(self._view.question(model, version))
+        asked = manifest_round.choose_sources(plan, number)
         found = await self._first(asked, model, version)
         if found is None:
             self._rounds_by_version[version] = number + 1
--- a/clementinepass/direct/neighbours.py
+++ b/clementinepass/direct/neighbours.py
@@ -54,14 +54,14 @@
         now = asyncio.get_running_loop().time()
         return self._cluster.endpoints.of_service(self._own.service, now)
 
-    def question(self, version: int) -> piece_chains.Question:
+    def question(self, version: int) -> piece_chains.FetchContext:
         """Return what choosing a source for pieces needs."""
         engine = self.engine()
         current = self._cluster.routing
         origin = None if current is None else current.origin
         origin_mbps = 0 if origin is None else origin.link_mbps
         peers = [
-            piece_chains.Peer(
+            piece_chains.Agent(
                 self._own.region_of(endpoint.listing.domain),
                 endpoint.listing.domain,
                 endpoint.listing.address.rpartition(':')[0],
@@ -70,16 +70,16 @@
             for endpoint in self.of_service()
             if endpoint.listing.address != self._own.endpoint
         ]
-        return piece_chains.Question(
-            piece_chains.Peer(
+        return piece_chains.FetchContext(
+            piece_chains.Agent(
                 self._own.region,
                 self._own.domain,
                 self._own.ip,
             ),
             peers,
             '' if origin is None else self._own.region_of(origin.domain),
-            piece_stripes.stripes(origin_mbps, self._own.link_mbps),
-            origin_part=origin_mbps / self._own.link_mbps,
+            piece_stripes.count_stripes(origin_mbps, self._own.link_mbps),
+            origin_link_ratio=origin_mbps / self._own.link_mbps,
         )
 
     def source(self, ip: str) -> weights.Source | None:
--- a/clementinepass/direct/path.py
+++ b/clementinepass/direct/path.py
@@ -222,7 +222,7 @@
             reply,
             serving.Ending.LEAVING,
             _UNAVAILABLE,
-            leave_plan.come_back(self._others_ready()),
+            leave_plan.retry_after(self._others_ready()),
         )
 
     # Attempts.
--- a/clementinepass/direct/placing.py
+++ b/clementinepass/direct/placing.py
@@ -6,7 +6,7 @@
 import math
 import typing
 
-from clementinepass.decisions import first_event, nearest_place, timely_begin
+from clementinepass.decisions import endpoint_choice, first_event, timely_start
 
 if typing.TYPE_CHECKING:
     import random
@@ -26,7 +26,7 @@
 #: finish what it runs, and to load.
 _LOADING_SECONDS = 1.2
 _LOOK_SECONDS = 0.03
-_UNKNOWN_PACE = first_event.Pace(0, 0)
+_UNKNOWN_PACE = first_event.ServiceRate(0, 0)
 #: Engines with links that aren't congested that are enough to choose from.
 _LEAST_SWIFT = 2
 
@@ -86,9 +86,9 @@
         engine = admitted.service.engine
         options = self._options(self._sound(untried, now), engine, now)
         timely = _timely(admitted, options)
-        choice = nearest_place.choose(timely, self._rng)
+        choice = endpoint_choice.choose(timely, self._rng)
         if choice is None:
-            admitted.come_back = first_event.LONGEST_RETURN
+            admitted.come_back = first_event.MAX_RETRY_AFTER
             return None
         if not admitted.attempts and not self._fits(admitted, choice, now):
             self._log.overloaded(admitted, choice)
@@ -117,20 +117,20 @@
         sound: list[endpoints.Endpoint],
         engine: routing.Engine | None,
         now: float,
-    ) -> list[nearest_place.Option]:
+    ) -> list[endpoint_choice.Candidate]:
         """Return what is compared: of engines a sample."""
         newest = max((one.weights.version for one in sound), default=0)
         compared = sound if engine is None else self._sampled(sound, now)
         return [
-            nearest_place.Option(
+            endpoint_choice.Candidate(
                 one.listing.id,
                 self._cluster.loads.total(one, now),
                 one.listing.slots,
-                is_near=self._is_near(one),
-                is_old=one.weights.version < newest,
+                is_same_domain=self._is_near(one),
+                has_old_version=one.weights.version < newest,
                 is_congested=one.congested_until > now,
-                unbegun=self._cluster.loads.unbegun(one, now),
-                usable_for=self._usable_for(one, engine, now),
+                unstarted=self._cluster.loads.unbegun(one, now),
+                usable_seconds=self._usable_for(one, engine, now),
             )
             for one in compared
         ]
@@ -151,7 +151,7 @@
         if len(swift) < _LEAST_SWIFT:
             swift = sound
         far = [one for one in swift if not self._is_near(one)]
-        return nearest_place.sample(
+        return endpoint_choice.sample(
             [one for one in swift if self._is_near(one)],
             [one for one in far if one.reported.is_fresh(now)] or far,
             self._rng,
@@ -174,33 +174,33 @@
     def _fits(
         self,
         admitted: serving.Serving,
-        choice: nearest_place.Choice,
+        choice: endpoint_choice.Choice,
         now: float,
     ) -> bool:
         """Tell whether the best endpoint answers in time."""
         engine = admitted.service.engine
         pace = _UNKNOWN_PACE if engine is None else engine.pace
-        admitted.come_back = first_event.come_back(choice.waiting, pace)
-        wish = first_event.Wish(
-            waiting=choice.waiting,
+        admitted.come_back = first_event.retry_after(choice.queue_depth, pace)
+        wish = first_event.PendingRequest(
+            queue_depth=choice.queue_depth,
             slots=choice.slots,
             prompt_tokens=admitted.call.prompt_tokens,
-            aim=admitted.route.aim,
-            passed=now - admitted.call.request.received,
+            latency_target=admitted.route.aim,
+            elapsed_seconds=now - admitted.call.request.received,
         )
-        return first_event.fits(wish, pace)
+        return first_event.meets_target(wish, pace)
 
 
 def _timely(
     admitted: serving.Serving,
-    options: list[nearest_place.Option],
-) -> list[nearest_place.Option]:
+    options: list[endpoint_choice.Candidate],
+) -> list[endpoint_choice.Candidate]:
     """Return the endpoints whose weights are allowed when it begins there."""
     engine = admitted.service.engine
     if engine is None:
         return options
-    request = timely_begin.Request(
+    request = timely_start.Request(
         admitted.call.prompt_tokens,
         engine.usual_prompt,
     )
-    return timely_begin.timely(request, options, engine.pace)
+    return timely_start.filter_timely(request, options, engine.pace)
--- a/clementinepass/direct/request_log.py
+++ b/clementinepass/direct/request_log.py
@@ -18,7 +18,7 @@
 from clementinepass.http import channel, endings
 
 if typing.TYPE_CHECKING:
-    from clementinepass.decisions import nearest_place, next_try
+    from clementinepass.decisions import endpoint_choice, next_try
     from clementinepass.direct import endpoints
 
 #: Bytes of a path that are written; callers may send any length.
@@ -131,14 +131,14 @@
     def overloaded(
         self,
         admitted: serving.Serving,
-        choice: nearest_place.Choice,
+        choice: endpoint_choice.Choice,
     ) -> None:
         """Tell that even the best endpoint has too many waiting."""
         logger.bind(
             request=admitted.call.id,
             service=admitted.service.name,
             endpoint=choice.endpoint_id,
-            waiting=round(choice.waiting, 1),
+            waiting=round(choice.queue_depth, 1),
             slots=choice.slots,
         ).info('no endpoint has room')
 
--- a/clementinepass/direct/routing.py
+++ b/clementinepass/direct/routing.py
@@ -93,9 +93,9 @@
     usual_answer: float
 
     @property
-    def pace(self) -> first_event.Pace:
+    def pace(self) -> first_event.ServiceRate:
         """Return how fast a full engine works."""
-        return first_event.pace(
+        return first_event.service_rate(
             self.read_per_second,
             self.usual_prompt,
             self.usual_answer,
--- a/clementinepass/direct/turns.py
+++ b/clementinepass/direct/turns.py
@@ -35,14 +35,16 @@
 
     def reads(self, now: float) -> bool:
         """Tell whether this entry reads; else others of its region do."""
-        relied = self._known.heard_within(now, region_readers.RELIED_SECONDS)
+        relied = self._known.heard_within(
+            now, region_readers.MAX_SILENCE_SECONDS
+        )
         near = [
             one.ip
             for one in relied
             if one.region == self._own.region
             and one.phase is members.Phase.READY
         ]
-        return region_readers.reads(self._own.ip, near)
+        return region_readers.is_reader(self._own.ip, near)
 
     def wait(self, now: float, *, has_news: bool) -> float:
         """Return the seconds that a read which begins now waits.
@@ -56,6 +58,6 @@
         before = sum(ip < self._own.ip for ip in self._end_by_ip)
         turn = reading_turns.Turn(before, len(self._end_by_ip) + 1)
         if has_news:
-            return reading_turns.after_news(turn)
+            return reading_turns.wait_after_change(turn)
         ends = [end - now for end in self._end_by_ip.values() if end > now]
-        return reading_turns.after_silence(turn, ends)
+        return reading_turns.wait_after_empty_read(turn, ends)
--- a/tests/decisions/test_departure.py
+++ b/tests/decisions/test_departure.py
@@ -23,16 +23,16 @@
     def setUp(self) -> None:
         """Begin to leave at second 100."""
         super().setUp()
-        self.taking = departure.taking_seconds(GRACE, (LONGEST, 1))
-        self.lists = departure.lists(self.taking, MOST)
-        self.plan = departure.plan(100, GRACE, self.lists, NEVER)
+        self.taking = departure.accepting_seconds(GRACE, (LONGEST, 1))
+        self.lists = departure.list_policy(self.taking, MOST)
+        self.plan = departure.plan_drain(100, GRACE, self.lists, NEVER)
 
     def test_takes_what_ends_before_it(self) -> None:
         """A request is taken whose answer is due before the entry's end."""
-        self.assertTrue(self.plan.takes(self.plan.last))
-        self.assertFalse(self.plan.takes(self.plan.last + 0.001))
-        self.assertLess(self.plan.last, self.plan.end)
-        self.assertLess(self.plan.end, 100 + GRACE)
+        self.assertTrue(self.plan.accepts(self.plan.last_answer_at))
+        self.assertFalse(self.plan.accepts(self.plan.last_answer_at + 0.001))
+        self.assertLess(self.plan.last_answer_at, self.plan.end_at)
+        self.assertLess(self.plan.end_at, 100 + GRACE)
 
     def test_lists_end_while_all_is_taken(self) -> None:
         """Who keeps a list longest comes while any request is taken.
@@ -40,58 +40,58 @@
         Also by a list that another told half a second after SIGTERM, as the
         word of it was late.
         """
-        latest = 100 + 0.5 + departure.kept_seconds(self.lists.seconds)
-        self.assertTrue(self.plan.takes(latest + LONGEST))
+        latest = 100 + 0.5 + departure.max_kept_seconds(self.lists.ttl_seconds)
+        self.assertTrue(self.plan.accepts(latest + LONGEST))
 
     def test_stays_while_it_is_named(self) -> None:
         """It stays until the last list that names it is given up."""
-        named = 100 + max(self.lists.named_seconds, 0.5)
-        kept = departure.kept_seconds(self.lists.seconds)
-        self.assertGreaterEqual(self.plan.lists_end, named + kept)
-        told = departure.plan(100, GRACE, self.lists, 104.5)
-        self.assertGreaterEqual(told.lists_end, 104.5)
-        late = departure.plan(100, GRACE, self.lists, 200)
-        self.assertEqual(late.last, late.lists_end)
+        named = 100 + max(self.lists.listed_seconds, 0.5)
+        kept = departure.max_kept_seconds(self.lists.ttl_seconds)
+        self.assertGreaterEqual(self.plan.lists_expire_at, named + kept)
+        told = departure.plan_drain(100, GRACE, self.lists, 104.5)
+        self.assertGreaterEqual(told.lists_expire_at, 104.5)
+        late = departure.plan_drain(100, GRACE, self.lists, 200)
+        self.assertEqual(late.last_answer_at, late.lists_expire_at)
 
     def test_named_while_it_takes(self) -> None:
         """Who keeps a list as told comes while requests are taken."""
-        latest = self.lists.named_seconds + self.lists.seconds
+        latest = self.lists.listed_seconds + self.lists.ttl_seconds
         self.assertLessEqual(latest, self.taking)
 
     def test_ends_as_soon_as_nothing_is_left(self) -> None:
         """It stays while lists name it, and while requests are in progress."""
-        lists_end = self.plan.lists_end
+        lists_end = self.plan.lists_expire_at
         self.assertFalse(self.plan.may_end(lists_end - 0.1, 0))
         self.assertTrue(self.plan.may_end(lists_end, 0))
         self.assertFalse(self.plan.may_end(lists_end, 1))
-        self.assertTrue(self.plan.may_end(self.plan.end, 1))
+        self.assertTrue(self.plan.may_end(self.plan.end_at, 1))
 
     def test_requests_longer_than_the_grace(self) -> None:
         """A route that allows more than the grace decides for no other."""
         long = 2 * GRACE
-        taking = departure.taking_seconds(GRACE, (long, LONGEST))
+        taking = departure.accepting_seconds(GRACE, (long, LONGEST))
         self.assertEqual(self.taking, taking)
-        self.assertEqual(0, departure.taking_seconds(GRACE, (long,)))
-        self.assertFalse(self.plan.takes(100 + long))
+        self.assertEqual(0, departure.accepting_seconds(GRACE, (long,)))
+        self.assertFalse(self.plan.accepts(100 + long))
 
     def test_bounds_of_lists(self) -> None:
         """A list is kept no longer than the platform allows, nor for ever."""
-        self.assertEqual(0.2, departure.lists(60, 0.2).seconds)
-        self.assertLess(departure.lists(60, MOST).seconds, 2)
-        self.assertGreater(departure.lists(0, MOST).seconds, 0)
+        self.assertEqual(0.2, departure.list_policy(60, 0.2).ttl_seconds)
+        self.assertLess(departure.list_policy(60, MOST).ttl_seconds, 2)
+        self.assertGreater(departure.list_policy(0, MOST).ttl_seconds, 0)
 
     def test_long_grace(self) -> None:
         """Five minutes of grace are no reason to be named for minutes."""
-        taking = departure.taking_seconds(300, (LONGEST,))
-        lists = departure.lists(taking, MOST)
-        self.assertLess(lists.named_seconds, 5)
+        taking = departure.accepting_seconds(300, (LONGEST,))
+        lists = departure.list_policy(taking, MOST)
+        self.assertLess(lists.listed_seconds, 5)
 
     def test_no_grace(self) -> None:
         """A grace of nothing ends at once, and cuts whatever is there."""
-        plan = departure.plan(100, 0, self.lists, NEVER)
+        plan = departure.plan_drain(100, 0, self.lists, NEVER)
         self.assertTrue(plan.may_end(100, 1))
-        self.assertFalse(plan.takes(100.5))
+        self.assertFalse(plan.accepts(100.5))
 
     def test_come_back(self) -> None:
         """At once where another is ready; else when this one may be back."""
-        self.assertLess(departure.come_back(1), departure.come_back(0))
+        self.assertLess(departure.retry_after(1), departure.retry_after(0))
--- a/tests/decisions/test_direct_decisions.py
+++ b/tests/decisions/test_direct_decisions.py
@@ -9,10 +9,10 @@
 from hypothesis import strategies as st
 
 from clementinepass.decisions import (
+    desired_versions,
+    endpoint_choice,
     first_event,
     load_turns,
-    named_versions,
-    nearest_place,
     next_try,
     superseding,
     window_budget,
@@ -77,26 +77,26 @@
         super().setUp()
         self.rng = random.Random(7)
 
-    def choose(self, *options: nearest_place.Option) -> str:
+    def choose(self, *options: endpoint_choice.Candidate) -> str:
         """Return the choice that is always made."""
         chosen = {
             choice.endpoint_id
             for _ in range(50)
-            if (choice := nearest_place.choose(options, self.rng))
+            if (choice := endpoint_choice.choose(options, self.rng))
         }
         self.assertEqual(1, len(chosen), chosen)
         return chosen.pop()
 
     def test_free_slot_before_nearness(self) -> None:
         """A free slot far away is better than a place in a queue."""
-        near = nearest_place.Option('near', 17, 16, is_near=True)
-        far = nearest_place.Option('far', 12, 16, is_near=False)
+        near = endpoint_choice.Candidate('near', 17, 16, is_same_domain=True)
+        far = endpoint_choice.Candidate('far', 12, 16, is_same_domain=False)
         self.assertEqual('far', self.choose(near, far))
 
     def test_near_among_equals(self) -> None:
         """Bytes between failure domains have a price."""
-        near = nearest_place.Option('near', 5, 16, is_near=True)
-        far = nearest_place.Option('far', 5, 16, is_near=False)
+        near = endpoint_choice.Candidate('near', 5, 16, is_same_domain=True)
+        far = endpoint_choice.Candidate('far', 5, 16, is_same_domain=False)
         self.assertEqual('near', self.choose(near, far))
 
     def test_slow_link(self) -> None:
@@ -105,35 +105,37 @@
         Its link was narrowed to a tenth, and they waited there behind pieces
         of weights. By its count of requests it was the emptiest.
         """
-        slow = nearest_place.Option(
+        slow = endpoint_choice.Candidate(
             'slow',
             2,
             16,
-            is_near=True,
+            is_same_domain=True,
             is_congested=True,
         )
-        busy = nearest_place.Option('busy', 11, 16, is_near=False)
+        busy = endpoint_choice.Candidate('busy', 11, 16, is_same_domain=False)
         self.assertEqual('busy', self.choose(slow, busy))
-        full = nearest_place.Option('full', 40, 16, is_near=True)
+        full = endpoint_choice.Candidate('full', 40, 16, is_same_domain=True)
         self.assertEqual('slow', self.choose(slow, full))
 
     def test_newest_weights(self) -> None:
         """An engine that is yet to load cuts what runs when it does."""
-        old = nearest_place.Option('old', 2, 16, is_near=True, is_old=True)
-        new = nearest_place.Option('new', 4, 16, is_near=False)
+        old = endpoint_choice.Candidate(
+            'old', 2, 16, is_same_domain=True, has_old_version=True
+        )
+        new = endpoint_choice.Candidate('new', 4, 16, is_same_domain=False)
         self.assertEqual('new', self.choose(old, new))
 
     def test_none(self) -> None:
         """Without an endpoint there is no choice."""
-        self.assertIsNone(nearest_place.choose((), self.rng))
+        self.assertIsNone(endpoint_choice.choose((), self.rng))
 
     def test_equals_are_spread(self) -> None:
         """Entries with the same counts don't all choose the same one."""
         options = [
-            nearest_place.Option(str(number), 3, 16, is_near=True)
+            endpoint_choice.Candidate(str(number), 3, 16, is_same_domain=True)
             for number in range(4)
         ]
-        chosen = [nearest_place.choose(options, self.rng) for _ in range(400)]
+        chosen = [endpoint_choice.choose(options, self.rng) for _ in range(400)]
         for option in options:
             times = sum(
                 one is not None and one.endpoint_id == option.endpoint_id
@@ -147,16 +149,16 @@
 
     def setUp(self) -> None:
         super().setUp()
-        self.pace = first_event.pace(30600, 964, 119, 0.00673, 16)
+        self.pace = first_event.service_rate(30600, 964, 119, 0.00673, 16)
 
     def fits(self, waiting: float, passed: float = 0) -> bool:
         """Tell whether a usual request is sent to such a queue."""
-        wish = first_event.Wish(waiting, 16, 964, 0.406, passed)
-        return first_event.fits(wish, self.pace)
+        wish = first_event.PendingRequest(waiting, 16, 964, 0.406, passed)
+        return first_event.meets_target(wish, self.pace)
 
     def test_pace(self) -> None:
         """An engine with these figures ends twelve answers a second."""
-        self.assertAlmostEqual(12.3, self.pace.ended_per_second, 1)
+        self.assertAlmostEqual(12.3, self.pace.requests_per_second, 1)
 
     def test_queue(self) -> None:
         """Three may wait for a quarter of a second, five may not."""
@@ -172,16 +174,18 @@
 
     def test_unknown_pace(self) -> None:
         """A plain service has a third of its slots waiting at most."""
-        unknown = first_event.pace(0, 0, 0, 0, 6)
-        wish = first_event.Wish(2, 6, 0, 0.4, 0)
-        self.assertTrue(first_event.fits(wish, unknown))
-        self.assertFalse(first_event.fits(wish._replace(waiting=3), unknown))
+        unknown = first_event.service_rate(0, 0, 0, 0, 6)
+        wish = first_event.PendingRequest(2, 6, 0, 0.4, 0)
+        self.assertTrue(first_event.meets_target(wish, unknown))
+        self.assertFalse(
+            first_event.meets_target(wish._replace(queue_depth=3), unknown)
+        )
 
     def test_come_back(self) -> None:
         """Callers come back when the queue is shorter, within bounds."""
-        self.assertEqual(0.25, first_event.come_back(0, self.pace))
-        self.assertAlmostEqual(0.81, first_event.come_back(10, self.pace), 1)
-        self.assertEqual(2, first_event.come_back(500, self.pace))
+        self.assertEqual(0.25, first_event.retry_after(0, self.pace))
+        self.assertAlmostEqual(0.81, first_event.retry_after(10, self.pace), 1)
+        self.assertEqual(2, first_event.retry_after(500, self.pace))
 
 
 class NamedVersionsTest(testtools.TestCase):
@@ -194,26 +198,26 @@
 
     def test_two_bounds(self) -> None:
         """Naming a version doesn't put off the bound of the one before."""
-        named = named_versions.NamedVersions(8)
-        named.named(2, 100)
-        named.named(3, 104)
+        named = desired_versions.DesiredVersions(8)
+        named.record(2, 100)
+        named.record(3, 104)
         self.assertEqual(0, named.oldest_allowed(107.9))
         self.assertEqual(2, named.oldest_allowed(108))
         self.assertEqual(3, named.oldest_allowed(112))
 
     def test_earlier_time_counts(self) -> None:
         """Whoever was restarted heard of the version later."""
-        named = named_versions.NamedVersions(8)
-        self.assertTrue(named.named(2, 100))
-        self.assertFalse(named.named(2, 95))
-        self.assertFalse(named.named(2, 101))
+        named = desired_versions.DesiredVersions(8)
+        self.assertTrue(named.record(2, 100))
+        self.assertFalse(named.record(2, 95))
+        self.assertFalse(named.record(2, 101))
         self.assertEqual(2, named.oldest_allowed(103))
 
     def test_older_is_no_news(self) -> None:
         """A version told of after a newer one doesn't take its place."""
-        named = named_versions.NamedVersions(8)
-        named.named(3, 100)
-        self.assertFalse(named.named(2, 99))
+        named = desired_versions.DesiredVersions(8)
+        named.record(3, 100)
+        self.assertFalse(named.record(2, 99))
         self.assertEqual(3, named.newest)
 
     def test_guess_gives_way(self) -> None:
@@ -223,13 +227,13 @@
         seconds after the bound. Others knew the time; theirs goes before a
         guess, earlier or later, and a guess never before theirs.
         """
-        named = named_versions.NamedVersions(8)
-        self.assertTrue(named.named(2, 95, guessed=True))
-        self.assertFalse(named.named(2, 98))
+        named = desired_versions.DesiredVersions(8)
+        self.assertTrue(named.record(2, 95, is_guess=True))
+        self.assertFalse(named.record(2, 98))
         self.assertEqual(106, named.usable_until(1))
-        named.named(2, 90, guessed=True)
+        named.record(2, 90, is_guess=True)
         self.assertEqual(106, named.usable_until(1))
-        self.assertEqual(set(), named.guessed)
+        self.assertEqual(set(), named.guessed_versions)
 
 
 class SupersedingTest(testtools.TestCase):
@@ -239,13 +243,13 @@
         """Four seconds apart: both are in time one after the other."""
         current = superseding.Transfer(2.3, 4)
         newer = superseding.Transfer(5.6, 8)
-        self.assertTrue(superseding.finish_first(current, newer))
+        self.assertTrue(superseding.should_finish_first(current, newer))
 
     def test_drop(self) -> None:
         """Two seconds apart: the first would make the second late."""
         current = superseding.Transfer(3.5, 6)
         newer = superseding.Transfer(5.6, 8)
-        self.assertFalse(superseding.finish_first(current, newer))
+        self.assertFalse(superseding.should_finish_first(current, newer))
 
     def test_no_gap_either_way(self) -> None:
         """Both are in time one after the other: nothing in hand is dropped.
@@ -255,7 +259,7 @@
         """
         current = superseding.Transfer(1, 7)
         newer = superseding.Transfer(5.6, 8)
-        self.assertTrue(superseding.finish_first(current, newer))
+        self.assertTrue(superseding.should_finish_first(current, newer))
 
     def test_all_agree(self) -> None:
         """Two seconds apart, with links that just carry two versions in time.
@@ -266,15 +270,15 @@
         newer = superseding.Transfer(4.8, 8)
         for seconds in (2.6, 3.2, 4.4):
             current = superseding.Transfer(seconds, 6)
-            self.assertFalse(superseding.finish_first(current, newer))
+            self.assertFalse(superseding.should_finish_first(current, newer))
 
     def test_decision_stands(self) -> None:
         """Pieces that came late don't have the first dropped half way."""
         current = superseding.Transfer(2.8, 5)
         newer = superseding.Transfer(4.4, 7.1)
-        self.assertFalse(superseding.finish_first(current, newer))
+        self.assertFalse(superseding.should_finish_first(current, newer))
         self.assertTrue(
-            superseding.finish_first(current, newer, is_decided=True),
+            superseding.should_finish_first(current, newer, is_decided=True),
         )
 
     def test_of_no_use(self) -> None:
@@ -282,7 +286,7 @@
         current = superseding.Transfer(3, 0.5)
         newer = superseding.Transfer(4.4, 2.5)
         self.assertFalse(
-            superseding.finish_first(current, newer, is_decided=True),
+            superseding.should_finish_first(current, newer, is_decided=True),
         )
 
 
@@ -292,7 +296,7 @@
     def setUp(self) -> None:
         super().setUp()
         self.endpoints = [
-            load_turns.Peer(f'10.{domain}.0.{number}:80', str(domain))
+            load_turns.LoadingEngine(f'10.{domain}.0.{number}:80', str(domain))
             for domain in (1, 2, 3)
             for number in (1, 2, 3)
         ]
@@ -341,6 +345,6 @@
             (list('abc'), [], 2, 0),
         )
         for near, far, near_drawn, far_drawn in cases:
-            drawn = nearest_place.sample(near, far, rng)
+            drawn = endpoint_choice.sample(near, far, rng)
             self.assertEqual(near_drawn, len(set(drawn) & set(near)))
             self.assertEqual(far_drawn, len(set(drawn) & set(far)))
--- a/tests/decisions/test_manifest_round.py
+++ b/tests/decisions/test_manifest_round.py
@@ -7,10 +7,10 @@
 from clementinepass.decisions import manifest_round, piece_chains
 
 
-def agents(count: int) -> list[piece_chains.Peer]:
+def agents(count: int) -> list[piece_chains.Agent]:
     """Return agents of three regions."""
     return [
-        piece_chains.Peer(
+        piece_chains.Agent(
             f'region-{number % 3}',
             f'domain-{number % 6}',
             f'10.{number % 3}.{number // 256}.{number % 256}',
@@ -19,12 +19,12 @@
     ]
 
 
-def plans(count: int) -> dict[str, piece_chains.Plan]:
+def plans(count: int) -> dict[str, piece_chains.FetchPlan]:
     """Return each agent's plan by its IP number."""
     peers = agents(count)
     return {
-        own.ip: piece_chains.plan(
-            piece_chains.Question(
+        own.ip: piece_chains.plan_fetch(
+            piece_chains.FetchContext(
                 own,
                 [peer for peer in peers if peer != own],
                 'region-0',
@@ -42,7 +42,7 @@
         for count, most_at_origin in ((10, 10), (150, 22), (300, 22)):
             at_origin = 0
             for plan in plans(count).values():
-                asked = manifest_round.choose(plan, 0)
+                asked = manifest_round.choose_sources(plan, 0)
                 at_origin += piece_chains.ORIGIN in asked
                 self.assertEqual(
                     {*plan.sources, piece_chains.ORIGIN},
@@ -56,10 +56,10 @@
         Each agent asked those that had held the version, which had lost it
         too and let it wait for a second. Service was back a second later.
         """
-        holders = [peer._replace(holds=True) for peer in agents(13)]
+        holders = [peer._replace(has_version=True) for peer in agents(13)]
         for own in holders:
-            plan = piece_chains.plan(
-                piece_chains.Question(
+            plan = piece_chains.plan_fetch(
+                piece_chains.FetchContext(
                     own,
                     [peer for peer in holders if peer != own],
                     'region-0',
@@ -67,7 +67,7 @@
             )
             self.assertIn(
                 piece_chains.ORIGIN,
-                manifest_round.choose(plan, 0),
+                manifest_round.choose_sources(plan, 0),
             )
 
     def test_questions_level(self) -> None:
@@ -75,7 +75,7 @@
         for count in (3, 10, 40, 300):
             for plan in plans(count).values():
                 for number in range(5):
-                    asked = manifest_round.choose(plan, number)
+                    asked = manifest_round.choose_sources(plan, number)
                     self.assertLessEqual(len(asked), len(plan.sources) + 3)
                     self.assertEqual(len(asked), len(set(asked)))
 
@@ -88,7 +88,7 @@
                 for number in range(20):
                     self.assertIn(
                         piece_chains.ORIGIN,
-                        manifest_round.choose(plan, number),
+                        manifest_round.choose_sources(plan, number),
                     )
         self.assertEqual(2, len(heads))
 
@@ -109,7 +109,7 @@
             number = 7
             while len(holders) < count:
                 asked_by_ip = {
-                    ip: manifest_round.choose(plan, number)
+                    ip: manifest_round.choose_sources(plan, number)
                     for ip, plan in found.items()
                     if ip not in holders
                 }
--- a/tests/decisions/test_piece_chains.py
+++ b/tests/decisions/test_piece_chains.py
@@ -9,30 +9,30 @@
 from clementinepass.decisions import piece_chains
 
 
-def agents(**numbers: int) -> list[piece_chains.Peer]:
+def agents(**numbers: int) -> list[piece_chains.Agent]:
     """Return agents of regions, so many in each."""
     return [
-        piece_chains.Peer(region, f'{region}-1', f'10.{place}.0.{number}')
+        piece_chains.Agent(region, f'{region}-1', f'10.{place}.0.{number}')
         for place, (region, count) in enumerate(numbers.items())
         for number in range(count)
     ]
 
 
 def plans(
-    peers: list[piece_chains.Peer],
+    peers: list[piece_chains.Agent],
     origin_region: str,
-) -> dict[str, piece_chains.Plan]:
+) -> dict[str, piece_chains.FetchPlan]:
     """Return each agent's plan by its IP number."""
     return {
-        own.ip: piece_chains.plan(
-            piece_chains.Question(
+        own.ip: piece_chains.plan_fetch(
+            piece_chains.FetchContext(
                 own,
                 [peer for peer in peers if peer != own],
                 origin_region,
             ),
         )
         for own in peers
-        if not own.holds
+        if not own.has_version
     }
 
 
@@ -43,16 +43,16 @@
         """Each piece is asked for in one place."""
         for plan in plans(agents(north=4, south=3, west=3), 'north').values():
             for number in range(64):
-                lanes = [lane for lane in plan.lanes if lane.has(number)]
+                lanes = [lane for lane in plan.groups if lane.contains(number)]
                 self.assertEqual(1, len(lanes))
 
     def test_in_order(self) -> None:
         """All are asked for, lane by lane."""
         for plan in plans(agents(north=4, south=3, west=3), 'north').values():
-            ordered = plan.in_order(range(64))
+            ordered = plan.in_fetch_order(range(64))
             self.assertEqual(list(range(64)), sorted(ordered))
-            (first, *_) = plan.lanes
-            self.assertTrue(first.has(ordered[0]))
+            (first, *_) = plan.groups
+            self.assertTrue(first.contains(ordered[0]))
 
     def test_partners_of_heads(self) -> None:
         """Only heads have others to turn to, those of their region.
@@ -63,9 +63,9 @@
         peers = agents(north=4, south=3, west=3)
         region_by_ip = {peer.ip: peer.region for peer in peers}
         for ip, plan in plans(peers, 'north').items():
-            is_head = any(lane.enters for lane in plan.lanes)
-            self.assertEqual(is_head, bool(plan.partners))
-            for partner in plan.partners:
+            is_head = any(lane.enters_region for lane in plan.groups)
+            self.assertEqual(is_head, bool(plan.fallback_ips))
+            for partner in plan.fallback_ips:
                 self.assertEqual(region_by_ip[ip], region_by_ip[partner])
 
     def test_alone(self) -> None:
@@ -84,8 +84,8 @@
     def test_chains_behind_holders(self) -> None:
         """No agent, holder or not, sends to more than two others."""
         peers = agents(north=4, south=3, west=3)
-        peers[0] = peers[0]._replace(holds=True)
-        peers[4] = peers[4]._replace(holds=True)
+        peers[0] = peers[0]._replace(has_version=True)
+        peers[4] = peers[4]._replace(has_version=True)
         sent: dict[str, int] = {}
         for plan in plans(peers, 'north').values():
             for source in plan.sources:
@@ -105,10 +105,12 @@
     def test_two_asked(self) -> None:
         """An agent that knows nobody else still asks two."""
         holders = [
-            peer._replace(holds=True) for peer in agents(north=3, south=2)
+            peer._replace(has_version=True) for peer in agents(north=3, south=2)
         ]
-        own = piece_chains.Peer('north', 'north-1', '10.0.0.9')
-        plan = piece_chains.plan(piece_chains.Question(own, holders, 'south'))
+        own = piece_chains.Agent('north', 'north-1', '10.0.0.9')
+        plan = piece_chains.plan_fetch(
+            piece_chains.FetchContext(own, holders, 'south')
+        )
         near = {peer.ip for peer in holders if peer.region == 'north'}
         self.assertEqual(2, len(plan.sources))
         self.assertLessEqual(set(plan.sources), near)
@@ -119,19 +121,21 @@
         All turned to the same two holders, and had an eighth of the version
         after two seconds, when the list told them of the others.
         """
-        holders = [peer._replace(holds=True) for peer in agents(north=8)]
+        holders = [peer._replace(has_version=True) for peer in agents(north=8)]
         asked: collections.Counter[str] = collections.Counter()
         for number in range(57, 62):
-            own = piece_chains.Peer('north', 'north-1', f'10.0.0.{number}')
-            question = piece_chains.Question(own, holders, 'south')
-            asked.update(piece_chains.plan(question).sources)
+            own = piece_chains.Agent('north', 'north-1', f'10.0.0.{number}')
+            question = piece_chains.FetchContext(own, holders, 'south')
+            asked.update(piece_chains.plan_fetch(question).sources)
         self.assertEqual(10, asked.total())
         self.assertLessEqual(max(asked.values()), 2)
 
     def test_far_holders(self) -> None:
         """Without one in the region, those of others are asked."""
-        holders = [peer._replace(holds=True) for peer in agents(south=2)]
-        own = piece_chains.Peer('north', 'north-1', '10.9.0.9')
-        plan = piece_chains.plan(piece_chains.Question(own, holders, 'north'))
+        holders = [peer._replace(has_version=True) for peer in agents(south=2)]
+        own = piece_chains.Agent('north', 'north-1', '10.9.0.9')
+        plan = piece_chains.plan_fetch(
+            piece_chains.FetchContext(own, holders, 'north')
+        )
         self.assertEqual(1, len(plan.sources))
         self.assertIn(plan.sources[0], [peer.ip for peer in holders])
--- a/tests/decisions/test_piece_stripes.py
+++ b/tests/decisions/test_piece_stripes.py
@@ -31,7 +31,9 @@
     known: piece_stripes.Fleet,
 ) -> dict[str, piece_stripes.Layout]:
     """Return each agent's layout by its IP number."""
-    return {own.ip: piece_stripes.layout(own, known) for own in known.agents}
+    return {
+        own.ip: piece_stripes.compute_layout(own, known) for own in known.agents
+    }
 
 
 def every_case() -> list[piece_stripes.Fleet]:
@@ -55,8 +57,8 @@
                 for source in each.sources
                 if source.ip is None
             ]
-            stripes = next(iter(layouts(known).values())).stripes
-            self.assertLessEqual(stripes, known.stripes)
+            stripes = next(iter(layouts(known).values())).stripe_count
+            self.assertLessEqual(stripes, known.stripe_count)
             self.assertEqual(list(range(stripes)), sorted(read), known)
 
     def test_origin_feeds_several(self) -> None:
@@ -72,10 +74,12 @@
                 for ip, each in layouts(known).items()
                 if any(source.ip is None for source in each.sources)
             }
-            at_home = sum(one.region == known.home for one in known.agents)
+            at_home = sum(
+                one.region == known.origin_region for one in known.agents
+            )
             most = min(
-                known.stripes,
-                max(at_home, piece_stripes.LEAST_STRIPES),
+                known.stripe_count,
+                max(at_home, piece_stripes.MIN_STRIPES),
                 len(known.agents),
             )
             self.assertEqual(most, len(heads), known)
@@ -85,7 +89,7 @@
         for known in every_case():
             found = layouts(known)
             for own in known.agents:
-                for stripe in range(found[own.ip].stripes):
+                for stripe in range(found[own.ip].stripe_count):
                     self.assertTrue(self._reaches(found, own.ip, stripe))
 
     def test_level_uplinks(self) -> None:
@@ -109,8 +113,8 @@
                 collections.Counter()
             )
             for own in known.agents:
-                for source in piece_stripes.layout(own, known).sources:
-                    if source.enters:
+                for source in piece_stripes.compute_layout(own, known).sources:
+                    if source.enters_region:
                         entered[own.region, source.stripe] += 1
             self.assertEqual({1}, set(entered.values()), known)
 
@@ -118,7 +122,7 @@
         """A head asks for what it brings in before anything else."""
         for known in every_case():
             for each in layouts(known).values():
-                enters = [source.enters for source in each.sources]
+                enters = [source.enters_region for source in each.sources]
                 self.assertEqual(sorted(enters, reverse=True), enters)
 
     def _reaches(
@@ -154,7 +158,7 @@
     def test_head(self) -> None:
         """The next in the ring gets its stripe from the origin."""
         known = fleet((3, 3, 3), 3, frozenset({'10.0.0.1'}))
-        found = piece_stripes.layout(
+        found = piece_stripes.compute_layout(
             piece_stripes.Agent('region-0', '10.0.0.2'),
             known,
         )
@@ -166,11 +170,11 @@
     def test_others_keep_theirs(self) -> None:
         """Whoever isn't beside it changes nothing."""
         before = fleet((6, 6, 6), 2)
-        after = before._replace(avoided=frozenset({'10.0.0.4'}))
+        after = before._replace(excluded_ips=frozenset({'10.0.0.4'}))
         own = piece_stripes.Agent('region-0', '10.0.0.1')
         self.assertEqual(
-            piece_stripes.layout(own, before),
-            piece_stripes.layout(own, after),
+            piece_stripes.compute_layout(own, before),
+            piece_stripes.compute_layout(own, after),
         )
 
     def test_region_gone(self) -> None:
@@ -179,7 +183,7 @@
         known = fleet((3, 3, 2), 3, gone)
         for number in range(2):
             own = piece_stripes.Agent('region-2', f'10.2.0.{number}')
-            for source in piece_stripes.layout(own, known).sources:
+            for source in piece_stripes.compute_layout(own, known).sources:
                 self.assertNotIn(source.ip, gone)
 
 
@@ -195,4 +199,6 @@
             (0, 3.65, 2),
             (100.0, 3.65, 8),
         ):
-            self.assertEqual(expected, piece_stripes.stripes(origin, link))
+            self.assertEqual(
+                expected, piece_stripes.count_stripes(origin, link)
+            )
--- a/tests/decisions/test_reading_turns.py
+++ b/tests/decisions/test_reading_turns.py
@@ -14,7 +14,7 @@
 #: Seconds for which a play goes on after the reads began.
 _PLAYED = 40
 #: Seconds after which all have had a turn.
-_SETTLED = 2 * reading_turns.LONGEST
+_SETTLED = 2 * reading_turns.MAX_WAIT_SECONDS
 
 
 def ends(begun: list[float], rng: random.Random) -> list[float]:
@@ -36,7 +36,7 @@
             for other, end in told.items()
             if other != entry and end > now
         ]
-        wait = reading_turns.after_silence(
+        wait = reading_turns.wait_after_empty_read(
             reading_turns.Turn(0, number),
             others,
         )
@@ -61,18 +61,21 @@
     def test_after_news(self) -> None:
         """All begin at the same moment, and end one after the other."""
         waits = [
-            reading_turns.after_news(reading_turns.Turn(before, 9))
+            reading_turns.wait_after_change(reading_turns.Turn(before, 9))
             for before in range(9)
         ]
         self.assertEqual(
-            [round(reading_turns.STEP * (one + 1), 3) for one in range(9)],
+            [
+                round(reading_turns.STEP_SECONDS * (one + 1), 3)
+                for one in range(9)
+            ],
             [round(one, 3) for one in waits],
         )
 
     def test_many(self) -> None:
         """Where there are more than fit, turns are closer."""
         waits = [
-            reading_turns.after_news(reading_turns.Turn(before, 50))
+            reading_turns.wait_after_change(reading_turns.Turn(before, 50))
             for before in range(50)
         ]
         self.assertThat(max(waits), matchers.LessThan(8.001))
@@ -82,20 +85,22 @@
         """One that is alone ends its read each step."""
         turn = reading_turns.Turn(0, 1)
         self.assertEqual(
-            reading_turns.STEP,
-            reading_turns.after_silence(turn, []),
+            reading_turns.STEP_SECONDS,
+            reading_turns.wait_after_empty_read(turn, []),
         )
 
     def test_free_turn(self) -> None:
         """The turn of an entry that is gone is taken by the next."""
         turn = reading_turns.Turn(0, 5)
-        step = reading_turns.STEP
-        taken = reading_turns.after_silence(turn, [step, 3 * step, 4 * step])
+        step = reading_turns.STEP_SECONDS
+        taken = reading_turns.wait_after_empty_read(
+            turn, [step, 3 * step, 4 * step]
+        )
         self.assertEqual(2 * step, taken)
 
     @given(
         strategies.lists(
-            strategies.floats(0, reading_turns.LONGEST),
+            strategies.floats(0, reading_turns.MAX_WAIT_SECONDS),
             min_size=2,
             max_size=40,
         ),
@@ -106,7 +111,7 @@
         found = ends(begun, rng)
         self.assertThat(
             longest_gap(found, _SETTLED),
-            matchers.LessThan(2 * reading_turns.STEP),
+            matchers.LessThan(2 * reading_turns.STEP_SECONDS),
         )
 
     @given(strategies.integers(2, 40))
@@ -114,5 +119,8 @@
         """There is one read a step, or as many as if each waited longest."""
         found = ends([0.0] * number, random.Random(number))
         calls = sum(one >= _SETTLED for one in found) / (_PLAYED - _SETTLED)
-        each = max(1 / reading_turns.STEP, number / reading_turns.LONGEST)
+        each = max(
+            1 / reading_turns.STEP_SECONDS,
+            number / reading_turns.MAX_WAIT_SECONDS,
+        )
         self.assertThat(calls, matchers.LessThan(1.5 * each))
--- a/tests/decisions/test_region_readers.py
+++ b/tests/decisions/test_region_readers.py
@@ -12,7 +12,7 @@
     return [
         ip
         for ip in ips
-        if region_readers.reads(ip, [one for one in ips if one != ip])
+        if region_readers.is_reader(ip, [one for one in ips if one != ip])
     ]
 
 
@@ -30,9 +30,9 @@
 
     def test_reader_gone(self) -> None:
         """The next takes the place of one that is heard no more."""
-        self.assertTrue(region_readers.reads('c', ['b', 'd', 'e']))
-        self.assertFalse(region_readers.reads('d', ['b', 'c', 'e']))
+        self.assertTrue(region_readers.is_reader('c', ['b', 'd', 'e']))
+        self.assertFalse(region_readers.is_reader('d', ['b', 'c', 'e']))
 
     def test_hears_of_nobody(self) -> None:
         """One that hears of nobody reads."""
-        self.assertTrue(region_readers.reads('z', []))
+        self.assertTrue(region_readers.is_reader('z', []))
--- a/tests/decisions/test_start_reading.py
+++ b/tests/decisions/test_start_reading.py
@@ -22,20 +22,22 @@
 
     def test_seed(self) -> None:
         """A seed waits for nobody."""
-        found = start_reading.delay(SEEDS[1], SEEDS, random.Random(1))
+        found = start_reading.read_delay(SEEDS[1], SEEDS, random.Random(1))
         self.assertEqual(0, found)
 
     def test_nobody_to_ask(self) -> None:
         """Without seeds, or alone, there is nobody to wait for."""
         for seeds in ((), ('10.0.0.9',)):
-            found = start_reading.delay('10.0.0.9', seeds, random.Random(1))
+            found = start_reading.read_delay(
+                '10.0.0.9', seeds, random.Random(1)
+            )
             self.assertEqual(0, found)
 
     def test_seeds_gone(self) -> None:
         """Seeds may be down: few read before the first of them can tell."""
         rng = random.Random(2)
         delays = sorted(
-            start_reading.delay('10.0.0.9', SEEDS, rng)
+            start_reading.read_delay('10.0.0.9', SEEDS, rng)
             for _ in range(PROCESSES)
         )
         early = [one for one in delays if one < delays[0] + TOLD_AFTER]
@@ -44,9 +46,15 @@
 
     def test_near_first(self) -> None:
         """A peer of another region is asked where no near one answers."""
-        self.assertTrue(start_reading.may_ask(is_near=True, since_start=0))
-        self.assertFalse(start_reading.may_ask(is_near=False, since_start=0.2))
-        self.assertTrue(start_reading.may_ask(is_near=False, since_start=0.5))
+        self.assertTrue(
+            start_reading.may_request(is_same_region=True, uptime_seconds=0)
+        )
+        self.assertFalse(
+            start_reading.may_request(is_same_region=False, uptime_seconds=0.2)
+        )
+        self.assertTrue(
+            start_reading.may_request(is_same_region=False, uptime_seconds=0.5)
+        )
 
 
 class SeedPollingTest(testtools.TestCase):
@@ -62,8 +70,8 @@
         found = []
         now: float = 0
         while now < seconds:
-            found.extend((now, seed) for seed in polling.due())
-            now += polling.pause()
+            found.extend((now, seed) for seed in polling.next_seeds())
+            now += polling.next_pause()
         return found
 
     def test_all_at_first(self) -> None:
@@ -83,5 +91,5 @@
     def test_no_seeds(self) -> None:
         """There is nobody to ask where there are no others."""
         polling = start_reading.SeedPolling('10.0.0.9', (), random.Random(3))
-        self.assertEqual([], polling.due())
-        self.assertEqual([], polling.due())
+        self.assertEqual([], polling.next_seeds())
+        self.assertEqual([], polling.next_seeds())
--- a/tests/direct/test_fetching.py
+++ b/tests/direct/test_fetching.py
@@ -62,7 +62,7 @@
 class _Agent:
     """An agent, as others see it and as it sees them."""
 
-    def __init__(self, world: _World, peer: piece_chains.Peer) -> None:
+    def __init__(self, world: _World, peer: piece_chains.Agent) -> None:
         self._world = world
         self._from_origin = _OriginLink(self, world.origin)
         self.peer = peer
@@ -76,10 +76,10 @@
         #: Those that asked it for a piece.
         self.asked_by: set[str] = set()
 
-    def question(self, model: str, version: int) -> piece_chains.Question:
+    def question(self, model: str, version: int) -> piece_chains.FetchContext:
         """Return who there is."""
         others = [one.peer for one in self._world.agents if one is not self]
-        return piece_chains.Question(self.peer, others, 'north')
+        return piece_chains.FetchContext(self.peer, others, 'north')
 
     def source(self, ip: str) -> typing.Any:
         """Return a source."""
@@ -179,7 +179,7 @@
     def __init__(self, north: int, south: int) -> None:
         self.origin = _Origin()
         peers = [
-            piece_chains.Peer(region, f'{region}-1', f'10.{place}.0.{number}')
+            piece_chains.Agent(region, f'{region}-1', f'10.{place}.0.{number}')
             for place, (region, count) in enumerate(
                 (('north', north), ('south', south)),
             )
@@ -204,7 +204,7 @@
     def hold(self, number: int) -> _Agent:
         """Have an agent hold the whole version."""
         one = self.agents[number]
-        one.peer = one.peer._replace(holds=True)
+        one.peer = one.peer._replace(has_version=True)
         for each, payload in enumerate(PAYLOADS):
             one.held.take(each, payload)
         return one
@@ -347,7 +347,7 @@
                 one.peer.ip
                 for one in world.agents
                 if own.peer.ip
-                in piece_chains.plan(one.question(MODEL, 2)).sources
+                in piece_chains.plan_fetch(one.question(MODEL, 2)).sources
             }
             await world.all_have(CHUNKS // 4)
             world.hold(0)
--- a/tests/direct/test_leaving.py
+++ b/tests/direct/test_leaving.py
@@ -147,7 +147,7 @@
             plan = world.departure.plan
             assert plan is not None
             now = asyncio.get_running_loop().time()
-            self.assertLess(now, plan.last)
+            self.assertLess(now, plan.last_answer_at)
 
         path_world.run(play, own=PATIENT)
 
@@ -168,7 +168,7 @@
             plan = world.departure.plan
             assert plan is not None
             loop = asyncio.get_running_loop()
-            loop.call_at(plan.last - 0.05, time.sleep, 0.6)
+            loop.call_at(plan.last_answer_at - 0.05, time.sleep, 0.6)
             self.assertEqual(504, (await asked).status)
             await ended
 
@@ -301,7 +301,7 @@
         told = self.state.told(100)
         self.configure(2, 6)
         plan = self.state.begin(100)
-        self.assertGreaterEqual(plan.lists_end, 100 + 3 * told)
+        self.assertGreaterEqual(plan.lists_expire_at, 100 + 3 * told)
 
     def test_before_the_first_configuration(self) -> None:
         """Any request may be long while no route is known."""
--- a/tests/direct/test_loading.py
+++ b/tests/direct/test_loading.py
@@ -137,10 +137,10 @@
         self._origin = origin
         self.version = 2
 
-    def question(self, model: str, version: int) -> piece_chains.Question:
+    def question(self, model: str, version: int) -> piece_chains.FetchContext:
         """Return that there is nobody else."""
-        own = piece_chains.Peer('north', 'north-1', '10.0.0.1')
-        return piece_chains.Question(own, [], 'north')
+        own = piece_chains.Agent('north', 'north-1', '10.0.0.1')
+        return piece_chains.FetchContext(own, [], 'north')
 
     def source(self, ip: str) -> typing.Any:
         """Return the origin."""
--- a/tests/direct/test_machines.py
+++ b/tests/direct/test_machines.py
@@ -114,12 +114,15 @@
                 lambda: not second.peers.members.ready(loop.time())
             )
             offered = [
-                plan.begun + step * 0.01
+                plan.started_at + step * 0.01
                 for step in range(1000)
-                if first.callers in second.offered(plan.begun + step * 0.01)
+                if first.callers
+                in second.offered(plan.started_at + step * 0.01)
             ]
-            kept = max(offered) + _LONGEST_KEPT * second.told(plan.begun)
-            self.assertGreaterEqual(plan.lists_end, min(kept, plan.last))
+            kept = max(offered) + _LONGEST_KEPT * second.told(plan.started_at)
+            self.assertGreaterEqual(
+                plan.lists_expire_at, min(kept, plan.last_answer_at)
+            )
 
         run(play, config=config)
 
