--- a/clementinepass/decisions/departure.py
+++ b/clementinepass/decisions/departure.py
@@ -1,14 +1,14 @@
-"""Decide what an entry that was told to end still takes, and when it ends.
+"""Decide which requests a draining entry accepts, and when it exits.
 
-Load: all entries are replaced in turn, faster than each needs to leave.
-Harm: whatever is in progress when an entry ends is cut off in the middle of
-its answer; an entry that stays for all of its grace, though it has nothing
-left to do, leaves callers with none at all when the others leave, too.
+In a rolling replacement entries may be replaced faster than each of them
+drains. An entry that exits with requests in progress cuts off their answers. An
+entry that uses its whole grace period although it is idle leaves callers
+without any ready entry once the others drain as well.
 
-So an entry that leaves takes a request only if its final answer is due before
-the entry's own end, whatever way it came; callers keep a list of entries for so
-short a time that few come later than that; and the entry ends as soon as no
-list names it any more and nothing is in progress.
+A draining entry therefore accepts a request, whichever way it arrives, only if
+its final answer is due before the end of the entry. Callers keep a list of
+entries for so short a time that few requests arrive later than that. The entry
+exits as soon as no list names it any more and nothing is in progress.
 """
 
 from __future__ import annotations
@@ -18,40 +18,40 @@
 if typing.TYPE_CHECKING:
     from collections.abc import Iterable
 
-#: The part of the time from SIGTERM to SIGKILL that is used. The rest, 0.64 s
-#: of 8 s, is for the end of the process, also on a machine that is held up.
+#: Fraction of the time from SIGTERM to SIGKILL that is used. The rest, 0.64 s
+#: of 8 s, is left for the process to end, also on an instance that stalls.
 _USABLE_GRACE_FRACTION = 0.92
-#: Some callers keep a list for so many times as long as they are told.
+#: Some callers keep a list for up to this multiple of its time to live.
 _MAX_KEPT_FACTOR = 3
-#: Seconds after SIGTERM in which others may still name the entry: two
-#: heartbeats, as the word that it leaves may be lost once, and an answer that
-#: was on its way.
+#: Seconds after SIGTERM in which other entries may still list this one: two
+#: heartbeats, as the announcement that it drains may be lost once, plus the
+#: time of an answer that was already on its way.
 _ANNOUNCE_SECONDS = 0.5
-#: Seconds for which callers are told to keep a list. Below the first nearly
-#: each request would ask for one: callers send two or three a second. Above the
-#: second the list says little about an entry that was lost.
+#: Time to live, in seconds, of a list that callers are given. Below the minimum
+#: nearly every request would fetch a list, as callers send two or three
+#: requests a second. Above the maximum a list names lost entries for too long.
 _MIN_TTL_SECONDS = 0.25
 _MAX_TTL_SECONDS = 1.5
-#: Seconds in which an entry that leaves is named at most, where none is ready:
-#: by then one that was told before it is back.
+#: Longest time in seconds for which a draining entry is listed while no entry
+#: is ready. By then an entry that began to drain earlier is back.
 _MAX_LISTED_SECONDS = 2.0
-#: Seconds after the last answers for them to go out.
+#: Seconds after the last answers that are left for sending them.
 _FLUSH_SECONDS = 0.1
-#: Seconds in which an entry that ended is back, for the callers who find no
-#: other: 0.7 s from the end of a process until it is ready again, and some of
-#: the time that the ones in progress take to end.
+#: Seconds after which an entry that exited is back, for callers that find no
+#: other: 0.7 s from the end of a process until it is ready again, plus part of
+#: the time that its requests in progress take to finish.
 _RESTART_SECONDS = 1.0
-#: Seconds after which a caller may come back to another entry: as long as it
-#: takes to ask which there are.
+#: Seconds after which a caller may retry at another entry: the time that it
+#: takes to fetch the list of entries.
 _LOOKUP_SECONDS = 0.02
 
 
 class ListPolicy(typing.NamedTuple):
-    """How entries are named to callers.
+    """How entries are listed for callers.
 
-    :param seconds: for which callers are told to keep a list.
-    :param named_seconds: after SIGTERM in which an entry is named where none
-        is ready.
+    :param ttl_seconds: how long callers are told to keep a list.
+    :param listed_seconds: how long after SIGTERM a draining entry is listed
+        while no entry is ready.
     """
 
     ttl_seconds: float
@@ -59,11 +59,12 @@
 
 
 class DrainPlan(typing.NamedTuple):
-    """The times of leaving; all in monotonic seconds.
+    """The times of a drain, in monotonic seconds.
 
-    :param begun: of SIGTERM.
-    :param lists_end: from which no caller's list names the entry.
-    :param last: by which all that is in progress has its final answer.
+    :param started_at: when SIGTERM arrived.
+    :param lists_expire_at: when the last list that names the entry expires.
+    :param last_answer_at: by when every request in progress has its final
+        answer.
     """
 
     started_at: float
@@ -72,25 +73,28 @@
 
     @property
     def end_at(self) -> float:
-        """Return when the process ends, whatever is in progress."""
+        """Return when the process exits, whatever is in progress."""
         return self.last_answer_at + _FLUSH_SECONDS
 
     def accepts(self, due_at: float) -> bool:
-        """Tell whether to take a request.
+        """Return whether to accept a request.
 
-        Failure: streams that were taken 3.4 to 5.5 s after SIGTERM were cut
-        off after 7.4 s, 40 on a day of three rounds of replacements. A request
-        whose final answer is due before the end can't be cut off by it.
+        Without this check streams that were accepted 3.4 to 5.5 s after SIGTERM
+        were cut off after 7.4 s, 40 of them on a day of three rolling
+        replacements. A request whose final answer is due before the end cannot
+        be cut off by it.
 
-        :param final_at: when its final answer is due.
+        :param due_at: when the final answer of the request is due.
         """
         return due_at <= self.last_answer_at
 
     def may_end(self, now: float, in_progress: int) -> bool:
-        """Tell whether the entry may end.
+        """Return whether the entry may exit.
 
-        Failure: entries that stayed for 7.4 s, most of them idle, left nobody
-        ready for three seconds when they were stopped 0.73 s apart.
+        Entries that stayed for 7.4 s, most of them idle, left no entry ready
+        for three seconds when they were stopped 0.73 s apart.
+
+        :param in_progress: number of requests in progress.
         """
         if now >= self.end_at:
             return True
@@ -103,11 +107,12 @@
     policy: ListPolicy,
     list_expires_at: float,
 ) -> DrainPlan:
-    """Return the times of leaving.
+    """Return the times of a drain.
 
-    :param grace: seconds from SIGTERM to SIGKILL.
-    :param lists: how others name the entry from now on.
-    :param told_until: until which a list is kept that the entry told itself.
+    :param started_at: when SIGTERM arrived, in monotonic seconds.
+    :param grace_seconds: time from SIGTERM to SIGKILL.
+    :param policy: how the entry is listed from now on.
+    :param list_expires_at: when the last list expires that this entry gave out.
     """
     last_answer_at = started_at + _usable_seconds(grace_seconds)
     listed_until = started_at + max(policy.listed_seconds, _ANNOUNCE_SECONDS)
@@ -120,12 +125,14 @@
 
 
 def accepting_seconds(grace_seconds: float, timeouts: Iterable[float]) -> float:
-    """Return for how long after SIGTERM requests are taken.
+    """Return for how long after SIGTERM requests are accepted.
 
-    By the slowest route that has time at all.  Failure: one route that allows
-    more than the grace had it that no request is ever taken, so that while all
-    left each entry named itself alone, also those that took nothing any more.
+    The slowest route whose timeout fits into the grace period decides. When a
+    route with a longer timeout decided, no request was ever accepted: while all
+    entries drained, each of them listed only itself, even if it accepted
+    nothing any more.
 
+    :param grace_seconds: time from SIGTERM to SIGKILL.
     :param timeouts: seconds until the final answer, by route.
     """
     usable_seconds = _usable_seconds(grace_seconds)
@@ -139,14 +146,15 @@
 def list_policy(
     acceptance_seconds: float, max_ttl_seconds: float
 ) -> ListPolicy:
-    """Return how entries are named to callers.
+    """Return how entries are listed for callers.
 
-    A list is so short that those who keep it longest come while requests are
-    taken.  Where no entry is ready, one that leaves is named for as long as
-    those who keep the list as told still come in time.
+    The time to live is so short that the callers that keep a list longest still
+    arrive while requests are accepted. If no entry is ready, a draining entry
+    is listed for as long as callers that discard the list in time still arrive
+    while requests are accepted.
 
-    :param taking: seconds after SIGTERM for which that is so.
-    :param most: seconds that the platform allows.
+    :param acceptance_seconds: how long after SIGTERM requests are accepted.
+    :param max_ttl_seconds: longest time to live that the platform allows.
     """
     preferred_ttl = min(
         (acceptance_seconds - _ANNOUNCE_SECONDS) / _MAX_KEPT_FACTOR,
@@ -160,14 +168,14 @@
 
 
 def max_kept_seconds(ttl_seconds: float) -> float:
-    """Return for how long some callers keep a list, as told for how long."""
+    """Return how long some callers keep a list that has a time to live."""
     return _MAX_KEPT_FACTOR * ttl_seconds
 
 
 def retry_after(ready_entries: int) -> float:
-    """Return the seconds after which a caller that is refused may come back.
+    """Return the seconds after which a rejected caller may retry.
 
-    :param others_ready: entries that callers may be sent to.
+    :param ready_entries: number of other entries that callers may be sent to.
     """
     return _LOOKUP_SECONDS if ready_entries else _RESTART_SECONDS
 
--- a/clementinepass/decisions/desired_versions.py
+++ b/clementinepass/decisions/desired_versions.py
@@ -1,37 +1,38 @@
-"""Which versions of a model's weights requests may still begin on.
+"""Track on which versions of a model's weights requests may still start.
 
-Load: versions that are named faster than they spread.  Each has a bound of
-its own, counted from its naming: a version that is named while the one before
-it spreads must not put off the bound of that one.
+The operator may change the desired version faster than versions spread. Each
+version therefore has a deadline of its own, counted from when it became the
+desired one: a new version that is named while the previous one spreads must not
+postpone the deadline of the previous one.
 """
 
 from __future__ import annotations
 
 import math
 
-#: Versions remembered. Those before are long past their bound.
+#: Versions that are remembered. The deadlines of older ones are long past.
 _MAX_VERSIONS = 8
 
 
 class DesiredVersions:
-    """The versions of one model that were named lately.
+    """The versions of one model that recently became the desired one.
 
-    :param bound: seconds after the naming of a version from which requests
-        begin on no older one.
+    :param deadline_seconds: time after a version became the desired one from
+        which requests may not start on an older version.
     """
 
     __slots__ = ('_deadline_seconds', 'guessed_versions', 'since_by_version')
 
     def __init__(self, deadline_seconds: float) -> None:
         self._deadline_seconds = deadline_seconds
-        #: When each version was named; monotonic seconds.
+        #: Monotonic seconds at which each version became the desired one.
         self.since_by_version: dict[int, float] = {}
-        #: The versions whose time is a guess.
+        #: Versions for which that time is a guess.
         self.guessed_versions: set[int] = set()
 
     @property
     def newest(self) -> int:
-        """Return the newest version; 0 where none was named."""
+        """Return the newest version; 0 if there is none yet."""
         return max(self.since_by_version, default=0)
 
     def record(
@@ -41,12 +42,17 @@
         *,
         is_guess: bool = False,
     ) -> bool:
-        """Take it that a version was named; tell whether it is news.
+        """Record when a version became the desired one.
 
-        Of two times for one version the earlier counts: whoever heard of it
-        late can't know when it was named. A guess, of a process that was
-        started later, gives way to whatever else is heard, and is passed
-        over where more is known.
+        The earlier of two times for one version is kept, since a process that
+        learned of the version late cannot know when it was named. A process
+        that started after that has to guess the time. Its guess gives way to a
+        time that was observed, and is ignored where such a time is known.
+
+        :param since: monotonic seconds at which the version became the desired
+            one.
+        :param is_guess: whether ``since`` is a guess.
+        :returns: whether the version is new and the newest one.
         """
         known_since = self.since_by_version.get(version)
         if known_since is None:
@@ -60,7 +66,7 @@
         return False
 
     def usable_until(self, version: int) -> float:
-        """Return the time until which requests may begin on a version."""
+        """Return the time until which requests may start on a version."""
         newer = [
             since + self._deadline_seconds
             for other_version, since in self.since_by_version.items()
@@ -69,7 +75,7 @@
         return min(newer, default=math.inf)
 
     def oldest_allowed(self, now: float) -> int:
-        """Return the oldest version on which requests may begin."""
+        """Return the oldest version on which requests may start."""
         return max(
             (
                 version
--- a/clementinepass/decisions/dissemination.py
+++ b/clementinepass/decisions/dissemination.py
@@ -1,14 +1,16 @@
-"""Choose whom a heartbeat goes to, and of which other members it tells.
+"""Choose the recipients of a heartbeat and the members that it reports.
 
-Load: more members than one message goes to, so that each is heard directly only
-now and then.  Harm: with 150 members each took 45 in 100 of the others for
-gone, though all were there: clients were sent to those that were left.
+In a cluster with more members than a message is sent to, a member receives
+messages of any other member only now and then. With 150 members each took 45 in
+100 of the others for gone although all were alive, and callers were sent to the
+remaining ones.
 
-Each message passes on what its sender heard just now of some members, drawn at
-random, as digests that say no more than that they are there.  A word reaches
-all in a few heartbeats, and what one member sends stays the same however many
-there are.  Most messages stay in the sender's failure domain, as links between
-regions are narrow; a few go elsewhere, and are passed on there.
+Each message therefore carries digests of random members that its sender heard
+from recently; a digest says no more than that the member is alive. An
+announcement reaches all members within a few heartbeats, and the traffic of one
+member stays the same however many there are. Most messages stay in the sender's
+failure domain, as links between regions are narrow; a few go to other domains
+and are passed on there.
 """
 
 from __future__ import annotations
@@ -19,13 +21,14 @@
     import random
     from collections.abc import Sequence
 
-#: Members up to which one message goes to all, and each fifth tells of all.
+#: Up to this number of members every message goes to all of them, and every
+#: fifth one carries the records of all members.
 MAX_BROADCAST_MEMBERS = 16
-#: Where there are more: members of the own failure domain that a message goes
-#: to, and members elsewhere.
+#: In larger clusters: recipients of a message in the sender's failure domain
+#: and in the other ones.
 _SAME_DOMAIN_TARGETS = 10
 _OTHER_DOMAIN_TARGETS = 4
-#: Members of which a message then tells.
+#: Members that a message reports by digests in larger clusters.
 _MAX_DIGESTS = 14
 
 _Member = typing.TypeVar('_Member')
@@ -36,9 +39,10 @@
     other_domains: Sequence[str],
     rng: random.Random,
 ) -> list[str]:
-    """Return the members that a message goes to.
+    """Return the addresses that a heartbeat is sent to.
 
-    :param near: those of the own failure domain.
+    :param same_domain: addresses of members of the sender's failure domain.
+    :param other_domains: addresses of all other members.
     """
     if len(same_domain) + len(other_domains) <= MAX_BROADCAST_MEMBERS:
         return [*same_domain, *other_domains]
@@ -54,10 +58,10 @@
     recently_seen: Sequence[_Member],
     rng: random.Random,
 ) -> list[_Member]:
-    """Return the members to tell of by digests.
+    """Return the members that a heartbeat reports by digests.
 
-    :param members: how many there are.
-    :param fresh: those of them that were heard of just now.
+    :param member_count: number of members that are alive.
+    :param recently_seen: those of them that were heard from recently.
     """
     if member_count <= MAX_BROADCAST_MEMBERS:
         return []
--- a/clementinepass/decisions/endpoint_choice.py
+++ b/clementinepass/decisions/endpoint_choice.py
@@ -1,9 +1,9 @@
-"""Choose the endpoint for a request that goes there directly.
+"""Choose the endpoint that a request is sent to directly.
 
-Load: entries that place on one another's counts, which are some hundred
-milliseconds old, onto engines that run a fixed number of requests at once.
-A request more than that waits, and one waiting costs as much time as an
-answer takes, divided by the slots.
+Entries choose by one another's request counts, which are some hundred
+milliseconds old, among engines that run a fixed number of requests at once. A
+request beyond that number waits, and each waiting request costs as much time as
+an answer takes, divided by the number of slots.
 """
 
 from __future__ import annotations
@@ -15,41 +15,44 @@
     import random
     from collections.abc import Sequence
 
-#: By how many running requests an endpoint of the own failure domain may be
-#: ahead and still be preferred. Bytes between domains have a price; more than
-#: two requests cost the caller more in the speed of each step.
+#: Running requests by which an endpoint in the entry's failure domain may be
+#: ahead and still be preferred. Traffic between domains has a price, but more
+#: than two requests cost the caller more, as each step of the engine gets
+#: slower.
 _OTHER_DOMAIN_PENALTY = 1.5
-#: By how many running requests an endpoint with the newest weights may be
-#: ahead and still be preferred. One with older weights cuts what runs when its
-#: turn to load comes; a stream that is cut twice can't be resumed.
+#: Running requests by which an endpoint with the newest weights may be ahead
+#: and still be preferred. An endpoint with older weights cuts off its running
+#: requests when its turn to load comes, and a stream that is cut off twice
+#: cannot be resumed.
 _OLD_VERSION_PENALTY = 5.0
-#: The same for one whose link isn't slow. On a link narrowed to a tenth a
-#: prompt waits a second behind pieces of weights, and reaches the engine after
-#: its caller has left; its events come late, too. Short of nothing else being
-#: there but a long queue, any other does better.
+#: The same for an endpoint whose link is not congested. On a link that is
+#: narrowed to a tenth a prompt waits for a second behind pieces of weights and
+#: reaches the engine after its caller has left, and events are late, too. Any
+#: other endpoint is better unless it has a long queue.
 _CONGESTION_PENALTY = 12.0
-#: Engines drawn of those in the own failure domain, and of the others. What is
-#: known of their load is some hundred milliseconds old, and alike at all
-#: entries: with a choice of all engines each entry takes the one that was
-#: emptiest, and with a choice of two they spread.
+#: Engines sampled from the entry's failure domain and from the other ones. The
+#: reported loads are some hundred milliseconds old and the same at all entries:
+#: if every entry compared all engines, each would choose the one that was
+#: emptiest. Choosing between two spreads the requests.
 _SAME_DOMAIN_SAMPLE = 2
 _OTHER_DOMAIN_SAMPLE = 1
-#: Requests by which the counts of other entries are uncertain. Without it all
-#: entries send to the endpoint that was emptiest in the same last message.
+#: Requests by which the counts of other entries are uncertain. Without this
+#: jitter all entries send to the endpoint that was emptiest in the same
+#: message.
 _LOAD_JITTER = 1.0
 
 
 class Candidate(typing.NamedTuple):
     """An endpoint that could take the request.
 
-    :param load: requests there, of this entry and the others.
+    :param load: requests there, of this entry and of the others.
     :param slots: requests that it runs at once.
-    :param is_near: whether it is in the own failure domain.
-    :param is_old: whether others have a newer version of the weights, which
-        it will take up soon.
-    :param is_congested: whether its machine's link is slow at present.
-    :param unbegun: requests there of which no event has come yet.
-    :param usable_for: seconds in which requests may still begin there.
+    :param is_same_domain: whether it is in the entry's failure domain.
+    :param has_old_version: whether other endpoints have a newer version of the
+        weights, which this one will load soon.
+    :param is_congested: whether the link of its instance is congested.
+    :param unstarted: requests there that have not had an event yet.
+    :param usable_seconds: time for which requests may still start there.
     """
 
     endpoint_id: str
@@ -63,7 +66,7 @@
 
     @property
     def queue_depth(self) -> float:
-        """Return how many would wait there, this request included."""
+        """Return how many requests would wait there, this one included."""
         return max(self.load + 1 - self.slots, 0)
 
 
@@ -75,9 +78,10 @@
     other_domains: Sequence[_Engine],
     rng: random.Random,
 ) -> list[_Engine]:
-    """Return the engines to choose from, of those whose load is known.
+    """Return a sample of the engines whose load is known.
 
-    :param near: those in the own failure domain.
+    :param same_domain: engines in the entry's failure domain.
+    :param other_domains: all other engines.
     """
     drawn = rng.sample(same_domain, min(_SAME_DOMAIN_SAMPLE, len(same_domain)))
     missing = _SAME_DOMAIN_SAMPLE + _OTHER_DOMAIN_SAMPLE - len(drawn)
@@ -85,7 +89,7 @@
 
 
 class Choice(typing.NamedTuple):
-    """The endpoint chosen, and how many wait there for a slot."""
+    """The chosen endpoint, and the number of requests that wait there."""
 
     endpoint_id: str
     queue_depth: float
@@ -110,5 +114,5 @@
         penalty += _CONGESTION_PENALTY
     estimated_load = candidate.load + penalty + rng.random() * _LOAD_JITTER
     queue_depth = max(estimated_load + 1 - candidate.slots, 0)
-    # A slot that is free is worth more than any nearness.
+    # A free slot is worth more than being in the same failure domain.
     return estimated_load / candidate.slots + queue_depth
--- a/clementinepass/decisions/first_event.py
+++ b/clementinepass/decisions/first_event.py
@@ -1,39 +1,41 @@
-"""Foresee when an endpoint answers, and refuse what would come too late.
+"""Estimate when an endpoint answers, and reject requests that would be late.
 
-Load: a third more requests than the engines can run, for seconds, until added
-ones have their weights.  Harm: queues grow to half a second everywhere, and
-instead of two thirds being served in time nobody is; those who wait hold up
-those who come after them.  What would start too late is refused at once, so
-that the caller may come back when the queue is shorter.
+When a third more requests arrive than the engines can run, for the seconds
+until added engines have their weights, queues grow to half a second everywhere.
+Instead of two thirds of the requests, none is served in time, as those that
+wait delay those behind them. A request that would start too late is therefore
+rejected at once, so that its caller can retry when the queue is shorter.
 """
 
 from __future__ import annotations
 
 import typing
 
-#: The part of the aim that a request may be expected to take and still be
-#: sent. The estimate is of means, and other entries send there until the next
-#: report; with all of the aim, half of those sent are late.
+#: Fraction of the latency target that the estimate for a request may reach for
+#: the request to be sent. The estimate is one of means, and other entries send
+#: to the same endpoint until the next report: with the whole target, half of
+#: the requests that are sent are late.
 _TARGET_FRACTION = 0.85
-#: Seconds to an endpoint and back, and to the first event of an empty engine
-#: beside reading the prompt.
+#: Seconds to an endpoint and back, and until the first event of an empty engine
+#: apart from reading the prompt.
 BASE_LATENCY_SECONDS = 0.06
-#: Requests that may wait at an endpoint of unknown speed, for each slot.
+#: Requests per slot that may wait at an endpoint of unknown service rate.
 _UNKNOWN_RATE_QUEUE_FRACTION = 0.35
-#: Seconds after which a refused caller may come back: the shortest, in which
-#: an engine ends three answers.
+#: Shortest time in seconds after which a rejected caller may retry. In it an
+#: engine finishes three answers.
 _MIN_RETRY_AFTER = 0.25
-#: The longest. Callers heed a third of the six seconds that they have, and
-#: what keeps all endpoints from serving, such as new weights, takes seconds.
+#: Longest such time. Callers honour up to a third of the six seconds that they
+#: have, and conditions in which no endpoint serves, such as the loading of new
+#: weights, last for seconds.
 MAX_RETRY_AFTER = 2.0
 
 
 class ServiceRate(typing.NamedTuple):
-    """How fast an endpoint works.
+    """The rates at which an endpoint works.
 
-    :param read_per_second: prompt tokens read in a second.
-    :param ended_per_second: requests that a full endpoint ends in a second;
-        0 where it isn't known.
+    :param prompt_tokens_per_second: prompt tokens that it reads per second.
+    :param requests_per_second: requests that it finishes per second when all of
+        its slots are in use; 0 if unknown.
     """
 
     prompt_tokens_per_second: float
@@ -41,13 +43,12 @@
 
 
 class PendingRequest(typing.NamedTuple):
-    """A request that looks for a place.
+    """A request for which the best endpoint has been chosen.
 
-    :param waiting: requests that would wait at the best endpoint, this one
-        included.
-    :param slots: requests that it runs at once.
-    :param aim: seconds in which the answer is of full value.
-    :param passed: seconds that have passed already.
+    :param queue_depth: requests that would wait there, this one included.
+    :param slots: requests that the endpoint runs at once.
+    :param latency_target: seconds within which the answer has its full value.
+    :param elapsed_seconds: time that the request has spent already.
     """
 
     queue_depth: float
@@ -64,10 +65,13 @@
     step_seconds: float,
     slots: int,
 ) -> ServiceRate:
-    """Work out an engine's pace from what the operator says of it.
+    """Return an engine's service rate, estimated from the operator's figures.
 
-    A full engine spends on a request the time to read its prompt, in which
-    nothing else is written, and its share of the steps for its answer.
+    A full engine spends on each request the time to read its prompt, in which
+    it generates nothing else, and the request's share of the steps for its
+    answer.
+
+    :param step_seconds: time for one token of each running request.
     """
     if not prompt_tokens_per_second or not slots:
         return ServiceRate(0, 0)
@@ -77,7 +81,7 @@
 
 
 def meets_target(request: PendingRequest, rate: ServiceRate) -> bool:
-    """Tell whether a request may be sent to the best endpoint."""
+    """Return whether to send a request to the best endpoint."""
     if not rate.requests_per_second:
         return (
             request.queue_depth <= request.slots * _UNKNOWN_RATE_QUEUE_FRACTION
@@ -94,7 +98,7 @@
 
 
 def retry_after(queue_depth: float, rate: ServiceRate) -> float:
-    """Return the seconds after which a refused caller may find room."""
+    """Return the seconds after which a rejected caller may find a free slot."""
     if not rate.requests_per_second:
         return _MIN_RETRY_AFTER
     seconds = queue_depth / rate.requests_per_second
--- a/clementinepass/decisions/load_turns.py
+++ b/clementinepass/decisions/load_turns.py
@@ -1,10 +1,10 @@
-"""Choose when an engine takes up a version that lies ready.
+"""Choose when an engine loads a new version that its agent has ready.
 
-Load: all agents have a new version within the same second.  Harm: an engine
-takes nothing new until what runs has ended, a second or more, and if all do
-that together nobody serves.  So the engines take turns over the time that is
-left until older versions may not be used; the turns go round the failure
-domains.
+All agents have a new version within the same second. An engine that is to load
+it accepts no request until its running ones have finished, which takes a second
+or more, and if all engines did so together none would serve. So the engines
+take turns over the time that is left until older versions may not be used any
+more, and consecutive turns are in different failure domains.
 """
 
 from __future__ import annotations
@@ -14,13 +14,14 @@
 if typing.TYPE_CHECKING:
     from collections.abc import Iterable
 
-#: Seconds before that bound at which the last engine begins: it finishes what
-#: runs, and loads, while the first ones serve the new version already.
+#: Seconds before that deadline at which the last engine begins its turn. It
+#: finishes its running requests and loads while the first engines already serve
+#: the new version.
 _LAST_LOAD_SECONDS = 1.0
 
 
 class LoadingEngine(typing.NamedTuple):
-    """An engine that takes up the version."""
+    """An engine that is to load the version."""
 
     address: str
     domain: str
@@ -31,9 +32,10 @@
     engines: Iterable[LoadingEngine],
     seconds_left: float,
 ) -> float:
-    """Return the seconds until the own engine's turn.
+    """Return the seconds until the turn of the local engine.
 
-    :param left: seconds until older versions may not be used.
+    :param engines: all engines that load the version.
+    :param seconds_left: time until older versions may not be used any more.
     """
     ordered = _interleave_domains({local_engine, *engines})
     if len(ordered) == 1:
@@ -45,7 +47,7 @@
 def _interleave_domains(
     engines: Iterable[LoadingEngine],
 ) -> list[LoadingEngine]:
-    """Return engines so that neighbours are of different domains."""
+    """Return engines with consecutive ones in different domains."""
     by_domain: dict[str, list[LoadingEngine]] = {}
     for engine in sorted(engines):
         by_domain.setdefault(engine.domain, []).append(engine)
--- a/clementinepass/decisions/manifest_round.py
+++ b/clementinepass/decisions/manifest_round.py
@@ -1,38 +1,42 @@
-"""Choose whom an agent asks for the manifest of a version, round by round.
-
-Load: all agents want the manifest of a version at once, and each lets others
-wait for it for a second.  Harm: while the origin was away nobody had it.  Each
-agent asked all others in turn, a second each, before it asked the origin again,
-and missed its return for as many seconds as there were agents.
-
-So a round asks a few at the same time: the agents before in the chain, the
-origin, and two others by turns, so that the number of questions doesn't grow
-with the agents.  The first round leaves out the others.  It doesn't leave out
-the origin: after a loss of power the list still said which engines had had the
-version, all asked those, and waited a second for nothing.
+"""Choose the sources that an agent asks for a manifest in one round.
+
+All agents want the manifest of a new version at once, and a request for it may
+wait for a second at each of them. While the origin was unreachable no agent had
+the manifest: each requested it from all others in turn, a second each, before
+it tried the origin again, and so noticed the origin's return as many seconds
+late as there were agents.
+
+A round therefore requests the manifest from a few sources at the same time: the
+agents before this one in the chain, the origin, and two other agents in
+rotation, so that the number of requests does not grow with the number of
+agents. The first round omits the two others. It does not omit the origin: after
+a power loss the list still named engines that had had the version, and all
+agents asked those and waited for a second in vain.
 """
 
 from __future__ import annotations
 
 from clementinepass.decisions import piece_chains
 
-#: Other agents asked in a round: what some have from the origin, all have after
-#: a few rounds, whose number grows with the logarithm of the agents.
+#: Other agents that are asked in a round. What some agents have from the origin
+#: all agents have after a few rounds, whose number grows with the logarithm of
+#: the number of agents.
 _EXTRA_AGENTS = 2
-#: Agents of a chain that ask the origin in each round. Those behind ask it in
-#: every second, third and so on: a manifest of 96 pieces is some 7 KB, which
-#: takes the origin's link 8 ms, and 150 agents that ask at once would hold up
-#: the first pieces by a second. So 22 of 300 ask it in one round.
+#: Agents of a chain that ask the origin in every round. The agents behind them
+#: ask it in every second, third, ... round: a manifest of 96 pieces is some 7
+#: KB, which takes the origin's link 8 ms, and 150 agents that request it at
+#: once would delay the first pieces by a second. With this value 22 of 300
+#: agents ask the origin in one round.
 _ORIGIN_EACH_ROUND = 4
 
 
 def choose_sources(
     plan: piece_chains.FetchPlan, failed_rounds: int
 ) -> tuple[str, ...]:
-    """Return whom to ask at the same time: IP numbers, and the origin.
+    """Return the sources to ask at the same time: IP numbers and the origin.
 
-    :param plan: from whom the agent is to get pieces.
-    :param number: how many rounds brought nothing.
+    :param plan: the agent's sources of pieces.
+    :param failed_rounds: number of rounds so far that found no manifest.
     """
     chosen = [
         *plan.sources,
@@ -47,7 +51,10 @@
 def _extra_agents(
     plan: piece_chains.FetchPlan, failed_rounds: int
 ) -> list[str]:
-    """Return the other agents whose turn it is; each agent begins elsewhere."""
+    """Return the other agents to ask in this round.
+
+    Each agent starts at another position of the list.
+    """
     agents = list(dict.fromkeys(plan.all_peer_ips))
     start = plan.position + failed_rounds * _EXTRA_AGENTS
     count = min(_EXTRA_AGENTS, len(agents))
--- a/clementinepass/decisions/piece_chains.py
+++ b/clementinepass/decisions/piece_chains.py
@@ -1,18 +1,19 @@
-"""Choose from whom an agent gets the pieces of a version.
-
-Load: all agents want all pieces of a new version at once, over links that
-carry one copy in five and a half of the eight seconds that there are, and that
-carry the engines' prompts and events besides.  Harm: an agent that gets pieces
-from several others at once holds up its engine's prompts behind them, by a
-third of a second with six on their way; one that sends to several is done
-after several times as long, and the origin after many.
-
-While no engine has the version its pieces are spread in stripes
-(:mod:`clementinepass.decisions.piece_stripes`).  Where engines have it already,
-they head chains, one each, in which each agent gets pieces from the one before
-it and sends to the one after it.
-All agents work this out by themselves; where their views differ a piece
-doesn't come as it is meant to, and is asked for elsewhere after a while.
+"""Choose the sources from which an agent fetches the pieces of a version.
+
+All agents want all pieces of a new version at once. Their links need five and a
+half of the eight seconds that there are for one copy, and carry the engines'
+prompts and events as well. An agent that fetches pieces from several others at
+once delays its engine's prompts behind them, by a third of a second with six
+pieces on their way. An agent that sends to several others finishes after
+several times as long, and the origin after many times as long.
+
+While no engine has the version, its pieces are spread in stripes
+(:mod:`clementinepass.decisions.piece_stripes`). Engines that have it already
+each head a chain, in which an agent fetches pieces from the one before it and
+sends them to the one after it.
+
+All agents compute this independently. Where their views differ, a piece does
+not arrive as planned and is requested from another source after a while.
 """
 
 from __future__ import annotations
@@ -25,16 +26,16 @@
 if typing.TYPE_CHECKING:
     from collections.abc import Sequence
 
-#: Stands for the origin among sources.
+#: Stands for the origin among the sources.
 ORIGIN = ''
-#: Agents asked at once that have the whole version.
+#: Agents with the complete version that one agent asks at once.
 _HOLDERS_PER_AGENT = 2
 
 
 class Agent(typing.NamedTuple):
     """An agent of the service.
 
-    :param holds: whether it has the whole version already.
+    :param has_version: whether it has the complete version already.
     """
 
     region: str
@@ -44,12 +45,16 @@
 
 
 class FetchContext(typing.NamedTuple):
-    """Who asks, and who else there is.
-
-    :param origin_region: the region in which the origin stands.
-    :param stripes: how many agents' links the origin's link can fill.
-    :param avoided: IP numbers of peers that bring nothing.
-    :param origin_part: the origin's link, as a multiple of an agent's.
+    """The agent that fetches a version, and the agents that it may fetch from.
+
+    :param local_agent: the agent that fetches.
+    :param peers: all other agents of the service.
+    :param origin_region: the region of the origin.
+    :param stripe_count: number of agents' links that the origin's link can
+        fill.
+    :param excluded_ips: IP numbers of peers that deliver nothing.
+    :param origin_link_ratio: bandwidth of the origin's link divided by that of
+        an agent's link; 0 if unknown.
     """
 
     local_agent: Agent
@@ -61,16 +66,19 @@
 
     @property
     def usable_peers(self) -> list[Agent]:
-        """Return the peers that bring something."""
+        """Return the peers that are not excluded."""
         return [peer for peer in self.peers if peer.ip not in self.excluded_ips]
 
 
 class PieceGroup(typing.NamedTuple):
-    """Some pieces of a version, and whom to ask for them.
+    """Pieces of a version that are fetched from the same sources.
+
+    A piece belongs to the group if its number modulo ``stripe_count`` is one of
+    ``remainders``.
 
-    :param rests: the pieces whose numbers leave one of these rests,
-    :param stripes: when they are divided by this.
-    :param enters: whether nobody else in the region is to have them before.
+    :param sources: IP numbers of agents, and the origin.
+    :param enters_region: whether no other agent of the region is to have the
+        pieces before this one.
     """
 
     sources: tuple[str, ...]
@@ -79,18 +87,21 @@
     enters_region: bool = False
 
     def contains(self, number: int) -> bool:
-        """Tell whether a piece is one of these."""
+        """Return whether a piece belongs to the group."""
         return number % self.stripe_count in self.remainders
 
 
 class FetchPlan(typing.NamedTuple):
-    """From whom to get pieces, in the order in which to ask.
-
-    :param place: how many agents come before the asking one, about.
-    :param partners: whom to ask besides, the first that answers, while the
-        sources bring nothing: only for agents at which pieces enter a region.
-    :param anyone: all other agents, those of the own region first.
-    :param has_room: whether what comes from the origin leaves room on the link.
+    """The sources of all pieces, in the order in which to ask them.
+
+    :param position: approximate number of agents that pieces pass before this
+        one.
+    :param fallback_ips: agents of which the first that answers is asked, too,
+        while the sources deliver nothing. Only agents at which pieces enter a
+        region have them.
+    :param all_peer_ips: all other agents, those of the same region first.
+    :param has_spare_bandwidth: whether the pieces from the origin leave
+        bandwidth on the agent's link.
     """
 
     groups: tuple[PieceGroup, ...]
@@ -101,17 +112,17 @@
 
     @property
     def sources(self) -> tuple[str, ...]:
-        """Return all that are asked, each once."""
+        """Return all sources, each of them once."""
         repeated = [source for group in self.groups for source in group.sources]
         return tuple(dict.fromkeys(repeated))
 
     @property
     def is_striped(self) -> bool:
-        """Tell whether different pieces come from different sources."""
+        """Return whether different pieces come from different sources."""
         return any(group.stripe_count > 1 for group in self.groups)
 
     def in_fetch_order(self, numbers: Sequence[int]) -> list[int]:
-        """Return pieces in the order in which they are to come."""
+        """Return piece numbers in the order in which to fetch the pieces."""
         return [
             number
             for group in self.groups
@@ -121,7 +132,7 @@
 
 
 def plan_fetch(context: FetchContext) -> FetchPlan:
-    """Return from whom the asking agent gets its pieces."""
+    """Return the sources from which the local agent fetches its pieces."""
     plan = _plan_sources(context)
     return plan._replace(all_peer_ips=tuple(all_peer_ips(context)))
 
@@ -145,7 +156,7 @@
 
 
 def all_peer_ips(context: FetchContext) -> list[str]:
-    """Return all other agents, those of the own region first."""
+    """Return all other agents, those of the same region first."""
     region_peers = [
         peer.ip
         for peer in context.peers
@@ -158,7 +169,10 @@
 
 
 def _rotated_holders(local_agent: Agent, peers: Sequence[Agent]) -> list[str]:
-    """Return agents that have the version; each region begins with another."""
+    """Return the agents that have the version.
+
+    The list starts at another agent in each region.
+    """
     holders = sorted(peer.ip for peer in peers if peer.has_version)
     return _rotated(holders, zlib.crc32(local_agent.region.encode()))
 
@@ -169,11 +183,16 @@
     holders: list[str],
     fallback_candidates: list[str],
 ) -> FetchPlan:
-    """Return a place in a chain that a holder heads, one for each holder.
+    """Return the plan of an agent in the chains that are headed by holders.
+
+    There is one chain for each holder. The first agent after a holder asks two
+    holders, since such agents do not know of one another at once: when two of
+    them chose the same single holder, each finished after ten seconds. Not all
+    agents can ask holders: two of them took 17 seconds to serve eight agents.
 
-    Heads ask two holders, since askers don't know of one another at once:
-    where two chose the same single one, each was done after ten seconds.  And
-    all askers can't ask holders: two of those served eight for 17 seconds.
+    :param region_peers: usable agents of the same region.
+    :param holders: IP numbers of the agents that head the chains.
+    :param fallback_candidates: IP numbers of holders to choose fallbacks from.
     """
     fetchers = sorted(
         {local_agent, *(peer for peer in region_peers if not peer.has_version)}
@@ -190,14 +209,15 @@
 
 
 def _holders_for(local_agent: Agent, holders: list[str]) -> tuple[str, ...]:
-    """Return the holders that an agent asks, by its own address alone.
+    """Return the holders that an agent asks, chosen by its address alone.
 
-    Failure: engines were added at once, and their agents didn't know of one
-    another for two seconds. All of a region turned to the same two holders,
-    and had an eighth of the version by then.
+    Agents of engines that were added at once did not know of one another for
+    two seconds. When the choice did not depend on their addresses, all agents
+    of a region asked the same two holders and had an eighth of the version by
+    then.
 
-    Machines that are added together have addresses in a row, mostly, and so
-    holders in a row.
+    Instances that are added together mostly have consecutive addresses, and so
+    ask consecutive holders.
     """
     start = _HOLDERS_PER_AGENT * int.from_bytes(local_agent.ip.encode())
     return tuple(_rotated(holders, start)[:_HOLDERS_PER_AGENT])
@@ -218,8 +238,8 @@
         ),
     )
     groups = _piece_groups(layout)
-    # Whoever isn't a head waits for those before it. Where all looked
-    # elsewhere, they met at the same few.
+    # An agent that is not a head waits for the agents before it. When all of
+    # these looked for other sources, they converged on the same few agents.
     is_head = any(group.enters_region for group in groups)
     fallback_ips = _fallback_ips(context) if is_head else ()
     return FetchPlan(
@@ -234,9 +254,9 @@
 
 
 def _piece_groups(layout: piece_stripes.Layout) -> tuple[PieceGroup, ...]:
-    """Return one lane for all that enters from a source, others apart.
+    """Return one group per source of entering pieces and per relayed stripe.
 
-    Others come in an order, stripe after stripe.
+    Relayed stripes are fetched one after another.
     """
     stripe_count = layout.stripe_count
     remainders_by_ip: dict[str, frozenset[int]] = {}
@@ -260,7 +280,7 @@
 
 
 def _fallback_ips(context: FetchContext) -> tuple[str, ...]:
-    """Return the others of the region; each agent begins with another."""
+    """Return the usable peers of the region, rotated by the agent's address."""
     region_peers = sorted(
         peer.ip
         for peer in context.usable_peers
@@ -272,6 +292,6 @@
 
 
 def _rotated(ips: list[str], offset: int) -> list[str]:
-    """Return addresses in their order, beginning with another."""
+    """Return addresses in their order, starting at an offset."""
     start = offset % max(len(ips), 1)
     return ips[start:] + ips[:start]
--- a/clementinepass/decisions/piece_stripes.py
+++ b/clementinepass/decisions/piece_stripes.py
@@ -1,26 +1,26 @@
-"""Spread a new version in stripes: each piece is read from the origin once.
-
-Load: all agents want all pieces of a version that nobody has yet, and the
-origin may be gone at any moment.  Harm: where two agents read all of it from
-both ends, each piece is out only when either link has carried half of them,
-and a second copy is paid for; once the origin is gone nobody can have the
-version, however many have most of it.
-
-So the pieces are dealt into stripes, as many as there are links that the
-origin's link can fill.  Each stripe enters each region at one agent, its head
-there, which gets it before anything else.  The origin has sent all of a version
-after the time that its own link needs: 1.9 s in place of 2.8 s for 2.1 MB at
-9.9 Mbit/s into links of 3.8 Mbit/s.
-
-Within a region agents stand in a ring.  Each gets from the one before it
-whatever it isn't the head of, beginning with the stripe of the nearest head
-before it.  Heads stand evenly apart, and the agent just before the next head
-hands a stripe on to the next region: it sends to nobody else while that
-stripe comes.  So each link carries about one copy each way, and a border is
-crossed once by each piece.
-
-All agents work this out by themselves; where their views differ a piece
-doesn't come as it is meant to, and is asked for elsewhere after a while.
+"""Spread a new version in stripes, each of which is read from the origin once.
+
+All agents want all pieces of a version that no agent has yet, and the origin
+may become unreachable at any moment. If two agents read the complete version
+from it, starting at opposite ends, all pieces are out only when each of the two
+links has carried half of them, and a second copy is paid for. Once the origin
+is unreachable no agent can complete the version, however many have most of it.
+
+So the pieces are dealt into stripes, as many as there are agents' links that
+the origin's link can fill. Each stripe enters each region at one agent, its
+head in the region, which fetches it before anything else. The origin has sent a
+complete version after the time that its own link needs: 1.9 s instead of 2.8 s
+for 2.1 MB at 9.9 Mbit/s into links of 3.8 Mbit/s.
+
+The agents of a region form a ring. Each agent fetches the stripes that it is
+not the head of from the agent before it, beginning with the stripe of the
+nearest head before it. Heads are evenly spaced, and the agent just before the
+next head forwards a stripe to the next region; it sends to no other agent while
+that stripe arrives. So each link carries about one copy in each direction, and
+each piece crosses a border between regions once.
+
+All agents compute this independently. Where their views differ, a piece does
+not arrive as planned and is requested from another source after a while.
 """
 
 from __future__ import annotations
@@ -31,16 +31,18 @@
 if typing.TYPE_CHECKING:
     from collections.abc import Container, Sequence
 
-#: Stripes at least: with one the origin's link would wait for a single agent's.
+#: Smallest number of stripes: with a single one the origin's link would wait
+#: for the link of a single agent.
 MIN_STRIPES = 2
-#: The part of an agent's link from which on it counts as filled.
+#: Fraction of an agent's link from which on the link counts as filled.
 _FILLED_FRACTION = 0.8
-#: Stripes at most. Each is another source that an agent may get pieces from.
+#: Largest number of stripes. Each stripe is another source that an agent may
+#: fetch pieces from.
 MAX_STRIPES = 8
 
 
 class Agent(typing.NamedTuple):
-    """An agent, by the region and the IP number that it has."""
+    """An agent, identified by its region and IP number."""
 
     region: str
     ip: str
@@ -49,9 +51,10 @@
 class Fleet(typing.NamedTuple):
     """All agents of a service.
 
-    :param home: the region in which the origin stands.
-    :param stripes: how many agents' links the origin's can fill.
-    :param avoided: IP numbers of agents that bring nothing.
+    :param origin_region: the region of the origin.
+    :param stripe_count: number of agents' links that the origin's link can
+        fill.
+    :param excluded_ips: IP numbers of agents that deliver nothing.
     """
 
     agents: Sequence[Agent]
@@ -61,10 +64,10 @@
 
 
 class Source(typing.NamedTuple):
-    """Where an agent gets one stripe.
+    """The source from which an agent fetches one stripe.
 
-    :param ip: an agent's IP number; ``None`` for the origin.
-    :param enters: whether the stripe enters the region here.
+    :param ip: IP number of an agent; ``None`` for the origin.
+    :param enters_region: whether the stripe enters the region at this agent.
     """
 
     stripe: int
@@ -73,11 +76,11 @@
 
 
 class Layout(typing.NamedTuple):
-    """From whom an agent gets each stripe, in the order in which to ask.
+    """The sources of one agent's stripes, in the order in which to ask them.
 
-    :param stripes: how many there are.
-    :param place: how many agents come before it, region by region, for each
-        stripe.
+    :param stripe_count: number of stripes.
+    :param position: number of agents before this one, region by region, divided
+        by the number of stripes.
     """
 
     sources: tuple[Source, ...]
@@ -88,8 +91,8 @@
 def count_stripes(origin_mbps: float, link_mbps: float) -> int:
     """Return how many agents' links the origin's link can fill.
 
-    :param origin_mbps: megabits a second; 0 where it isn't told.
-    :param link_mbps: the same of an agent's link.
+    :param origin_mbps: bandwidth of the origin's link in Mbit/s; 0 if unknown.
+    :param link_mbps: bandwidth of an agent's link in Mbit/s.
     """
     if not origin_mbps or not link_mbps:
         return MIN_STRIPES
@@ -98,16 +101,16 @@
 
 
 def leaves_spare_bandwidth(origin_link_ratio: float, stripe_count: int) -> bool:
-    """Tell whether a stripe from the origin leaves room on an agent's link.
+    """Return whether a stripe from the origin leaves an agent's link unfilled.
 
-    :param origin_part: the origin's link, as a multiple of an agent's; 0 where
-        it isn't told.
+    :param origin_link_ratio: bandwidth of the origin's link divided by that of
+        an agent's link; 0 if unknown.
     """
     return 0 < origin_link_ratio / stripe_count < _FILLED_FRACTION
 
 
 def compute_layout(local_agent: Agent, fleet: Fleet) -> Layout:
-    """Return from whom an agent gets each stripe."""
+    """Return the sources from which the local agent fetches each stripe."""
     fleet = _limit_stripes(fleet)
     rings = _build_rings(fleet)
     ring = next(
@@ -129,11 +132,11 @@
 
 
 def _limit_stripes(fleet: Fleet) -> Fleet:
-    """Return the same with no more stripes than the origin's region heads.
+    """Return the fleet with no more stripes than its origin's region can head.
 
-    Two at least: the second then begins in the next region.  With three for
-    two agents at home the last of five had all pieces after twice its link's
-    time.
+    There are at least two: the second one then enters in the next region. With
+    three stripes for two agents in the origin's region, the last of five agents
+    had all pieces after twice the time that its link needs.
     """
     origin_agents = sum(
         agent.region == fleet.origin_region for agent in set(fleet.agents)
@@ -143,7 +146,7 @@
 
 
 class _Ring:
-    """The agents of one region."""
+    """The agents of one region, in the order in which they relay pieces."""
 
     __slots__ = ('_excluded_ips', '_stripe_count', 'agents', 'region')
 
@@ -159,18 +162,18 @@
         self._excluded_ips = fleet.excluded_ips
 
     def position(self, agent: Agent) -> int:
-        """Return where in the ring an agent stands."""
+        """Return the position of an agent in the ring."""
         return self.agents.index(agent)
 
     def head(self, stripe: int) -> int | None:
-        """Return the place of the agent at which a stripe enters.
+        """Return the position of the agent at which a stripe enters.
 
-        Where that one brings nothing, of the next one after it.
+        If that agent is excluded, this is the next usable one after it.
         """
         return self._first_usable(self._planned_head(stripe), 1)
 
     def feeder(self, stripe: int) -> int | None:
-        """Return the place of the agent that hands a stripe on."""
+        """Return the position of the agent that forwards a stripe."""
         head = self._planned_head(stripe)
         next_head = (stripe + 1) * len(self.agents) // self._stripe_count
         for position in reversed(range(head, next_head)):
@@ -179,11 +182,11 @@
         return self.head(stripe)
 
     def predecessor(self, position: int) -> int | None:
-        """Return the place of whoever sends to an agent in the ring."""
+        """Return the position of the agent that sends to a position."""
         return self._first_usable(position - 1, -1)
 
     def distance(self, stripe: int, position: int) -> int:
-        """Return how many agents pass a stripe on before it comes to one."""
+        """Return how many agents a stripe passes before a position."""
         head = self.head(stripe)
         if head is None:
             return 0
@@ -195,7 +198,7 @@
         return stripe * len(self.agents) // self._stripe_count
 
     def _first_usable(self, start: int, step: int) -> int | None:
-        """Return the first place from one on whose agent isn't avoided."""
+        """Return the first position whose agent is not excluded."""
         count = len(self.agents)
         for offset in range(count):
             position = (start + offset * step) % count
@@ -205,7 +208,7 @@
 
 
 def _build_rings(fleet: Fleet) -> list[_Ring]:
-    """Return the agents by region: the origin's first, then large ones."""
+    """Return the ring of each region: the origin's first, then by size."""
     by_region: dict[str, list[Agent]] = {}
     for agent in sorted(set(fleet.agents)):
         by_region.setdefault(agent.region, []).append(agent)
@@ -229,7 +232,7 @@
     ring: _Ring,
     rings: list[_Ring],
 ) -> Source:
-    """Return where the agent at a place of a ring gets a stripe."""
+    """Return the source of a stripe for the agent at a position of a ring."""
     if ring.head(stripe) != position:
         predecessor = ring.predecessor(position)
         if predecessor is not None and predecessor != position:
@@ -246,7 +249,10 @@
     ring: _Ring,
     rings: list[_Ring],
 ) -> str | None:
-    """Return who hands a stripe on to a region; ``None`` for the origin."""
+    """Return the IP number of the agent that forwards a stripe to a ring.
+
+    :returns: ``None`` if the ring fetches the stripe from the origin.
+    """
     origin_ring = rings[_origin_ring_index(stripe, rings)]
     start = rings.index(origin_ring)
     ordered = rings[start:] + rings[:start]
@@ -258,10 +264,11 @@
 
 
 def _origin_ring_index(stripe: int, rings: list[_Ring]) -> int:
-    """Return the number of the ring that gets a stripe from the origin.
+    """Return the index of the ring that fetches a stripe from the origin.
 
-    The origin's region; where that has fewer agents than there are stripes,
-    the others go to the next regions, so that they too are out at once.
+    This is the origin's region. If it has fewer agents than there are stripes,
+    the other stripes go to the next regions, so that the origin sends them at
+    once, too.
     """
     agent_count = 0
     for index, ring in enumerate(rings):
--- a/clementinepass/decisions/reading_turns.py
+++ b/clementinepass/decisions/reading_turns.py
@@ -1,16 +1,17 @@
-"""Choose how long a read of the store waits, so that the reads end in turns.
-
-Failure: all entries began to read on at the same moment, that of a change,
-and waited for the next equally long.  Then all these reads fell silent, without
-a reset, and none of them was overdue before 9 s had passed.  No entry knew of a
-change meanwhile, so none could tell another: callers got 404 on a route that
-had been added five seconds before.
-
-A read that ends in time, with or without a record, shows that the store is
-heard on its connection.  So of all entries' reads one ends every step.  Silence
-is noticed by the entry whose turn is next, which reads anew on a new connection
-and tells the others.  The more entries there are, the later each has its turn;
-the reads of all together stay as many.
+"""Choose how long reads of the store wait, so that they end in turn.
+
+Entries that start their reads at the same moment, that of a change, and wait
+equally long for the next one all notice a stalled store at the same late
+moment. When the store stalled without resetting connections, no read was
+overdue before 9 s had passed. No entry knew of a change meanwhile that it could
+announce to the others, and callers got 404 on a route that had been added five
+seconds before.
+
+A read that ends in time, with or without a record, shows that the store still
+reaches the entry on that connection. So of the reads of all entries one ends
+per step. A stall is noticed by the entry whose turn is next, which reads again
+on a new connection and informs the others. The more entries there are, the
+later each has its turn; the rate of all reads together stays the same.
 """
 
 from __future__ import annotations
@@ -20,23 +21,24 @@
 if typing.TYPE_CHECKING:
     from collections.abc import Iterable
 
-#: Seconds between the ends of two reads, over all entries. With the time until
-#: a read is overdue, one new read and two heartbeat messages this stays within
-#: the 3 s after a disturbance in which no bound holds, also where the entry
+#: Seconds between the ends of two reads, over all entries. Together with the
+#: time until a read is overdue, one new read and two heartbeats this stays
+#: within the 3 s after a disturbance in which no bound holds, even if the entry
 #: whose turn it was is gone.
 STEP_SECONDS = 0.7
-#: Seconds that a read waits at most. An entry that hears of no change by others
-#: notices a silent read after that.
+#: Longest time in seconds for which a read waits. An entry that receives no
+#: changes from others notices a stalled read only after this
+#: time.
 MAX_WAIT_SECONDS = 8.0
-#: Steps without an end from which a turn is taken that nobody has.
+#: Steps without the end of a read after which a turn counts as free.
 _FREE_TURN_STEPS = 1.5
 
 
 class Turn(typing.NamedTuple):
-    """Where an entry stands among those that read.
+    """The position of an entry among those that read.
 
-    :param before: how many entries come before it in the order of all.
-    :param entries: how many there are, itself included.
+    :param position: number of entries before it in the order of all.
+    :param entry_count: number of entries, this one included.
     """
 
     position: int
@@ -49,10 +51,10 @@
 
 
 def wait_after_change(turn: Turn) -> float:
-    """Return the seconds that a read waits which begins with a change.
+    """Return the seconds for which a read waits that starts at a change.
 
-    All entries hear of it and begin at the same moment, so what they said of
-    their reads holds no more.
+    All entries receive the change and start reads at the same moment, so the
+    ends that they announced for their earlier reads no longer hold.
     """
     return turn.step_seconds * (turn.position + 1)
 
@@ -60,12 +62,12 @@
 def wait_after_empty_read(
     turn: Turn, remaining_waits: Iterable[float]
 ) -> float:
-    """Return the seconds that a read waits after one without a record.
+    """Return the seconds for which a read waits after one without a record.
 
-    It takes the first turn that nobody has: that of an entry that is gone or
-    began anew, else the one after all others.
+    The read takes the first free turn: that of an entry that is gone or has
+    started again, or else the one after all others.
 
-    :param ends: seconds until reads of the others end.
+    :param remaining_waits: seconds until the reads of the other entries end.
     """
     step_seconds = turn.step_seconds
     last_taken: float = 0
--- a/clementinepass/decisions/region_readers.py
+++ b/clementinepass/decisions/region_readers.py
@@ -1,13 +1,14 @@
-"""Choose which entries of a region read the store; the others are told by them.
+"""Choose which entries of a region read the store and inform the others.
 
-Load: a configuration of 50 KB, and a change each quarter of a second.  Harm:
-each of thirteen entries of a region read each change over the one link to the
-store's region, 24 Mbit/s over a link of 12.  Configurations, requests and
-heartbeat messages that cross it were late by seconds, and callers got 404 on
-routes that had been added.
+With a configuration of 50 KB and a change every quarter of a second, each of
+thirteen entries of a region read each change over the one link to the store's
+region: 24 Mbit/s over a link of 12. Configurations, requests and heartbeats
+that cross it were late by seconds, and callers got 404 on routes that had been
+added.
 
-A few entries of each region read, those first in order among the ones heard of
-lately.  Two, since one that is killed is noticed only after a while.
+So a few entries of each region read the store, the first ones by address of
+those heard from recently. There are two of them, since it takes a while to
+notice that one was killed.
 """
 
 from __future__ import annotations
@@ -17,21 +18,23 @@
 if typing.TYPE_CHECKING:
     from collections.abc import Iterable
 
-#: Seconds in which an entry was heard of that others rely on. Three heartbeat
-#: messages; a reader that fell silent has to be replaced, and the change read
-#: and passed on, within the two seconds in which it has to be in force.
+#: Longest time in seconds since the last heartbeat of an entry that others rely
+#: on. This is three heartbeats: a reader that has stalled has to be replaced,
+#: and the change to be read and passed on, within the two seconds after which
+#: the change has to be in force.
 MAX_SILENCE_SECONDS = 1.2
 #: Entries of a region that read the store.
 _READERS_PER_REGION = 2
-#: Entries of a region up to which all read: their reads are few.
+#: Number of entries in a region up to which all of them read, as their reads
+#: are few.
 _MAX_ALL_READERS = 3
 
 
 def is_reader(local_ip: str, peer_ips: Iterable[str]) -> bool:
-    """Tell whether an entry reads the store itself.
+    """Return whether the local entry reads the store itself.
 
-    :param others: the IP numbers of the other entries of its region that were
-        heard of lately and aren't about to end.
+    :param peer_ips: IP numbers of the other entries of its region that were
+        heard from recently and are not draining.
     """
     region_ips = [local_ip, *peer_ips]
     if len(region_ips) <= _MAX_ALL_READERS:
--- a/clementinepass/decisions/start_reading.py
+++ b/clementinepass/decisions/start_reading.py
@@ -1,13 +1,15 @@
 """Choose when a process that has just started reads the store itself.
 
-Load: all processes start at the same moment, after a loss of power.  Harm: each
-of 300 read the whole store, those of a region over one link, which was full for
-four seconds; nobody there knew a configuration until then.
-
-So the seeds, which are in the settings of all, read at once, and the others ask
-them.  Where no seed answers, each reads after a time drawn at random: the first
-of them has it when most still wait, and tells them.  Records come from a peer
-of the own region where there is one, as the links between regions are narrow.
+After a power loss all processes start at the same moment. When each of 300 read
+the complete store, those of a region over one link, that link was full for four
+seconds, and no process in the region had a configuration until then.
+
+So the seeds, which are in the settings of all processes, read the store at
+once, and the others request the records from them. If no seed answers, each
+process reads the store after a random delay: the first one has the records
+while most others still wait, and sends them on. Records are requested from a
+peer of the same region where there is one, as the links between regions are
+narrow.
 """
 
 from __future__ import annotations
@@ -18,18 +20,19 @@
 if typing.TYPE_CHECKING:
     import random
 
-#: Seconds after its start in which a process that isn't a seed reads the store
-#: unless a peer has told it what is there. A seed has read it after 0.1 s and
-#: may have started 0.3 s later. The span is for a hundred processes of a
-#: region, of which the first two or three are to be done before the next.
+#: Range of seconds after its start in which a process that is not a seed reads
+#: the store unless a peer has sent it the records. A seed has read the store
+#: after 0.1 s and may have started 0.3 s later. The range is for a hundred
+#: processes in a region, of which the first two or three are to finish before
+#: the next one starts to read.
 _MIN_DELAY_SECONDS = 0.6
 _MAX_DELAY_SECONDS = 2.0
-#: Seconds until a process that knows nothing asks for the second time, and by
-#: how much longer it waits each time after that.
+#: Seconds until a process without records asks for the second time, the factor
+#: by which each later pause is longer, and the longest pause in seconds.
 _FIRST_PAUSE_SECONDS = 0.1
 _BACKOFF_FACTOR = 1.5
 _MAX_PAUSE_SECONDS = 0.4
-#: Seconds in which only entries of the own region are asked.
+#: Seconds after its start in which a process asks entries of its region only.
 _SAME_REGION_SECONDS = 0.4
 
 
@@ -38,7 +41,10 @@
     seeds: typing.Collection[str],
     rng: random.Random,
 ) -> float:
-    """Return the seconds until a process reads the store by itself."""
+    """Return the seconds until a process reads the store by itself.
+
+    :param seeds: IP numbers of all seeds.
+    """
     other_seeds = [ip for ip in seeds if ip != local_ip]
     if local_ip in seeds or not other_seeds:
         return 0
@@ -46,24 +52,26 @@
 
 
 def may_request(*, is_same_region: bool, uptime_seconds: float) -> bool:
-    """Tell whether to take the first records from a peer.
+    """Return whether to request the first records from a peer.
 
-    :param is_near: whether it is an entry of the own region.
+    :param is_same_region: whether the peer is an entry of the same region.
+    :param uptime_seconds: time since the start of this process.
     """
     return is_same_region or uptime_seconds >= _SAME_REGION_SECONDS
 
 
 class SeedPolling:
-    """Which seeds a process that knows nothing asks, and how often.
+    """Choose which seeds a process without records asks, and how often.
 
-    Load: 300 processes that start together and three seeds.  Harm: with each
-    asking all seeds ten times a second, to hear and to answer them takes more
-    than the processor time that a seed has.
+    When 300 processes that start together each ask three seeds ten times a
+    second, receiving and answering the requests takes more processor time than
+    a seed has.
 
-    All seeds are asked once, so that the first to know can tell; after that
-    one at a time, with a backoff, in case a question or its answer was lost.
+    All seeds are asked once, so that the first one with the records can answer.
+    After that one seed at a time is asked, with a backoff, in case a request or
+    its answer was lost.
 
-    :param seeds: IP numbers; the own one is passed over.
+    :param seeds: IP numbers; the local one is ignored.
     """
 
     __slots__ = ('_batch_size', '_pause_seconds', '_seed_cycle')
@@ -77,7 +85,7 @@
         other_seeds = [ip for ip in seeds if ip != local_ip]
         rng.shuffle(other_seeds)
         self._seed_cycle = itertools.cycle(other_seeds)
-        #: How many are asked next.
+        #: Number of seeds to ask next.
         self._batch_size = len(other_seeds)
         self._pause_seconds = _FIRST_PAUSE_SECONDS
 
@@ -88,7 +96,7 @@
         return seeds
 
     def next_pause(self) -> float:
-        """Return the seconds until the next question, longer each time."""
+        """Return the seconds until the next request, longer each time."""
         seconds = self._pause_seconds
         self._pause_seconds = min(seconds * _BACKOFF_FACTOR, _MAX_PAUSE_SECONDS)
         return seconds
--- a/clementinepass/decisions/superseding.py
+++ b/clementinepass/decisions/superseding.py
@@ -1,9 +1,10 @@
-"""Decide whether a version that is being brought gives way to a newer one.
+"""Decide whether a version that is being fetched gives way to a newer one.
 
-Load: versions named some seconds apart, each of which takes most of its time
-over the link.  Dropping the first for the second loses what has come, and
-until the second has come nothing may run any more on the version before the
-first; finishing the first may make the second late.
+The operator may change the desired version within seconds, while each version
+takes most of its time on the link. Dropping the first version for the second
+discards the pieces fetched so far, and until the second is complete requests
+may no longer start on the version before the first. Finishing the first may
+make the second late.
 """
 
 from __future__ import annotations
@@ -11,16 +12,17 @@
 import typing
 
 
-#: Seconds until an agent has all of a version that it begins with, for each
-#: second that its own link needs: pieces come through those before it.
+#: Seconds until an agent has all of a version that it starts to fetch, per
+#: second that its own link needs: pieces pass through the agents before it.
 _SPREAD_FACTOR = 1.25
 
 
 class Transfer(typing.NamedTuple):
-    """A version on its way.
+    """A version that is being fetched, or is to be.
 
-    :param seconds: that its missing pieces take.
-    :param left: seconds until requests begin on no older version.
+    :param remaining_seconds: time that its missing pieces take.
+    :param deadline_seconds: time until requests may not start on older
+        versions.
     """
 
     remaining_seconds: float
@@ -33,17 +35,18 @@
     *,
     is_decided: bool = False,
 ) -> bool:
-    """Tell whether to finish the current version before the newer one.
+    """Return whether to finish the current version before the newer one.
 
-    Whichever leaves the shorter time in which no version may be used. Where
-    that is the same the first is finished: its pieces are at other agents
-    already, while the origin, which the newer one needs, may be gone.
+    The option with the shorter time without a usable version is chosen. If both
+    are equal the current version is finished: other agents have its pieces
+    already, while the origin, which the newer version needs, may be
+    unreachable.
 
     A decision to finish stands until the current version could no longer be
-    used. Failure: agents that pieces reached late dropped what they had for a
-    version whose origin had been gone for two seconds.
+    used. Without this, agents that pieces reached late dropped what they had
+    for a version whose origin had been unreachable for two seconds.
 
-    :param is_decided: whether that was decided before.
+    :param is_decided: whether finishing was decided before.
     """
     if is_decided:
         return current.remaining_seconds < newer.deadline_seconds
--- a/clementinepass/decisions/timely_start.py
+++ b/clementinepass/decisions/timely_start.py
@@ -1,10 +1,10 @@
-"""Foresee when requests begin at endpoints that may be used for a while only.
+"""Estimate when requests start at endpoints that are usable for a limited time.
 
-Load: engines of which some crash, shortly before requests may begin on no
-older version of their weights.  What the crashed ones ran is sent on, all at
-once.  Harm: sent in time, it waits in the queues of engines with older weights
-and is given up there, or begins after the bound.  So the wait is foreseen, and
-an endpoint where a request would begin too late is left out.
+Some engines may crash shortly before requests may no longer start on older
+versions of the weights. Their requests are then sent to other engines, all at
+once. Though sent in time, such a request waits in the queue of an engine with
+older weights and is given up there, or starts after the deadline. So the wait
+is estimated, and an endpoint where a request would start too late is left out.
 """
 
 from __future__ import annotations
@@ -20,10 +20,10 @@
 
 
 class Request(typing.NamedTuple):
-    """What a request asks of an engine before its first token.
+    """What a request needs from an engine before its first token.
 
-    :param prompt_tokens: tokens to read.
-    :param usual_prompt: the same of the requests before it, on the mean.
+    :param prompt_tokens: tokens of its prompt.
+    :param mean_prompt_tokens: mean prompt tokens of the requests before it.
     """
 
     prompt_tokens: float
@@ -35,10 +35,10 @@
     candidate: endpoint_choice.Candidate,
     rate: first_event.ServiceRate,
 ) -> float:
-    """Return the seconds after which a request sent now would begin.
+    """Return the seconds after which a request sent now would start.
 
-    Those that wait for a slot come before it, and an engine reads the prompts
-    of those that it has taken up before it reads another.
+    Requests that wait for a slot come before it, and an engine reads the
+    prompts of the requests that it has started before it reads another.
     """
     seconds = first_event.BASE_LATENCY_SECONDS
     if rate.requests_per_second:
@@ -57,7 +57,7 @@
     candidates: Iterable[endpoint_choice.Candidate],
     rate: first_event.ServiceRate,
 ) -> list[endpoint_choice.Candidate]:
-    """Return the endpoints at which a request would begin in time."""
+    """Return the endpoints at which a request would start in time."""
     return [
         candidate
         for candidate in candidates
