--- a/benchmarks/spread.py
+++ b/benchmarks/spread.py
@@ -73,7 +73,7 @@
     )
     return {
         own.ip: piece_chains.plan_fetch(
-            piece_chains.FetchContext(
+            piece_chains.PlanInput(
                 own,
                 [peer for peer in peers if peer != own],
                 peers[0].region,
--- a/clementinepass/decisions/piece_chains.py
+++ b/clementinepass/decisions/piece_chains.py
@@ -44,7 +44,7 @@
     has_version: bool = False
 
 
-class FetchContext(typing.NamedTuple):
+class PlanInput(typing.NamedTuple):
     """The agent that fetches a version, and the agents that it may fetch from.
 
     :param local_agent: the agent that fetches.
@@ -131,13 +131,13 @@
         ]
 
 
-def plan_fetch(context: FetchContext) -> FetchPlan:
+def plan_fetch(context: PlanInput) -> FetchPlan:
     """Return the sources from which the local agent fetches its pieces."""
     plan = _plan_sources(context)
     return plan._replace(all_peer_ips=tuple(all_peer_ips(context)))
 
 
-def _plan_sources(context: FetchContext) -> FetchPlan:
+def _plan_sources(context: PlanInput) -> FetchPlan:
     usable_peers = context.usable_peers
     region_peers = [
         peer
@@ -155,7 +155,7 @@
     return _striped_plan(context)
 
 
-def all_peer_ips(context: FetchContext) -> list[str]:
+def all_peer_ips(context: PlanInput) -> list[str]:
     """Return all other agents, those of the same region first."""
     region_peers = [
         peer.ip
@@ -223,7 +223,7 @@
     return tuple(_rotated(holders, start)[:_HOLDERS_PER_AGENT])
 
 
-def _striped_plan(context: FetchContext) -> FetchPlan:
+def _striped_plan(context: PlanInput) -> FetchPlan:
     local_agent = context.local_agent
     layout = piece_stripes.compute_layout(
         piece_stripes.Agent(local_agent.region, local_agent.ip),
@@ -279,7 +279,7 @@
     )
 
 
-def _fallback_ips(context: FetchContext) -> tuple[str, ...]:
+def _fallback_ips(context: PlanInput) -> tuple[str, ...]:
     """Return the usable peers of the region, rotated by the agent's address."""
     region_peers = sorted(
         peer.ip
--- a/clementinepass/direct/agent.py
+++ b/clementinepass/direct/agent.py
@@ -184,7 +184,7 @@
         """
         return self._aims.wanted(self._loading)
 
-    def question(self, model: str, version: int) -> piece_chains.FetchContext:
+    def question(self, model: str, version: int) -> piece_chains.PlanInput:
         """Return what choosing a source for pieces needs."""
         return self._neighbours.question(version)
 
--- a/clementinepass/direct/fetching.py
+++ b/clementinepass/direct/fetching.py
@@ -57,7 +57,7 @@
 class View(typing.Protocol):
     """What getting pieces asks of the rest of the agent."""
 
-    def question(self, model: str, version: int) -> piece_chains.FetchContext:
+    def question(self, model: str, version: int) -> piece_chains.PlanInput:
         """Return what choosing a source needs."""
 
     def source(self, ip: str) -> weights.Source | None:
@@ -196,7 +196,7 @@
 
     def _ask_for_held(
         self,
-        question: piece_chains.FetchContext,
+        question: piece_chains.PlanInput,
         plan: piece_chains.FetchPlan,
         now: float,
     ) -> None:
@@ -290,7 +290,7 @@
             else self._plan.in_fetch_order(missing)
         )
 
-    def _question(self, now: float) -> piece_chains.FetchContext:
+    def _question(self, now: float) -> piece_chains.PlanInput:
         """Return who there is, and who is passed over."""
         manifest = self._held.manifest
         question = self._view.question(manifest.model, manifest.version)
@@ -326,7 +326,7 @@
 
     def _learn(
         self,
-        question: piece_chains.FetchContext,
+        question: piece_chains.PlanInput,
         sources: list[suppliers.Supplier],
     ) -> None:
         """Follow what sources have; those whose engine has it have all."""
@@ -470,7 +470,7 @@
 
 
 def _newcomers(
-    question: piece_chains.FetchContext,
+    question: piece_chains.PlanInput,
 ) -> list[piece_chains.Agent]:
     """Return all peers as if no engine had the version yet.
 
--- a/clementinepass/direct/neighbours.py
+++ b/clementinepass/direct/neighbours.py
@@ -54,7 +54,7 @@
         now = asyncio.get_running_loop().time()
         return self._cluster.endpoints.of_service(self._own.service, now)
 
-    def question(self, version: int) -> piece_chains.FetchContext:
+    def question(self, version: int) -> piece_chains.PlanInput:
         """Return what choosing a source for pieces needs."""
         engine = self.engine()
         current = self._cluster.routing
@@ -70,7 +70,7 @@
             for endpoint in self.of_service()
             if endpoint.listing.address != self._own.endpoint
         ]
-        return piece_chains.FetchContext(
+        return piece_chains.PlanInput(
             piece_chains.Agent(
                 self._own.region,
                 self._own.domain,
--- a/tests/decisions/test_manifest_round.py
+++ b/tests/decisions/test_manifest_round.py
@@ -24,7 +24,7 @@
     peers = agents(count)
     return {
         own.ip: piece_chains.plan_fetch(
-            piece_chains.FetchContext(
+            piece_chains.PlanInput(
                 own,
                 [peer for peer in peers if peer != own],
                 'region-0',
@@ -59,7 +59,7 @@
         holders = [peer._replace(has_version=True) for peer in agents(13)]
         for own in holders:
             plan = piece_chains.plan_fetch(
-                piece_chains.FetchContext(
+                piece_chains.PlanInput(
                     own,
                     [peer for peer in holders if peer != own],
                     'region-0',
--- a/tests/decisions/test_piece_chains.py
+++ b/tests/decisions/test_piece_chains.py
@@ -25,7 +25,7 @@
     """Return each agent's plan by its IP number."""
     return {
         own.ip: piece_chains.plan_fetch(
-            piece_chains.FetchContext(
+            piece_chains.PlanInput(
                 own,
                 [peer for peer in peers if peer != own],
                 origin_region,
@@ -109,7 +109,7 @@
         ]
         own = piece_chains.Agent('north', 'north-1', '10.0.0.9')
         plan = piece_chains.plan_fetch(
-            piece_chains.FetchContext(own, holders, 'south')
+            piece_chains.PlanInput(own, holders, 'south')
         )
         near = {peer.ip for peer in holders if peer.region == 'north'}
         self.assertEqual(2, len(plan.sources))
@@ -125,7 +125,7 @@
         asked: collections.Counter[str] = collections.Counter()
         for number in range(57, 62):
             own = piece_chains.Agent('north', 'north-1', f'10.0.0.{number}')
-            question = piece_chains.FetchContext(own, holders, 'south')
+            question = piece_chains.PlanInput(own, holders, 'south')
             asked.update(piece_chains.plan_fetch(question).sources)
         self.assertEqual(10, asked.total())
         self.assertLessEqual(max(asked.values()), 2)
@@ -135,7 +135,7 @@
         holders = [peer._replace(has_version=True) for peer in agents(south=2)]
         own = piece_chains.Agent('north', 'north-1', '10.9.0.9')
         plan = piece_chains.plan_fetch(
-            piece_chains.FetchContext(own, holders, 'north')
+            piece_chains.PlanInput(own, holders, 'north')
         )
         self.assertEqual(1, len(plan.sources))
         self.assertIn(plan.sources[0], [peer.ip for peer in holders])
--- a/tests/direct/test_fetching.py
+++ b/tests/direct/test_fetching.py
@@ -76,10 +76,10 @@
         #: Those that asked it for a piece.
         self.asked_by: set[str] = set()
 
-    def question(self, model: str, version: int) -> piece_chains.FetchContext:
+    def question(self, model: str, version: int) -> piece_chains.PlanInput:
         """Return who there is."""
         others = [one.peer for one in self._world.agents if one is not self]
-        return piece_chains.FetchContext(self.peer, others, 'north')
+        return piece_chains.PlanInput(self.peer, others, 'north')
 
     def source(self, ip: str) -> typing.Any:
         """Return a source."""
--- a/tests/direct/test_loading.py
+++ b/tests/direct/test_loading.py
@@ -137,10 +137,10 @@
         self._origin = origin
         self.version = 2
 
-    def question(self, model: str, version: int) -> piece_chains.FetchContext:
+    def question(self, model: str, version: int) -> piece_chains.PlanInput:
         """Return that there is nobody else."""
         own = piece_chains.Agent('north', 'north-1', '10.0.0.1')
-        return piece_chains.FetchContext(own, [], 'north')
+        return piece_chains.PlanInput(own, [], 'north')
 
     def source(self, ip: str) -> typing.Any:
         """Return the origin."""
--- a/tests/direct/test_manifests.py
+++ b/tests/direct/test_manifests.py
@@ -61,14 +61,14 @@
         self._origin = origin
         self._agent = _WaitingAgent()
 
-    def question(self, model: str, version: int) -> piece_chains.FetchContext:
+    def question(self, model: str, version: int) -> piece_chains.PlanInput:
         """Return all agents as equals."""
         own = piece_chains.Agent('north', 'north-1', '10.0.0.0')
         others = [
             piece_chains.Agent('north', 'north-1', f'10.0.1.{number}')
             for number in range(OTHERS)
         ]
-        return piece_chains.FetchContext(own, others, 'north')
+        return piece_chains.PlanInput(own, others, 'north')
 
     def source(self, ip: str) -> weights.Source:
         """Return the origin or another agent."""
