--- a/clementinepass/decisions/dissemination.py
+++ b/clementinepass/decisions/dissemination.py
@@ -1,14 +1,16 @@
-"""Choose whom a heartbeat goes to, and of which other members it tells.
+"""Choose the recipients of a heartbeat and the members that it reports.
 
-Load: more members than one message goes to, so that each is heard directly only
-now and then.  Harm: with 150 members each took 45 in 100 of the others for
-gone, though all were there: clients were sent to those that were left.
+In a cluster with more members than a message is sent to, a member receives
+messages of any other member only now and then. With 150 members each took 45 in
+100 of the others for gone although all were alive, and callers were sent to the
+remaining ones.
 
-Each message passes on what its sender heard just now of some members, drawn at
-random, as digests that say no more than that they are there.  A word reaches
-all in a few heartbeats, and what one member sends stays the same however many
-there are.  Most messages stay in the sender's failure domain, as links between
-regions are narrow; a few go elsewhere, and are passed on there.
+Each message therefore carries digests of random members that its sender heard
+from recently; a digest says no more than that the member is alive. An
+announcement reaches all members within a few heartbeats, and the traffic of one
+member stays the same however many there are. Most messages stay in the sender's
+failure domain, as links between regions are narrow; a few go to other domains
+and are passed on there.
 """
 
 from __future__ import annotations
@@ -19,44 +21,48 @@
     import random
     from collections.abc import Sequence
 
-#: Members up to which one message goes to all, and each fifth tells of all.
-MOST_DIRECT = 16
-#: Where there are more: members of the own failure domain that a message goes
-#: to, and members elsewhere.
-_NEAR_TARGETS = 10
-_FAR_TARGETS = 4
-#: Members of which a message then tells.
-_DRAWN = 14
+#: Up to this number of members every message goes to all of them, and every
+#: fifth one carries the records of all members.
+MAX_BROADCAST_MEMBERS = 16
+#: In larger clusters: recipients of a message in the sender's failure domain
+#: and in the other ones.
+_SAME_DOMAIN_TARGETS = 10
+_OTHER_DOMAIN_TARGETS = 4
+#: Members that a message reports by digests in larger clusters.
+_MAX_DIGESTS = 14
 
-_Word = typing.TypeVar('_Word')
+_Member = typing.TypeVar('_Member')
 
 
-def targets(
-    near: Sequence[str],
-    far: Sequence[str],
+def choose_targets(
+    same_domain: Sequence[str],
+    other_domains: Sequence[str],
     rng: random.Random,
 ) -> list[str]:
-    """Return the members that a message goes to.
+    """Return the addresses that a heartbeat is sent to.
 
-    :param near: those of the own failure domain.
+    :param same_domain: addresses of members of the sender's failure domain.
+    :param other_domains: addresses of all other members.
     """
-    if len(near) + len(far) <= MOST_DIRECT:
-        return [*near, *far]
-    drawn_near = rng.sample(near, min(_NEAR_TARGETS, len(near)))
-    wanted = _NEAR_TARGETS + _FAR_TARGETS - len(drawn_near)
-    return drawn_near + rng.sample(far, min(wanted, len(far)))
+    if len(same_domain) + len(other_domains) <= MAX_BROADCAST_MEMBERS:
+        return [*same_domain, *other_domains]
+    targets = rng.sample(
+        same_domain, min(_SAME_DOMAIN_TARGETS, len(same_domain))
+    )
+    missing = _SAME_DOMAIN_TARGETS + _OTHER_DOMAIN_TARGETS - len(targets)
+    return targets + rng.sample(other_domains, min(missing, len(other_domains)))
 
 
-def digests(
-    members: int,
-    fresh: Sequence[_Word],
+def choose_digests(
+    member_count: int,
+    recently_seen: Sequence[_Member],
     rng: random.Random,
-) -> list[_Word]:
-    """Return the members to tell of by digests.
+) -> list[_Member]:
+    """Return the members that a heartbeat reports by digests.
 
-    :param members: how many there are.
-    :param fresh: those of them that were heard of just now.
+    :param member_count: number of members that are alive.
+    :param recently_seen: those of them that were heard from recently.
     """
-    if members <= MOST_DIRECT:
+    if member_count <= MAX_BROADCAST_MEMBERS:
         return []
-    return rng.sample(fresh, min(_DRAWN, len(fresh)))
+    return rng.sample(recently_seen, min(_MAX_DIGESTS, len(recently_seen)))
--- a/clementinepass/direct/fetching.py
+++ b/clementinepass/direct/fetching.py
@@ -57,7 +57,7 @@
 class FetchContext(typing.Protocol):
     """What getting pieces asks of the rest of the agent."""
 
-    def plan_input(self, model: str, version: int) -> piece_chains.Question:
+    def plan_input(self, model: str, version: int) -> piece_chains.PlanInput:
         """Return what choosing a source needs."""
 
     def source(self, ip: str) -> weights.Source | None:
@@ -79,7 +79,7 @@
         self._version_pieces = version_pieces
         self._context = context
         self._suppliers = suppliers.Suppliers(context.source)
-        self._plan: piece_chains.Plan | None = None
+        self._plan: piece_chains.FetchPlan | None = None
         #: Whether to get pieces from those whose engines have the version.
         self._uses_holders = False
         self._changed = asyncio.Event()
@@ -109,13 +109,13 @@
         """Ask for pieces until enough are on their way."""
         self._suppliers.skip_faulty(now, self._reference_piece_count())
         plan_input = self._plan_input(now)
-        plan = piece_chains.plan(plan_input)
+        plan = piece_chains.plan_fetch(plan_input)
         self._apply_plan(plan, now)
         if self._chain_order.suspend_if_stalled(now):
             self._uses_holders = True
             logger.bind(
                 sources=plan.sources,
-                partners=plan.partners[:1],
+                partners=plan.fallback_ips[:1],
                 missing=len(self._version_pieces.missing),
             ).info('pieces stalled')
         if self._chain_order.is_suspended:
@@ -123,7 +123,7 @@
         else:
             self._request_in_order(plan, now)
 
-    def _apply_plan(self, plan: piece_chains.Plan, now: float) -> None:
+    def _apply_plan(self, plan: piece_chains.FetchPlan, now: float) -> None:
         """Begin anew where pieces come from others than before."""
         if self._plan is not None and plan.sources != self._plan.sources:
             logger.bind(
@@ -134,7 +134,9 @@
             self._chain_order.reset(now)
         self._plan = plan
 
-    def _request_in_order(self, plan: piece_chains.Plan, now: float) -> None:
+    def _request_in_order(
+        self, plan: piece_chains.FetchPlan, now: float
+    ) -> None:
         """Ask the planned sources for what comes next in their order.
 
         They are asked before they have it, and send each piece as it comes:
@@ -142,27 +144,27 @@
         behind a piece on the link.
         """
         from_origin = [
-            lane for lane in plan.lanes if piece_chains.ORIGIN in lane.sources
+            lane for lane in plan.groups if piece_chains.ORIGIN in lane.sources
         ]
         entering = [
             lane
-            for lane in plan.lanes
-            if lane.enters and lane not in from_origin
+            for lane in plan.groups
+            if lane.enters_region and lane not in from_origin
         ]
         limit = _MAX_IN_FLIGHT_ONE_AGENT
         if self._request_entering(from_origin, now):
-            limit = _MAX_IN_FLIGHT_BESIDE if plan.has_room else 0
+            limit = _MAX_IN_FLIGHT_BESIDE if plan.has_spare_bandwidth else 0
         elif self._request_entering(entering, now):
             limit = _MAX_IN_FLIGHT_BESIDE
-        for relayed in plan.lanes:
-            if not relayed.enters and limit:
+        for relayed in plan.groups:
+            if not relayed.enters_region and limit:
                 lane_limit = min(
                     self._limit_in_flight(_max_in_flight([relayed])), limit
                 )
                 self._request_lane(relayed, lane_limit, now)
 
     def _request_entering(
-        self, lanes: list[piece_chains.Lane], now: float
+        self, lanes: list[piece_chains.PieceGroup], now: float
     ) -> bool:
         """Ask for what others wait for; tell whether it comes."""
         limit = self._limit_in_flight(_max_in_flight(lanes))
@@ -171,7 +173,7 @@
         return any(self._is_delivering(entering, now) for entering in lanes)
 
     def _request_lane(
-        self, lane: piece_chains.Lane, limit: int, now: float
+        self, lane: piece_chains.PieceGroup, limit: int, now: float
     ) -> None:
         """Ask for the next pieces of a lane.
 
@@ -179,7 +181,7 @@
         """
         usable_suppliers = self._suppliers.usable(lane.sources, now)
         total_limit = self._limit_in_flight(_MAX_IN_FLIGHT_ONE_AGENT)
-        for number in filter(lane.has, self._missing_not_in_flight()):
+        for number in filter(lane.contains, self._missing_not_in_flight()):
             in_flight_count = sum(
                 len(supplier.in_flight) for supplier in usable_suppliers
             )
@@ -191,13 +193,13 @@
                 min(usable_suppliers, key=_next_piece_seconds), number, now
             )
 
-    def _is_delivering(self, lane: piece_chains.Lane, now: float) -> bool:
+    def _is_delivering(self, lane: piece_chains.PieceGroup, now: float) -> bool:
         """Tell whether pieces of a lane are still coming, and fast.
 
         Where they come slowly the others are asked, too: if theirs are slow
         as well, it is the link here, and another is to head the stripe.
         """
-        if not any(map(lane.has, self._version_pieces.missing)):
+        if not any(map(lane.contains, self._version_pieces.missing)):
             return False
         return any(
             supplier.is_delivering(now)
@@ -207,8 +209,8 @@
 
     def _request_available(
         self,
-        plan_input: piece_chains.Question,
-        plan: piece_chains.Plan,
+        plan_input: piece_chains.PlanInput,
+        plan: piece_chains.FetchPlan,
         now: float,
     ) -> None:
         """Ask for what sources say that they have."""
@@ -287,20 +289,20 @@
 
     def _usable_suppliers(
         self,
-        plan: piece_chains.Plan,
+        plan: piece_chains.FetchPlan,
         now: float,
     ) -> list[suppliers.Supplier]:
         """Return whom to ask for what they have."""
-        partners = self._suppliers.usable(plan.partners, now)[:1]
+        partners = self._suppliers.usable(plan.fallback_ips, now)[:1]
         suppliers_found = [
             *self._suppliers.usable(plan.sources, now),
             *partners,
         ]
         if (
             now - self._chain_order.last_piece_at
-            > _LOST_SECONDS + plan.place * _LOST_SECONDS_PER_AGENT
+            > _LOST_SECONDS + plan.position * _LOST_SECONDS_PER_AGENT
         ):
-            others = (*plan.anyone, piece_chains.ORIGIN)
+            others = (*plan.all_peer_ips, piece_chains.ORIGIN)
             suppliers_found.extend(
                 supplier
                 for supplier in self._suppliers.usable(others, now)
@@ -320,20 +322,26 @@
     def _missing_in_order(self) -> list[int]:
         """Return the missing numbers in the order in which they come."""
         missing = self._version_pieces.missing
-        return missing if self._plan is None else self._plan.in_order(missing)
+        return (
+            missing
+            if self._plan is None
+            else self._plan.in_fetch_order(missing)
+        )
 
-    def _plan_input(self, now: float) -> piece_chains.Question:
+    def _plan_input(self, now: float) -> piece_chains.PlanInput:
         """Return who there is, and who is passed over."""
         manifest = self._version_pieces.manifest
         plan_input = self._context.plan_input(manifest.model, manifest.version)
         if self._plan is None:
-            self._uses_holders = any(peer.holds for peer in plan_input.peers)
+            self._uses_holders = any(
+                peer.has_version for peer in plan_input.peers
+            )
         avoided = self._suppliers.skipped(now)
         return plan_input._replace(
             peers=plan_input.peers
             if self._uses_holders
             else _without_holders(plan_input),
-            avoided=avoided,
+            excluded_ips=avoided,
         )
 
     def _reference_piece_count(self) -> int:
@@ -360,11 +368,11 @@
 
     def _watch_suppliers(
         self,
-        plan_input: piece_chains.Question,
+        plan_input: piece_chains.PlanInput,
         sources: list[suppliers.Supplier],
     ) -> None:
         """Follow what sources have; those whose engine has it have all."""
-        holders = {peer.ip for peer in plan_input.peers if peer.holds}
+        holders = {peer.ip for peer in plan_input.peers if peer.has_version}
         for supplier in sources:
             if supplier.ip in holders:
                 supplier.available = frozenset(
@@ -537,17 +545,17 @@
 
 
 def _without_holders(
-    plan_input: piece_chains.Question,
-) -> list[piece_chains.Peer]:
+    plan_input: piece_chains.PlanInput,
+) -> list[piece_chains.Agent]:
     """Return all peers as if no engine had the version yet.
 
     Failure: as soon as one engine had loaded a version, all agents of other
     regions that lacked some pieces turned to the one beside it.
     """
-    return [peer._replace(holds=False) for peer in plan_input.peers]
+    return [peer._replace(has_version=False) for peer in plan_input.peers]
 
 
-def _max_in_flight(lanes: list[piece_chains.Lane]) -> int:
+def _max_in_flight(lanes: list[piece_chains.PieceGroup]) -> int:
     """Return how many pieces to ask for at once of the sources of each lane.
 
     Failure: an agent alone in its region got one stripe after the other, each
