--- a/clementinepass/direct/agent.py
+++ b/clementinepass/direct/agent.py
@@ -191,7 +191,7 @@
         """
         return self._version_selector.version_to_fetch(self._loader)
 
-    def plan_input(self, model: str, version: int) -> piece_chains.Question:
+    def plan_input(self, model: str, version: int) -> piece_chains.PlanInput:
         """Return the input for choosing the sources of pieces."""
         return self._neighbours.plan_input(version)
 
@@ -208,7 +208,7 @@
     async def _maintain_membership(self) -> None:
         """Exchange heartbeats with entries; read the store if none answers."""
         loop = asyncio.get_running_loop()
-        startup_delay = start_reading.delay(
+        startup_delay = start_reading.read_delay(
             self._local_node.ip, self._local_node.seeds, self._rng
         )
         no_entry_since = loop.time() + startup_delay - _NO_ENTRY_SECONDS
@@ -365,11 +365,11 @@
         if turn_at is None:
             time_left = self._seconds_to_load(engine, version)
             turn_at = now + load_turns.delay(
-                load_turns.Peer(
+                load_turns.LoadingEngine(
                     self._local_node.endpoint, self._local_node.domain
                 ),
                 [
-                    load_turns.Peer(
+                    load_turns.LoadingEngine(
                         service_endpoint.listing.address,
                         service_endpoint.listing.domain,
                     )
--- a/clementinepass/direct/fetching.py
+++ b/clementinepass/direct/fetching.py
@@ -63,7 +63,7 @@
 class FetchContext(typing.Protocol):
     """What a fetch needs from the rest of the agent."""
 
-    def plan_input(self, model: str, version: int) -> piece_chains.Question:
+    def plan_input(self, model: str, version: int) -> piece_chains.PlanInput:
         """Return the input for choosing the sources of pieces."""
 
     def source(self, ip: str) -> weights.Source | None:
@@ -85,7 +85,7 @@
         self._version_pieces = version_pieces
         self._context = context
         self._suppliers = suppliers.Suppliers(context.source)
-        self._plan: piece_chains.Plan | None = None
+        self._plan: piece_chains.FetchPlan | None = None
         #: Whether engines that have loaded the version are used as sources.
         self._uses_holders = False
         self._changed = asyncio.Event()
@@ -115,13 +115,13 @@
         """Request pieces until enough are in flight."""
         self._suppliers.skip_faulty(now, self._reference_piece_count())
         plan_input = self._plan_input(now)
-        plan = piece_chains.plan(plan_input)
+        plan = piece_chains.plan_fetch(plan_input)
         self._apply_plan(plan, now)
         if self._chain_order.suspend_if_stalled(now):
             self._uses_holders = True
             logger.bind(
                 sources=plan.sources,
-                partners=plan.partners[:1],
+                partners=plan.fallback_ips[:1],
                 missing=len(self._version_pieces.missing),
             ).info('pieces stalled')
         if self._chain_order.is_suspended:
@@ -129,7 +129,7 @@
         else:
             self._request_in_order(plan, now)
 
-    def _apply_plan(self, plan: piece_chains.Plan, now: float) -> None:
+    def _apply_plan(self, plan: piece_chains.FetchPlan, now: float) -> None:
         """Apply a plan, and reset the order if its sources have changed."""
         if self._plan is not None and plan.sources != self._plan.sources:
             logger.bind(
@@ -140,7 +140,9 @@
             self._chain_order.reset(now)
         self._plan = plan
 
-    def _request_in_order(self, plan: piece_chains.Plan, now: float) -> None:
+    def _request_in_order(
+        self, plan: piece_chains.FetchPlan, now: float
+    ) -> None:
         """Request the next pieces from the planned sources in their order.
 
         Pieces are requested before the sources have them, and each is sent as
@@ -149,27 +151,27 @@
         queues behind a piece on the link.
         """
         from_origin = [
-            lane for lane in plan.lanes if piece_chains.ORIGIN in lane.sources
+            lane for lane in plan.groups if piece_chains.ORIGIN in lane.sources
         ]
         entering = [
             lane
-            for lane in plan.lanes
-            if lane.enters and lane not in from_origin
+            for lane in plan.groups
+            if lane.enters_region and lane not in from_origin
         ]
         limit = _MAX_IN_FLIGHT_ONE_AGENT
         if self._request_entering(from_origin, now):
-            limit = _MAX_IN_FLIGHT_BESIDE if plan.has_room else 0
+            limit = _MAX_IN_FLIGHT_BESIDE if plan.has_spare_bandwidth else 0
         elif self._request_entering(entering, now):
             limit = _MAX_IN_FLIGHT_BESIDE
-        for relayed in plan.lanes:
-            if not relayed.enters and limit:
+        for relayed in plan.groups:
+            if not relayed.enters_region and limit:
                 lane_limit = min(
                     self._limit_in_flight(_max_in_flight([relayed])), limit
                 )
                 self._request_lane(relayed, lane_limit, now)
 
     def _request_entering(
-        self, lanes: list[piece_chains.Lane], now: float
+        self, lanes: list[piece_chains.PieceGroup], now: float
     ) -> bool:
         """Request pieces that other agents wait for.
 
@@ -181,7 +183,7 @@
         return any(self._is_delivering(entering, now) for entering in lanes)
 
     def _request_lane(
-        self, lane: piece_chains.Lane, limit: int, now: float
+        self, lane: piece_chains.PieceGroup, limit: int, now: float
     ) -> None:
         """Request the next pieces of a lane.
 
@@ -189,7 +191,7 @@
         """
         usable_suppliers = self._suppliers.usable(lane.sources, now)
         total_limit = self._limit_in_flight(_MAX_IN_FLIGHT_ONE_AGENT)
-        for number in filter(lane.has, self._missing_not_in_flight()):
+        for number in filter(lane.contains, self._missing_not_in_flight()):
             in_flight_count = sum(
                 len(supplier.in_flight) for supplier in usable_suppliers
             )
@@ -201,14 +203,14 @@
                 min(usable_suppliers, key=_next_piece_seconds), number, now
             )
 
-    def _is_delivering(self, lane: piece_chains.Lane, now: float) -> bool:
+    def _is_delivering(self, lane: piece_chains.PieceGroup, now: float) -> bool:
         """Return whether pieces of a lane still arrive, and fast.
 
         If they arrive slowly, pieces of other lanes are requested too. If those
         are slow as well, the local link is the bottleneck, and another agent
         should head the stripe.
         """
-        if not any(map(lane.has, self._version_pieces.missing)):
+        if not any(map(lane.contains, self._version_pieces.missing)):
             return False
         return any(
             supplier.is_delivering(now)
@@ -218,8 +220,8 @@
 
     def _request_available(
         self,
-        plan_input: piece_chains.Question,
-        plan: piece_chains.Plan,
+        plan_input: piece_chains.PlanInput,
+        plan: piece_chains.FetchPlan,
         now: float,
     ) -> None:
         """Request pieces that the sources report to have."""
@@ -298,20 +300,20 @@
 
     def _usable_suppliers(
         self,
-        plan: piece_chains.Plan,
+        plan: piece_chains.FetchPlan,
         now: float,
     ) -> list[suppliers.Supplier]:
         """Return the sources whose available pieces to follow."""
-        partners = self._suppliers.usable(plan.partners, now)[:1]
+        partners = self._suppliers.usable(plan.fallback_ips, now)[:1]
         followed = [
             *self._suppliers.usable(plan.sources, now),
             *partners,
         ]
         if (
             now - self._chain_order.last_piece_at
-            > _LOST_SECONDS + plan.place * _LOST_SECONDS_PER_AGENT
+            > _LOST_SECONDS + plan.position * _LOST_SECONDS_PER_AGENT
         ):
-            others = (*plan.anyone, piece_chains.ORIGIN)
+            others = (*plan.all_peer_ips, piece_chains.ORIGIN)
             followed.extend(
                 supplier
                 for supplier in self._suppliers.usable(others, now)
@@ -331,20 +333,26 @@
     def _missing_in_order(self) -> list[int]:
         """Return the numbers of the missing pieces in planned order."""
         missing = self._version_pieces.missing
-        return missing if self._plan is None else self._plan.in_order(missing)
+        return (
+            missing
+            if self._plan is None
+            else self._plan.in_fetch_order(missing)
+        )
 
-    def _plan_input(self, now: float) -> piece_chains.Question:
+    def _plan_input(self, now: float) -> piece_chains.PlanInput:
         """Return the planning input with the skipped sources."""
         manifest = self._version_pieces.manifest
         plan_input = self._context.plan_input(manifest.model, manifest.version)
         if self._plan is None:
-            self._uses_holders = any(peer.holds for peer in plan_input.peers)
+            self._uses_holders = any(
+                peer.has_version for peer in plan_input.peers
+            )
         avoided = self._suppliers.skipped(now)
         return plan_input._replace(
             peers=plan_input.peers
             if self._uses_holders
             else _without_holders(plan_input),
-            avoided=avoided,
+            excluded_ips=avoided,
         )
 
     def _reference_piece_count(self) -> int:
@@ -372,11 +380,11 @@
 
     def _watch_suppliers(
         self,
-        plan_input: piece_chains.Question,
+        plan_input: piece_chains.PlanInput,
         sources: list[suppliers.Supplier],
     ) -> None:
         """Track the pieces that sources have; loaded engines have all."""
-        holders = {peer.ip for peer in plan_input.peers if peer.holds}
+        holders = {peer.ip for peer in plan_input.peers if peer.has_version}
         for supplier in sources:
             if supplier.ip in holders:
                 supplier.available = frozenset(
@@ -552,17 +560,17 @@
 
 
 def _without_holders(
-    plan_input: piece_chains.Question,
-) -> list[piece_chains.Peer]:
+    plan_input: piece_chains.PlanInput,
+) -> list[piece_chains.Agent]:
     """Return all peers as if no engine had the version yet.
 
     Otherwise, as soon as one engine had loaded a version, all agents of other
     regions that lacked some pieces would switch to the agent beside it.
     """
-    return [peer._replace(holds=False) for peer in plan_input.peers]
+    return [peer._replace(has_version=False) for peer in plan_input.peers]
 
 
-def _max_in_flight(lanes: list[piece_chains.Lane]) -> int:
+def _max_in_flight(lanes: list[piece_chains.PieceGroup]) -> int:
     """Return how many pieces may be in flight from each of some lanes.
 
     The limit applies to each lane, so that all stripes that enter the region at
--- a/clementinepass/direct/neighbours.py
+++ b/clementinepass/direct/neighbours.py
@@ -60,14 +60,14 @@
         now = asyncio.get_running_loop().time()
         return self._cluster.endpoints.of_service(self._local_node.service, now)
 
-    def plan_input(self, version: int) -> piece_chains.Question:
+    def plan_input(self, version: int) -> piece_chains.PlanInput:
         """Return the input for choosing the sources of pieces."""
         engine = self.engine()
         current = self._cluster.routing
         origin = None if current is None else current.origin
         origin_mbps = 0 if origin is None else origin.link_mbps
         peers = [
-            piece_chains.Peer(
+            piece_chains.Agent(
                 self._local_node.region_of(endpoint.listing.domain),
                 endpoint.listing.domain,
                 endpoint.listing.address.rpartition(':')[0],
@@ -76,16 +76,18 @@
             for endpoint in self.service_endpoints()
             if endpoint.listing.address != self._local_node.endpoint
         ]
-        return piece_chains.Question(
-            piece_chains.Peer(
+        return piece_chains.PlanInput(
+            piece_chains.Agent(
                 self._local_node.region,
                 self._local_node.domain,
                 self._local_node.ip,
             ),
             peers,
             '' if origin is None else self._local_node.region_of(origin.domain),
-            piece_stripes.stripes(origin_mbps, self._local_node.link_mbps),
-            origin_part=origin_mbps / self._local_node.link_mbps,
+            piece_stripes.count_stripes(
+                origin_mbps, self._local_node.link_mbps
+            ),
+            origin_link_ratio=origin_mbps / self._local_node.link_mbps,
         )
 
     def source(self, ip: str) -> weights.Source | None:
--- a/clementinepass/direct/version_selector.py
+++ b/clementinepass/direct/version_selector.py
@@ -151,7 +151,7 @@
         current_seconds_left = self._cluster.seconds_left(engine.model, current)
         if current_seconds_left is None:
             return False
-        should_finish = superseding.finish_first(
+        should_finish = superseding.should_finish_first(
             superseding.Transfer(
                 self._transfer_seconds(engine, len(version_pieces.missing)),
                 current_seconds_left,
--- a/tests/direct/test_fetching.py
+++ b/tests/direct/test_fetching.py
@@ -62,7 +62,7 @@
 class _Agent:
     """Agent that is both a fetch context and a source for other agents."""
 
-    def __init__(self, network: _Network, peer: piece_chains.Peer) -> None:
+    def __init__(self, network: _Network, peer: piece_chains.Agent) -> None:
         self._network = network
         self._from_origin = _OriginLink(self, network.origin)
         self.peer = peer
@@ -76,12 +76,12 @@
         #: IP addresses of the agents that requested a piece from it.
         self.requested_by: set[str] = set()
 
-    def plan_input(self, model: str, version: int) -> piece_chains.Question:
+    def plan_input(self, model: str, version: int) -> piece_chains.PlanInput:
         """Return all other agents as peers."""
         others = [
             agent.peer for agent in self._network.agents if agent is not self
         ]
-        return piece_chains.Question(self.peer, others, 'north')
+        return piece_chains.PlanInput(self.peer, others, 'north')
 
     def source(self, ip: str) -> typing.Any:
         """Return the link to the origin or to another agent."""
@@ -192,7 +192,7 @@
     def __init__(self, north: int, south: int) -> None:
         self.origin = _Origin()
         peers = [
-            piece_chains.Peer(
+            piece_chains.Agent(
                 region, f'{region}-1', f'10.{region_index}.0.{number}'
             )
             for region_index, (region, count) in enumerate(
@@ -221,7 +221,7 @@
     def make_holder(self, number: int) -> _Agent:
         """Give an agent the complete version."""
         agent = self.agents[number]
-        agent.peer = agent.peer._replace(holds=True)
+        agent.peer = agent.peer._replace(has_version=True)
         for piece_number, payload in enumerate(PAYLOADS):
             agent.version_pieces.add(piece_number, payload)
         return agent
@@ -374,7 +374,7 @@
                 agent.peer.ip
                 for agent in network.agents
                 if holder.peer.ip
-                in piece_chains.plan(agent.plan_input(MODEL, 2)).sources
+                in piece_chains.plan_fetch(agent.plan_input(MODEL, 2)).sources
             }
             await network.wait_until_all_have(CHUNKS // 4)
             network.make_holder(0)
--- a/tests/direct/test_loading.py
+++ b/tests/direct/test_loading.py
@@ -139,10 +139,10 @@
         self._origin = origin
         self.version = 2
 
-    def plan_input(self, model: str, version: int) -> piece_chains.Question:
+    def plan_input(self, model: str, version: int) -> piece_chains.PlanInput:
         """Return an input without peers."""
-        local_peer = piece_chains.Peer('north', 'north-1', '10.0.0.1')
-        return piece_chains.Question(local_peer, [], 'north')
+        local_peer = piece_chains.Agent('north', 'north-1', '10.0.0.1')
+        return piece_chains.PlanInput(local_peer, [], 'north')
 
     def source(self, ip: str) -> typing.Any:
         """Return the origin."""
--- a/tests/direct/test_manifests.py
+++ b/tests/direct/test_manifests.py
@@ -61,14 +61,14 @@
         self._origin = origin
         self._agent = _WaitingAgent()
 
-    def plan_input(self, model: str, version: int) -> piece_chains.Question:
+    def plan_input(self, model: str, version: int) -> piece_chains.PlanInput:
         """Return the other agents as peers."""
-        local_peer = piece_chains.Peer('north', 'north-1', '10.0.0.0')
+        local_peer = piece_chains.Agent('north', 'north-1', '10.0.0.0')
         others = [
-            piece_chains.Peer('north', 'north-1', f'10.0.1.{number}')
+            piece_chains.Agent('north', 'north-1', f'10.0.1.{number}')
             for number in range(OTHER_AGENTS)
         ]
-        return piece_chains.Question(local_peer, others, 'north')
+        return piece_chains.PlanInput(local_peer, others, 'north')
 
     def source(self, ip: str) -> weights.Source:
         """Return the origin or another agent."""
