--- a/clementinepass/direct/fetching.py
+++ b/clementinepass/direct/fetching.py
@@ -151,12 +151,14 @@
         queues behind a piece on the link.
         """
         from_origin = [
-            lane for lane in plan.groups if piece_chains.ORIGIN in lane.sources
+            planned_group
+            for planned_group in plan.groups
+            if piece_chains.ORIGIN in planned_group.sources
         ]
         entering = [
-            lane
-            for lane in plan.groups
-            if lane.enters_region and lane not in from_origin
+            planned_group
+            for planned_group in plan.groups
+            if planned_group.enters_region and planned_group not in from_origin
         ]
         limit = _MAX_IN_FLIGHT_ONE_AGENT
         if self._request_entering(from_origin, now):
@@ -165,33 +167,33 @@
             limit = _MAX_IN_FLIGHT_BESIDE
         for relayed in plan.groups:
             if not relayed.enters_region and limit:
-                lane_limit = min(
+                group_limit = min(
                     self._limit_in_flight(_max_in_flight([relayed])), limit
                 )
-                self._request_lane(relayed, lane_limit, now)
+                self._request_group(relayed, group_limit, now)
 
     def _request_entering(
-        self, lanes: list[piece_chains.PieceGroup], now: float
+        self, groups: list[piece_chains.PieceGroup], now: float
     ) -> bool:
         """Request pieces that other agents wait for.
 
-        :returns: whether pieces of these lanes are arriving.
+        :returns: whether pieces of these groups are arriving.
         """
-        limit = self._limit_in_flight(_max_in_flight(lanes))
-        for lane in lanes:
-            self._request_lane(lane, limit, now)
-        return any(self._is_delivering(entering, now) for entering in lanes)
+        limit = self._limit_in_flight(_max_in_flight(groups))
+        for group in groups:
+            self._request_group(group, limit, now)
+        return any(self._is_delivering(entering, now) for entering in groups)
 
-    def _request_lane(
-        self, lane: piece_chains.PieceGroup, limit: int, now: float
+    def _request_group(
+        self, group: piece_chains.PieceGroup, limit: int, now: float
     ) -> None:
-        """Request the next pieces of a lane.
+        """Request the next pieces of a group.
 
-        :param limit: how many pieces may be in flight from the lane's sources.
+        :param limit: how many pieces may be in flight from the group's sources.
         """
-        usable_suppliers = self._suppliers.usable(lane.sources, now)
+        usable_suppliers = self._suppliers.usable(group.sources, now)
         total_limit = self._limit_in_flight(_MAX_IN_FLIGHT_ONE_AGENT)
-        for number in filter(lane.contains, self._missing_not_in_flight()):
+        for number in filter(group.contains, self._missing_not_in_flight()):
             in_flight_count = sum(
                 len(supplier.in_flight) for supplier in usable_suppliers
             )
@@ -203,19 +205,21 @@
                 min(usable_suppliers, key=_next_piece_seconds), number, now
             )
 
-    def _is_delivering(self, lane: piece_chains.PieceGroup, now: float) -> bool:
-        """Return whether pieces of a lane still arrive, and fast.
+    def _is_delivering(
+        self, group: piece_chains.PieceGroup, now: float
+    ) -> bool:
+        """Return whether pieces of a group still arrive, and fast.
 
-        If they arrive slowly, pieces of other lanes are requested too. If those
-        are slow as well, the local link is the bottleneck, and another agent
-        should head the stripe.
+        If they arrive slowly, pieces of other groups are requested too. If
+        those are slow as well, the local link is the bottleneck, and another
+        agent should head the stripe.
         """
-        if not any(map(lane.contains, self._version_pieces.missing)):
+        if not any(map(group.contains, self._version_pieces.missing)):
             return False
         return any(
             supplier.is_delivering(now)
             and supplier.piece_seconds <= suppliers.SLOW_PIECE_SECONDS
-            for supplier in self._suppliers.usable(lane.sources, now)
+            for supplier in self._suppliers.usable(group.sources, now)
         )
 
     def _request_available(
@@ -304,10 +308,10 @@
         now: float,
     ) -> list[suppliers.Supplier]:
         """Return the sources whose available pieces to follow."""
-        partners = self._suppliers.usable(plan.fallback_ips, now)[:1]
+        fallback_suppliers = self._suppliers.usable(plan.fallback_ips, now)[:1]
         followed = [
             *self._suppliers.usable(plan.sources, now),
-            *partners,
+            *fallback_suppliers,
         ]
         if (
             now - self._chain_order.last_piece_at
@@ -347,12 +351,12 @@
             self._uses_holders = any(
                 peer.has_version for peer in plan_input.peers
             )
-        avoided = self._suppliers.skipped(now)
+        skipped_ips = self._suppliers.skipped(now)
         return plan_input._replace(
             peers=plan_input.peers
             if self._uses_holders
             else _without_holders(plan_input),
-            excluded_ips=avoided,
+            excluded_ips=skipped_ips,
         )
 
     def _reference_piece_count(self) -> int:
@@ -570,16 +574,16 @@
     return [peer._replace(has_version=False) for peer in plan_input.peers]
 
 
-def _max_in_flight(lanes: list[piece_chains.PieceGroup]) -> int:
-    """Return how many pieces may be in flight from each of some lanes.
+def _max_in_flight(groups: list[piece_chains.PieceGroup]) -> int:
+    """Return how many pieces may be in flight from each of some groups.
 
-    The limit applies to each lane, so that all stripes that enter the region at
-    one agent are fetched at the same time. One after the other, each used only
-    half of the link's rate: an agent alone in its region was complete after 8.0
-    s instead of 5.4 s.
+    The limit applies to each group, so that all stripes that enter the region
+    at one agent are fetched at the same time. One after the other, each used
+    only half of the link's rate: an agent alone in its region was complete
+    after 8.0 s instead of 5.4 s.
     """
-    lane_sources = [source for lane in lanes for source in lane.sources]
-    if len(lane_sources) > 1 or piece_chains.ORIGIN in lane_sources:
+    group_sources = [source for group in groups for source in group.sources]
+    if len(group_sources) > 1 or piece_chains.ORIGIN in group_sources:
         return _MAX_IN_FLIGHT_SEVERAL
     return _MAX_IN_FLIGHT_ONE_AGENT
 
--- a/clementinepass/direct/neighbours.py
+++ b/clementinepass/direct/neighbours.py
@@ -99,10 +99,10 @@
     def _cached_source(
         self,
         address: str,
-        make: Callable[[str], weights.Source],
+        make_source: Callable[[str], weights.Source],
     ) -> weights.Source:
         """Return a source, created at its first use."""
-        source = self._sources_by_address.get(address) or make(address)
+        source = self._sources_by_address.get(address) or make_source(address)
         self._sources_by_address[address] = source
         return source
 
