--- a/clementinepass/direct/version_selector.py
+++ b/clementinepass/direct/version_selector.py
@@ -1,4 +1,4 @@
-"""Which version an agent gets next."""
+"""Selection of the version that an agent fetches next."""
 
 from __future__ import annotations
 
@@ -18,26 +18,26 @@
 
 _BITS_PER_BYTE = 8
 _BITS_PER_MEGABIT = 1_000_000
-#: Time for a version's pieces against the time that their bytes take on a
-#: link that carries nothing else: heads, prompts and events. A piece of 24,576
-#: bytes takes 58 ms on a link of 3.65 Mbit/s.
+#: Ratio of a version's transfer time to the time that its bytes take on an
+#: otherwise idle link: headers, prompts and events need the rest. A piece of
+#: 24,576 bytes takes 58 ms on a link of 3.65 Mbit/s.
 _OVERHEAD_FACTOR = 1.08
 
 
 class VersionSelector:
-    """What the engine on this machine should have next.
+    """Selects the versions to fetch and to prepare for the local engine.
 
-    :param own: who the agent is.
-    :param known: the state of the cluster.
-    :param near: the other agents.
+    :param local_node: the local node.
+    :param cluster: the state of the cluster.
+    :param neighbours: the other agents of the service.
     """
 
     __slots__ = (
         '_cluster',
-        '_fetching',
+        '_current_version',
         '_local_node',
         '_neighbours',
-        '_postponed',
+        '_postponed_version',
         'engine_weights',
     )
 
@@ -50,15 +50,16 @@
         self._local_node = local_node
         self._cluster = cluster
         self._neighbours = neighbours
-        #: The version whose pieces are being got.
-        self._fetching = 0
-        #: The newer version that waits until that one is whole; 0 for none.
-        self._postponed = 0
-        #: What the engine said last that it holds; ``None`` until it did.
+        #: The version whose pieces are being fetched.
+        self._current_version = 0
+        #: The newer version that waits until the current one is complete; 0 if
+        #: there is none.
+        self._postponed_version = 0
+        #: The weights in the engine's last report; ``None`` before the first.
         self.engine_weights: endpoints.Weights | None = None
 
     def has_version_or_newer(self, version: int) -> bool:
-        """Tell whether the engine holds all layers of a version, or newer."""
+        """Return whether all layers of a version or a newer one are loaded."""
         engine = self._neighbours.engine()
         engine_weights = self.engine_weights
         if engine is None or engine_weights is None:
@@ -69,9 +70,9 @@
         return is_complete and engine_weights.version >= version
 
     def version_to_fetch(self, loader: loading.Loader) -> tuple[str, int]:
-        """Return the model and the version whose pieces to get now.
+        """Return the model and the version whose pieces to fetch now.
 
-        Version 0 where nothing is to be got.
+        The version is 0 if there is nothing to fetch.
         """
         engine = self._neighbours.engine()
         if engine is None:
@@ -83,15 +84,18 @@
         return engine.model, version
 
     def version_to_prepare(self, loader: loading.Loader) -> tuple[str, int]:
-        """Return the model and the version to get after the one on its way.
+        """Return the model and the version to fetch after the current one.
 
-        Version 0 where there is none.
+        The version is 0 if there is none or its manifest is here.
         """
         engine = self._neighbours.engine()
         if engine is None:
             return '', 0
         desired_version = self._cluster.wanted_version(engine.model)
-        is_next = bool(self._fetching) and desired_version > self._fetching
+        is_next = (
+            bool(self._current_version)
+            and desired_version > self._current_version
+        )
         version_pieces = loader.pieces_of(engine.model, desired_version)
         return (
             engine.model,
@@ -99,7 +103,7 @@
         )
 
     def is_in_use(self, version: int) -> bool:
-        """Tell whether the operator named a version or some engine has it."""
+        """Return whether a version is desired or held by some engine."""
         engine = self._neighbours.engine()
         if engine is None:
             return False
@@ -115,18 +119,18 @@
         engine: routing.Engine,
         loader: loading.Loader,
     ) -> int:
-        """Return the version that the engine should have next.
+        """Return the version that the engine should load next.
 
-        Where none was named, whatever other engines have.
+        Without a desired version, it is the newest that other engines hold.
         """
         desired_version = self._cluster.wanted_version(engine.model)
         if not desired_version:
             endpoints = self._neighbours.service_endpoints()
-            versions = [peer.weights.version for peer in endpoints]
+            versions = [endpoint.weights.version for endpoint in endpoints]
             desired_version = max(versions, default=0) or 1
         elif self._should_finish_current(engine, loader, desired_version):
-            return self._fetching
-        self._fetching = desired_version
+            return self._current_version
+        self._current_version = desired_version
         return desired_version
 
     def _should_finish_current(
@@ -135,8 +139,8 @@
         loader: loading.Loader,
         newest: int,
     ) -> bool:
-        """Tell whether to finish the version begun before the newest one."""
-        current = self._fetching
+        """Return whether to complete the current version before the newest."""
+        current = self._current_version
         version_pieces = loader.pieces_of(engine.model, current)
         if (
             version_pieces is None
@@ -144,26 +148,28 @@
             or current >= newest
         ):
             return False
-        left = self._cluster.seconds_left(engine.model, current)
-        if left is None:
+        current_seconds_left = self._cluster.seconds_left(engine.model, current)
+        if current_seconds_left is None:
             return False
-        finishes = superseding.should_finish_first(
+        should_finish = superseding.should_finish_first(
             superseding.Transfer(
                 self._transfer_seconds(engine, len(version_pieces.missing)),
-                left,
+                current_seconds_left,
             ),
             superseding.Transfer(
                 self._transfer_seconds(engine, engine.chunks),
                 self._cluster.seconds_left(engine.model, newest) or 0,
             ),
-            is_decided=self._postponed == newest,
+            is_decided=self._postponed_version == newest,
         )
-        self._postponed = newest if finishes else 0
-        return finishes
-
-    def _transfer_seconds(self, engine: routing.Engine, chunks: int) -> float:
-        """Return how long pieces take over this machine's link."""
-        bits = chunks * engine.chunk_bytes * _BITS_PER_BYTE
+        self._postponed_version = newest if should_finish else 0
+        return should_finish
+
+    def _transfer_seconds(
+        self, engine: routing.Engine, piece_count: int
+    ) -> float:
+        """Return how long pieces take over the local machine's link."""
+        bits = piece_count * engine.chunk_bytes * _BITS_PER_BYTE
         return (
             _OVERHEAD_FACTOR
             * bits
