--- a/benchmarks/day.py
+++ b/benchmarks/day.py
@@ -99,15 +99,15 @@
         """Play it."""
         world = machines.Machines(
             self.engines,
-            node.Duties(version=_VERSION_SECONDS),
+            node.SystemLimits(version=_VERSION_SECONDS),
             _CONFIG,
         )
         async with world:
             await machines.until(
-                lambda: all(one.ready for one in world.entries),
+                lambda: all(one.is_ready for one in world.entries),
             )
             self.callers = following_callers.Callers(
-                [one.directory for one in world.entries],
+                [one.directory_address for one in world.entries],
                 self._rng,
             )
             async with asyncio.TaskGroup() as tasks:
--- a/benchmarks/direct_path.py
+++ b/benchmarks/direct_path.py
@@ -60,10 +60,10 @@
     rng = random.Random(1)
     found: dict[str, list[float]] = {'through': [], 'without': []}
     async with machines.Machines((), config=_CONFIG) as world:
-        await machines.until(lambda: all(one.ready for one in world.entries))
+        await machines.until(lambda: all(one.is_ready for one in world.entries))
         direct = [(b'X-Expect-Instance', world.desk.id.encode())]
         for number in range(int(rate * seconds)):
-            entry = world.entries[0].callers
+            entry = world.entries[0].callers_address
             through = await _first(entry, f't{number}', [])
             without = await _first(world.desk.address, f'w{number}', direct)
             found['through'].append(through)
--- a/benchmarks/load_reports.py
+++ b/benchmarks/load_reports.py
@@ -162,7 +162,7 @@
         self._setting = setting
         self._rng = rng
         self._reports_by_entry = [
-            {address: endpoints.Reported() for address in self._used(entry)}
+            {address: endpoints.ReportedLoad() for address in self._used(entry)}
             for entry in range(setting.entries)
         ]
         subscribers: collections.Counter[str] = collections.Counter(
@@ -186,7 +186,7 @@
             for reports in self._reports_by_entry:
                 known = reports.get(address)
                 if known is not None:
-                    known.tell(active, queued, made + _ON_WAY)
+                    known.update(active, queued, made + _ON_WAY)
             interval = self._interval_by_address[address]
             heapq.heappush(self._due, (made + interval, address))
 
@@ -210,7 +210,7 @@
 
     def sent(self, entry: int, address: str, now: float) -> None:
         """Add what no report knows of yet."""
-        self._reports_by_entry[entry][address].sent(now)
+        self._reports_by_entry[entry][address].record_sent(now)
 
     def _used(self, entry: int) -> list[str]:
         domain = entry % self._setting.domains
--- a/clementinepass/direct/attempt.py
+++ b/clementinepass/direct/attempt.py
@@ -19,25 +19,25 @@
 #: Seconds for which a connection may have been idle and still carry a request
 #: that must not run twice. An endpoint that ends it meanwhile leaves open
 #: whether it has read the request; endpoints keep connections for seconds.
-_FRESH_SECONDS = 1.0
+_MAX_IDLE_SECONDS = 1.0
 #: Seconds for a connection to an endpoint. Two round trips take some
 #: milliseconds; a lost packet is sent again after one second.
-_CONNECT_SECONDS = 0.6
+_CONNECT_TIMEOUT_SECONDS = 0.6
 #: Bytes of a plain answer that are kept until it is whole.
-_LONGEST_ANSWER = 16 * 1024 * 1024
+_MAX_ANSWER_BYTES = 16 * 1024 * 1024
 #: Seconds beyond the aim after which a request that may run twice is tried
 #: elsewhere. Callers give a stream up after two seconds without an event.
-_SILENT_FIRST = 0.9
+_FIRST_EVENT_GRACE_SECONDS = 0.9
 #: Seconds without an event, beyond the gap that is allowed, after which a
 #: stream is resumed elsewhere; the rest of those two seconds is for that.
-_SILENT_GAP = 0.7
+_EVENT_GAP_GRACE_SECONDS = 0.7
 #: The part of the time left after which a plain request that may run twice is
 #: tried elsewhere. Answers take a ninth of it, the slowest a half.
-_SILENT_PART = 0.5
-_MOST_URGENCY = 9
+_PLAIN_ANSWER_TIME_SHARE = 0.5
+_MAX_URGENCY = 9
 
 
-class _Kept(typing.NamedTuple):
+class _EndpointPool(typing.NamedTuple):
     """Connections to one start of an endpoint."""
 
     endpoint: endpoints.Endpoint
@@ -54,51 +54,51 @@
         '_answered_services',
         '_cluster',
         '_dialect',
-        '_kept_by_id',
+        '_pools_by_id',
         '_log',
     )
 
     def __init__(
         self,
-        known: cluster_state.ClusterState,
+        cluster: cluster_state.ClusterState,
         dialect: calls.Dialect,
         log: request_log.RequestLog,
     ) -> None:
-        self._cluster = known
+        self._cluster = cluster
         self._dialect = dialect
         self._log = log
-        self._kept_by_id: dict[str, _Kept] = {}
+        self._pools_by_id: dict[str, _EndpointPool] = {}
         #: Services of which a request was answered since the start.
         self._answered_services: set[str] = set()
 
     async def send(
         self,
-        admitted: serving.Serving,
+        admitted: serving.AdmittedRequest,
         endpoint: endpoints.Endpoint,
-    ) -> serving.Tried:
+    ) -> serving.AttemptResult:
         """Send a request to an endpoint and hand on what comes."""
-        attempt = admitted.begin_attempt(endpoint.listing.id)
-        self._log.sending(admitted, endpoint)
+        attempt = admitted.start_attempt(endpoint.listing.id)
+        self._log.log_sending(admitted, endpoint)
         endpoint.in_flight += 1
-        endpoint.reported.sent(asyncio.get_running_loop().time())
+        endpoint.reported_load.record_sent(asyncio.get_running_loop().time())
         try:
-            tried = await self._exchange(admitted, endpoint, attempt)
+            result = await self._exchange(admitted, endpoint, attempt)
         finally:
             endpoint.in_flight -= 1
             if not attempt.finished:
                 attempt.given_up()
-        self._note(admitted, endpoint, tried)
-        if tried is serving.Tried.ANSWERED:
-            self._note_first(admitted.service.name)
-        return tried
+        self._record_result(admitted, endpoint, result)
+        if result is serving.AttemptResult.ANSWERED:
+            self._log_first_answer(admitted.service.name)
+        return result
 
-    def forget(self, endpoint_id: str) -> None:
+    def close_connections(self, endpoint_id: str) -> None:
         """Close the connections to an endpoint that is gone."""
-        kept = self._kept_by_id.pop(endpoint_id, None)
-        if kept is not None:
-            kept.connections.close()
+        endpoint_pool = self._pools_by_id.pop(endpoint_id, None)
+        if endpoint_pool is not None:
+            endpoint_pool.connections.close()
 
-    def _note_first(self, service: str) -> None:
+    def _log_first_answer(self, service: str) -> None:
         if service in self._answered_services:
             return
         self._answered_services.add(service)
@@ -108,166 +108,183 @@
 
     async def _exchange(
         self,
-        admitted: serving.Serving,
+        admitted: serving.AdmittedRequest,
         endpoint: endpoints.Endpoint,
         attempt: outcome.Attempt,
-    ) -> serving.Tried:
-        peers = self._pool(admitted, endpoint)
-        admitted.begin_by = self._begin_by(admitted, endpoint)
-        repeatable = admitted.route.repeatable
+    ) -> serving.AttemptResult:
+        connections = self._pool(admitted, endpoint)
+        admitted.start_deadline = self._start_deadline(admitted, endpoint)
+        is_repeatable = admitted.route.is_repeatable
         try:
-            used = await peers.take(
-                longest_idle=math.inf if repeatable else _FRESH_SECONDS,
-                seconds=_CONNECT_SECONDS,
+            connection = await connections.take(
+                longest_idle=math.inf if is_repeatable else _MAX_IDLE_SECONDS,
+                seconds=_CONNECT_TIMEOUT_SECONDS,
             )
         except channel.ChannelBrokenError as error:
             attempt.refused()
             now = asyncio.get_running_loop().time()
             self._cluster.failed(endpoint, now)
-            self._log.attempt_failed(admitted, endpoint, error)
-            return serving.Tried.NOT_RUN
-        admitted.channel = used
+            self._log.log_attempt_failed(admitted, endpoint, error)
+            return serving.AttemptResult.NOT_RUN
+        admitted.channel = connection
         try:
-            if self._left_meanwhile(endpoint):
+            if self._became_unusable(endpoint):
                 attempt.refused()
-                return serving.Tried.NOT_RUN
-            return await self._talk(admitted, endpoint, attempt, used)
+                return serving.AttemptResult.NOT_RUN
+            return await self._request_answer(
+                admitted, endpoint, attempt, connection
+            )
         except (channel.ChannelBrokenError, events.StreamBrokenError) as error:
             attempt.failed(errors.Execution.MAY_HAVE_RUN)
-            self._log.attempt_failed(admitted, endpoint, error)
-            used.abort()
-            return serving.Tried.BROKEN
+            self._log.log_attempt_failed(admitted, endpoint, error)
+            connection.abort()
+            return serving.AttemptResult.BROKEN
         except BaseException:
             # The caller has left or the time is over: the endpoint must hear
             # of it, or it works on for nobody.
-            used.abort()
+            connection.abort()
             raise
         finally:
-            peers.give_back(used)
-            if not self._is_kept(endpoint):
+            connections.give_back(connection)
+            if not self._has_pool(endpoint):
                 # It has started anew meanwhile: no more requests here.
-                peers.close()
+                connections.close()
 
-    def _left_meanwhile(self, endpoint: endpoints.Endpoint) -> bool:
+    def _became_unusable(self, endpoint: endpoints.Endpoint) -> bool:
         """Tell whether an endpoint left while its connection was made.
 
         Failure: the endpoint was chosen, its connection took up to 0.6 s, and
         it had said meanwhile that it leaves. Two seconds after that it must get
         nothing more, and what follows the choice used up a third of them.
         """
-        return not endpoint.usable(asyncio.get_running_loop().time())
+        return not endpoint.is_usable(asyncio.get_running_loop().time())
 
-    async def _talk(
+    async def _request_answer(
         self,
-        admitted: serving.Serving,
+        admitted: serving.AdmittedRequest,
         endpoint: endpoints.Endpoint,
         attempt: outcome.Attempt,
-        used: channel.Channel,
-    ) -> serving.Tried:
-        payload = self._dialect.attempt(
+        connection: channel.Channel,
+    ) -> serving.AttemptResult:
+        payload = self._dialect.encode_attempt(
             admitted.call,
-            self._sending(admitted, endpoint),
+            self._attempt_parameters(admitted, endpoint),
         )
         attempt.sent()
-        used.send(payload)
-        async with _patience(admitted, used):
-            head = await used.answer_head()
-            facts = self._dialect.answer(admitted.call, head)
-            if facts.verdict is calls.Verdict.FOREIGN:
+        connection.send(payload)
+        async with _silence_timeout(admitted, connection):
+            head = await connection.answer_head()
+            decoded_head = self._dialect.decode_head(admitted.call, head)
+            if decoded_head.verdict is calls.Verdict.OTHER_REQUEST:
                 logger.bind(request=admitted.call.id).warning(
                     'passed over the answer to another request',
                 )
-                head = await used.next_answer()
-                facts = self._dialect.answer(admitted.call, head)
-        if facts.verdict is calls.Verdict.MISDIRECTED:
+                head = await connection.next_answer()
+                decoded_head = self._dialect.decode_head(admitted.call, head)
+        if decoded_head.verdict is calls.Verdict.MISDIRECTED:
             attempt.refused()
-            self._misdirected(admitted, endpoint, facts)
-            return serving.Tried.NOT_RUN
-        if facts.verdict is calls.Verdict.NOT_RUN:
+            self._handle_misdirected(admitted, endpoint, decoded_head)
+            return serving.AttemptResult.NOT_RUN
+        if decoded_head.verdict is calls.Verdict.NOT_RUN:
             attempt.refused()
-            self._log.turned_away(admitted, endpoint, head.status)
-            return serving.Tried.NOT_RUN
+            self._log.log_rejected(admitted, endpoint, head.status)
+            return serving.AttemptResult.NOT_RUN
         attempt.head_seen()
-        if facts.verdict in {calls.Verdict.FOREIGN, calls.Verdict.SPOILED}:
+        if decoded_head.verdict in {
+            calls.Verdict.OTHER_REQUEST,
+            calls.Verdict.INVALID,
+        }:
             raise channel.ChannelBrokenError(
                 f'status {head.status} is no answer to this request',
-                peer=used.peer,
+                peer=connection.peer,
             )
-        if facts.verdict is calls.Verdict.SUCCESS and facts.is_stream:
-            endpoint.streams += 1
+        if (
+            decoded_head.verdict is calls.Verdict.SUCCESS
+            and decoded_head.is_stream
+        ):
+            endpoint.active_streams += 1
             try:
-                return await self._relay(
-                    admitted, endpoint, attempt, used, facts, head.status
+                return await self._relay_stream(
+                    admitted,
+                    endpoint,
+                    attempt,
+                    connection,
+                    decoded_head,
+                    head.status,
                 )
             finally:
-                endpoint.streams -= 1
-        return await self._collect(admitted, attempt, used, facts, head.status)
+                endpoint.active_streams -= 1
+        return await self._forward_plain_answer(
+            admitted, attempt, connection, decoded_head, head.status
+        )
 
-    async def _collect(
+    async def _forward_plain_answer(
         self,
-        admitted: serving.Serving,
+        admitted: serving.AdmittedRequest,
         attempt: outcome.Attempt,
-        used: channel.Channel,
-        facts: calls.AnswerFacts,
+        connection: channel.Channel,
+        decoded_head: calls.DecodedHead,
         status: int,
-    ) -> serving.Tried:
+    ) -> serving.AttemptResult:
         """Take a plain answer whole, then hand it on."""
-        admitted.begin_by = math.inf
+        admitted.start_deadline = math.inf
         parts = []
         length = 0
-        async with _patience(admitted, used):
-            while part := await used.read():
+        async with _silence_timeout(admitted, connection):
+            while part := await connection.read():
                 parts.append(part)
                 length += len(part)
-                if length > _LONGEST_ANSWER:
+                if length > _MAX_ANSWER_BYTES:
                     raise channel.ChannelBrokenError(
                         'the answer is too long',
-                        peer=used.peer,
+                        peer=connection.peer,
                     )
         attempt.ended()
         body = b''.join(parts)
-        if facts.verdict is calls.Verdict.FAILURE:
-            admitted.failure = serving.Failure(status, facts.pairs, body)
-            return serving.Tried.FAILED
+        if decoded_head.verdict is calls.Verdict.FAILURE:
+            admitted.failed_answer = serving.FailedAnswer(
+                status, decoded_head.pairs, body
+            )
+            return serving.AttemptResult.FAILED
         if admitted.reply.begun:
-            raise channel.ChannelBrokenError('no stream', peer=used.peer)
+            raise channel.ChannelBrokenError('no stream', peer=connection.peer)
         admitted.first_event_at = asyncio.get_running_loop().time()
-        admitted.reply.send(status, facts.pairs, body)
-        return serving.Tried.ANSWERED
+        admitted.reply.send(status, decoded_head.pairs, body)
+        return serving.AttemptResult.ANSWERED
 
-    async def _relay(
+    async def _relay_stream(
         self,
-        admitted: serving.Serving,
+        admitted: serving.AdmittedRequest,
         endpoint: endpoints.Endpoint,
         attempt: outcome.Attempt,
-        used: channel.Channel,
-        facts: calls.AnswerFacts,
+        connection: channel.Channel,
+        decoded_head: calls.DecodedHead,
         status: int,
-    ) -> serving.Tried:
+    ) -> serving.AttemptResult:
         """Hand on whole events as they come."""
         reply = admitted.reply
-        endpoint.heard = used.heard
+        endpoint.last_received_at = connection.heard
         while True:
-            async with _patience(admitted, used):
-                part = await used.read()
-            endpoint.heard = used.heard
+            async with _silence_timeout(admitted, connection):
+                part = await connection.read()
+            endpoint.last_received_at = connection.heard
             if not part:
                 break
             for event in admitted.splitter.feed(part):
-                self._first(admitted, facts, status)
+                self._start_reply(admitted, decoded_head, status)
                 reply.write(event.payload)
             await reply.writable()
-        if admitted.splitter.partial:
+        if admitted.splitter.has_partial_event:
             raise events.StreamBrokenError('the last event is cut short')
-        self._first(admitted, facts, status)
+        self._start_reply(admitted, decoded_head, status)
         attempt.ended()
         reply.end()
-        return serving.Tried.ANSWERED
+        return serving.AttemptResult.ANSWERED
 
-    def _first(
+    def _start_reply(
         self,
-        admitted: serving.Serving,
-        facts: calls.AnswerFacts,
+        admitted: serving.AdmittedRequest,
+        decoded_head: calls.DecodedHead,
         status: int,
     ) -> None:
         """Send the head before the first event.
@@ -278,14 +295,14 @@
         Failure: a stream whose engine had crashed was sent on and began on
         old weights after their bound, since its caller had events already.
         """
-        admitted.begin_by = math.inf
+        admitted.start_deadline = math.inf
         if not admitted.reply.begun:
-            admitted.reply.begin(status, facts.pairs)
+            admitted.reply.begin(status, decoded_head.pairs)
             admitted.first_event_at = asyncio.get_running_loop().time()
 
-    def _begin_by(
+    def _start_deadline(
         self,
-        admitted: serving.Serving,
+        admitted: serving.AdmittedRequest,
         endpoint: endpoints.Endpoint,
     ) -> float:
         """Return the time by which a request must begin at an endpoint.
@@ -299,11 +316,11 @@
             return math.inf
         return self._cluster.begin_by(engine, endpoint.weights.version)
 
-    def _sending(
+    def _attempt_parameters(
         self,
-        admitted: serving.Serving,
+        admitted: serving.AdmittedRequest,
         endpoint: endpoints.Endpoint,
-    ) -> calls.Sending:
+    ) -> calls.AttemptParameters:
         now = asyncio.get_running_loop().time()
         engine = admitted.service.engine
         version = 0
@@ -311,29 +328,32 @@
             # The engine may have restarted with older weights unseen.
             version = endpoint.weights.version
         team = admitted.team
-        return calls.Sending(
+        return calls.AttemptParameters(
             endpoint_id=endpoint.listing.id,
-            seconds=admitted.final_at - now,
+            timeout_seconds=admitted.deadline - now,
             team='' if team is None else team.name,
             version=version,
             resume_after=admitted.resume_after,
             urgency=_urgency(admitted),
         )
 
-    def _misdirected(
+    def _handle_misdirected(
         self,
-        admitted: serving.Serving,
+        admitted: serving.AdmittedRequest,
         endpoint: endpoints.Endpoint,
-        facts: calls.AnswerFacts,
+        decoded_head: calls.DecodedHead,
     ) -> None:
-        another = facts.instance not in {'', endpoint.listing.id}
-        if another:
-            endpoint.misdirected = True
-        self._log.misdirected(admitted, endpoint, facts.instance)
+        is_other_instance = decoded_head.instance not in {
+            '',
+            endpoint.listing.id,
+        }
+        if is_other_instance:
+            endpoint.is_misdirected = True
+        self._log.log_misdirected(admitted, endpoint, decoded_head.instance)
 
     def _pool(
         self,
-        admitted: serving.Serving,
+        admitted: serving.AdmittedRequest,
         endpoint: endpoints.Endpoint,
     ) -> pool.Pool:
         """Return the connections to one start of an endpoint.
@@ -343,84 +363,93 @@
         that this entry could tell.
         """
         listing = endpoint.listing
-        if not self._is_kept(endpoint):
-            self.forget(listing.id)
-            most = admitted.service.most_connections
-            peers = pool.Pool.from_address(listing.address, most)
-            self._kept_by_id[listing.id] = _Kept(endpoint, peers)
-        return self._kept_by_id[listing.id].connections
-
-    def _is_kept(self, endpoint: endpoints.Endpoint) -> bool:
-        kept = self._kept_by_id.get(endpoint.listing.id)
-        return kept is not None and kept.endpoint is endpoint
-
-    def _note(
+        if not self._has_pool(endpoint):
+            self.close_connections(listing.id)
+            limit = admitted.service.max_connections
+            new_pool = pool.Pool.from_address(listing.address, limit)
+            self._pools_by_id[listing.id] = _EndpointPool(endpoint, new_pool)
+        return self._pools_by_id[listing.id].connections
+
+    def _has_pool(self, endpoint: endpoints.Endpoint) -> bool:
+        endpoint_pool = self._pools_by_id.get(endpoint.listing.id)
+        return endpoint_pool is not None and endpoint_pool.endpoint is endpoint
+
+    def _record_result(
         self,
-        admitted: serving.Serving,
+        admitted: serving.AdmittedRequest,
         endpoint: endpoints.Endpoint,
-        tried: serving.Tried,
+        result: serving.AttemptResult,
     ) -> None:
         """Tell the ejector how the endpoint did."""
         now = asyncio.get_running_loop().time()
-        if tried is serving.Tried.ANSWERED:
-            first = admitted.first_event_at or now
-            seconds = first - admitted.call.request.received
+        if result is serving.AttemptResult.ANSWERED:
+            answered_at = admitted.first_event_at or now
+            seconds = answered_at - admitted.call.request.received
             self._cluster.ejector.observe(endpoint.listing.id, seconds, now)
-        elif tried is not serving.Tried.NOT_RUN and not endpoint.loading:
+        elif (
+            result is not serving.AttemptResult.NOT_RUN
+            and not endpoint.is_loading
+        ):
             # An engine that takes up new weights cuts what still runs.
             self._cluster.failed(endpoint, now)
 
 
-def _urgency(admitted: serving.Serving) -> int:
+def _urgency(admitted: serving.AdmittedRequest) -> int:
     """Return the rank at the engine: the team's goes before the route's."""
-    team = 0 if admitted.team is None else admitted.team.priority
-    return min(max(team * 3 + admitted.route.priority, 0), _MOST_URGENCY)
+    team_priority = 0 if admitted.team is None else admitted.team.priority
+    return min(
+        max(team_priority * 3 + admitted.route.priority, 0), _MAX_URGENCY
+    )
 
 
-def _patience(
-    admitted: serving.Serving,
-    used: channel.Channel,
-) -> _Patience:
+def _silence_timeout(
+    admitted: serving.AdmittedRequest,
+    connection: channel.Channel,
+) -> _SilenceTimeout:
     """Return how long to wait for what comes next."""
-    until = min(_silent_until(admitted), admitted.begin_by)
-    return _Patience(None if until == math.inf else until, used)
+    deadline = min(_silence_deadline(admitted), admitted.start_deadline)
+    return _SilenceTimeout(
+        None if deadline == math.inf else deadline, connection
+    )
 
 
-def _silent_until(admitted: serving.Serving) -> float:
+def _silence_deadline(admitted: serving.AdmittedRequest) -> float:
     """Return the time at which a silent endpoint is given up."""
     now = asyncio.get_running_loop().time()
     route = admitted.route
-    if not route.repeatable or admitted.runs >= route.most_attempts:
+    if not route.is_repeatable or admitted.run_count >= route.max_runs:
         return math.inf
     if admitted.reply.begun:
-        return now + route.longest_gap + _SILENT_GAP
+        return now + route.max_event_gap + _EVENT_GAP_GRACE_SECONDS
     if route.kind is routing.RouteKind.STREAM:
-        return now + route.aim + _SILENT_FIRST
-    return now + _SILENT_PART * (admitted.final_at - now)
+        return now + route.latency_target + _FIRST_EVENT_GRACE_SECONDS
+    return now + _PLAIN_ANSWER_TIME_SHARE * (admitted.deadline - now)
 
 
-class _Patience:
+class _SilenceTimeout:
     """Give an endpoint up that says nothing for too long.
 
     Only for what may run once more: for anything else a late answer is the
     only one that there can be.
     """
 
-    __slots__ = ('_timeout', '_used')
+    __slots__ = ('_timeout', '_connection')
 
-    def __init__(self, until: float | None, used: channel.Channel) -> None:
-        self._timeout = asyncio.timeout_at(until)
-        self._used = used
+    def __init__(
+        self, deadline: float | None, connection: channel.Channel
+    ) -> None:
+        self._timeout = asyncio.timeout_at(deadline)
+        self._connection = connection
 
     async def __aenter__(self) -> None:
         await self._timeout.__aenter__()
 
-    async def __aexit__(self, *raised: typing.Any) -> None:
+    async def __aexit__(self, *exc_info: typing.Any) -> None:
         try:
-            await self._timeout.__aexit__(*raised)
+            await self._timeout.__aexit__(*exc_info)
         except TimeoutError as error:
             raise channel.ChannelBrokenError(
                 'the endpoint is silent',
-                peer=self._used.peer,
+                peer=self._connection.peer,
                 fault=channel.Fault.SILENT,
             ) from error
--- a/clementinepass/direct/background.py
+++ b/clementinepass/direct/background.py
@@ -11,10 +11,10 @@
     from collections.abc import Awaitable, Callable
 
 #: Seconds after which work is begun anew that ended with a fault.
-_PAUSE_SECONDS = 0.5
+_RESTART_DELAY_SECONDS = 0.5
 
 
-async def keep_running(work: Callable[[], Awaitable[None]]) -> None:
+async def keep_running(job: Callable[[], Awaitable[None]]) -> None:
     """Do work that never ends, and begin it anew when a fault ends it.
 
     Failure: one unforeseen fault in one of several tasks would end the
@@ -23,7 +23,7 @@
     """
     while True:
         try:
-            await work()
+            await job()
         except Exception as error:
             logger.opt(exception=error).error('work begins anew: {!r}', error)
-        await asyncio.sleep(_PAUSE_SECONDS)
+        await asyncio.sleep(_RESTART_DELAY_SECONDS)
--- a/clementinepass/direct/calls.py
+++ b/clementinepass/direct/calls.py
@@ -14,12 +14,12 @@
 
 #: What callers wait for an event of a stream: seconds, aims of the route, and
 #: gaps of the route; the longest counts.
-_LEAST_PATIENCE = 2.0
-_AIMS_OF_PATIENCE = 4
-_GAPS_OF_PATIENCE = 8
+_MIN_EVENT_WAIT_SECONDS = 2.0
+_LATENCY_TARGETS_WAITED = 4
+_EVENT_GAPS_WAITED = 8
 
 
-class BadCallError(errors.ClementinepassError):
+class InvalidRequestError(errors.ClementinepassError):
     """A request lacks what each request must say, or says it wrongly."""
 
     def __init__(self, detail: str) -> None:
@@ -45,7 +45,7 @@
         'host',
         'id',
         'key',
-        'patience',
+        'timeout_seconds',
         'prompt_tokens',
         'request',
         'resume_after',
@@ -58,7 +58,7 @@
         request: messages.Request,
         host: bytes,
         key: bytes = b'',
-        patience: float | None = None,
+        timeout_seconds: float | None = None,
         prompt_tokens: int = 0,
         answer_tokens: int = 0,
         resume_after: int | None = None,
@@ -67,13 +67,13 @@
         self.request = request
         self.host = host
         self.key = key
-        self.patience = patience
+        self.timeout_seconds = timeout_seconds
         self.prompt_tokens = prompt_tokens
         self.answer_tokens = answer_tokens
         self.resume_after = resume_after
 
 
-class Sending(typing.NamedTuple):
+class AttemptParameters(typing.NamedTuple):
     """What one attempt adds to a call.
 
     :param endpoint_id: the only endpoint that may run it.
@@ -84,7 +84,7 @@
     """
 
     endpoint_id: str
-    seconds: float
+    timeout_seconds: float
     team: str
     version: int
     resume_after: int | None
@@ -99,16 +99,16 @@
     #: As ``NOT_RUN``, since the endpoint there is another, or its weights are.
     MISDIRECTED = 'misdirected'
     #: Another request's answer.
-    FOREIGN = 'foreign'
+    OTHER_REQUEST = 'foreign'
     #: Not an answer that an endpoint gives: unmarked, or encoded.
-    SPOILED = 'spoiled'
+    INVALID = 'spoiled'
     #: The endpoint's answer: a success.
     SUCCESS = 'success'
     #: The endpoint's answer: it ran the request and failed.
     FAILURE = 'failure'
 
 
-class AnswerFacts(typing.NamedTuple):
+class DecodedHead(typing.NamedTuple):
     """The head of an endpoint's answer, decoded."""
 
     verdict: Verdict
@@ -123,43 +123,45 @@
 class Dialect(typing.Protocol):
     """How callers and endpoints spell what the path must know."""
 
-    def call(self, request: messages.Request) -> Call:
+    def decode_request(self, request: messages.Request) -> Call:
         """Decode a caller's request.
 
         :raises BadCallError: it can't be served as it is.
         """
 
-    def attempt(self, call: Call, sending: Sending) -> bytes:
+    def encode_attempt(
+        self, call: Call, parameters: AttemptParameters
+    ) -> bytes:
         """Return the request for an endpoint as it goes on the wire."""
 
-    def answer(self, call: Call, head: messages.AnswerHead) -> AnswerFacts:
+    def decode_head(self, call: Call, head: messages.AnswerHead) -> DecodedHead:
         """Decode the head of an endpoint's answer."""
 
-    def refusal(self, call: Call | None) -> list[messages.Pair]:
+    def refusal_headers(self, call: Call | None) -> list[messages.Pair]:
         """Return the headers of an answer of the system's own."""
 
 
-def first_event_by(call: Call, route: routing.Route) -> float:
+def first_event_deadline(call: Call, route: routing.Route) -> float:
     """Return the monotonic seconds until which a stream's caller waits."""
-    return call.request.received + longest_silence(route)
+    return call.request.received + max_event_wait(route)
 
 
-def longest_silence(route: routing.Route) -> float:
+def max_event_wait(route: routing.Route) -> float:
     """Return the seconds after which a stream's caller gives it up.
 
     Callers do so, also before its first event, after the longest of two
     seconds, four aims and eight gaps.
     """
     return max(
-        _LEAST_PATIENCE,
-        _AIMS_OF_PATIENCE * route.aim,
-        _GAPS_OF_PATIENCE * route.longest_gap,
+        _MIN_EVENT_WAIT_SECONDS,
+        _LATENCY_TARGETS_WAITED * route.latency_target,
+        _EVENT_GAPS_WAITED * route.max_event_gap,
     )
 
 
-def final_at(call: Call, route: routing.Route) -> float:
+def deadline(call: Call, route: routing.Route) -> float:
     """Return the monotonic seconds by which the final answer is due."""
     seconds = route.timeout
-    if call.patience is not None:
-        seconds = min(seconds, call.patience)
+    if call.timeout_seconds is not None:
+        seconds = min(seconds, call.timeout_seconds)
     return call.request.received + seconds
--- a/clementinepass/direct/cluster_state.py
+++ b/clementinepass/direct/cluster_state.py
@@ -188,7 +188,7 @@
         others had lost there counted as its load.
         """
         before = self.endpoints.get(listing.id)
-        changed = self.endpoints.listed(listing)
+        changed = self.endpoints.apply_listing(listing)
         if before is not None and before is not self.endpoints.get(listing.id):
             self.ejector.forget(listing.id)
             self.loads.forget_endpoint(listing.id)
@@ -202,7 +202,7 @@
     def heard_held(self, held: heartbeats.Held, now: float) -> None:
         """Take an agent's word on its engine and its link."""
         host = held.address.rpartition(':')[0]
-        for endpoint in self.endpoints.at_host(host):
+        for endpoint in self.endpoints.at_ip(host):
             if endpoint.listing.address != held.address:
                 continue
             self._note_congestion(endpoint, held, now)
@@ -211,9 +211,9 @@
 
     def heard_load(self, ip: str, load: heartbeats.Load, now: float) -> None:
         """Take an agent's word on the load of the engine beside it."""
-        for endpoint in self.endpoints.at_host(ip):
+        for endpoint in self.endpoints.at_ip(ip):
             if endpoint.weights.version and _is_current(endpoint, load.started):
-                endpoint.reported.tell(load.active, load.queued, now)
+                endpoint.reported_load.update(load.active, load.queued, now)
 
     def _note_weights(
         self,
@@ -221,7 +221,9 @@
         held: heartbeats.Held,
     ) -> None:
         """Take what an engine holds."""
-        endpoint.weights_started = held.started or endpoint.weights_started
+        endpoint.weights_started_ms = (
+            held.started or endpoint.weights_started_ms
+        )
         weights = endpoints.Weights(held.version, held.first, held.end)
         if weights == endpoint.weights:
             return
@@ -256,7 +258,7 @@
         return {
             endpoint.listing.id: endpoint.in_flight
             for endpoint in self.endpoints
-            if endpoint.in_flight and not endpoint.reported.is_fresh(now)
+            if endpoint.in_flight and not endpoint.reported_load.is_fresh(now)
         }
 
     def candidates(
@@ -270,11 +272,11 @@
         if engine is None:
             return found
         version = self.required_version(engine, now)
-        return [each for each in found if each.holds(engine, version)]
+        return [each for each in found if each.has_weights(engine, version)]
 
     def loading(self, service: routing.Service, now: float) -> bool:
         """Tell whether some engine of a service takes up weights now."""
-        return any(one.loading for one in self._of_service(service, now))
+        return any(one.is_loading for one in self._of_service(service, now))
 
     def _of_service(
         self,
@@ -289,12 +291,12 @@
         current = self.routing
         if current is None or service.name not in current.services_by_name:
             return []
-        return self.endpoints.of_service(service.name, now)
+        return self.endpoints.usable_for_service(service.name, now)
 
     def forget(self, now: float) -> list[endpoints.Endpoint]:
         """Drop what is long gone; return the endpoints dropped."""
-        self.loads.forget(now)
-        dropped = self.endpoints.forget(now)
+        self.loads.remove_expired(now)
+        dropped = self.endpoints.remove_expired(now)
         if dropped:
             self.ejector.retain([one.listing.id for one in self.endpoints])
         return dropped
@@ -307,5 +309,5 @@
     before came after that, and requests went to weights that the engine no
     longer held.
     """
-    is_over = incarnations.is_superseded(endpoint.weights_started, started)
-    return not is_over and endpoint.gone_at is None
+    is_over = incarnations.is_superseded(endpoint.weights_started_ms, started)
+    return not is_over and endpoint.unusable_at is None
--- a/clementinepass/direct/departure.py
+++ b/clementinepass/direct/departure.py
@@ -13,10 +13,10 @@
     from clementinepass.direct import cluster_state, node
 
 #: Seconds between lines that the directory names an entry that leaves.
-_OFFERED_EACH = 1.0
+_LOG_INTERVAL_SECONDS = 1.0
 
 
-class Departure:
+class DrainState:
     """Whether an entry is to end, and what follows from that.
 
     :param own: who the entry is.
@@ -25,82 +25,90 @@
 
     __slots__ = (
         '_cluster',
-        '_offered_at',
-        '_own',
-        '_told_until',
+        '_logged_at',
+        '_local_node',
+        '_lists_expire_at',
         'plan',
-        'refused',
-        'taken',
+        'refused_count',
+        'accepted_count',
     )
 
     def __init__(
-        self, own: node.Node, known: cluster_state.ClusterState
+        self, local_node: node.Node, cluster: cluster_state.ClusterState
     ) -> None:
-        self._own = own
-        self._cluster = known
-        self._offered_at = -math.inf
+        self._local_node = local_node
+        self._cluster = cluster
+        self._logged_at = -math.inf
         #: Until when a list is kept that this entry told.
-        self._told_until = -math.inf
+        self._lists_expire_at = -math.inf
         #: The times of leaving; ``None`` while the entry is to stay.
         self.plan: decisions.DrainPlan | None = None
         #: Requests taken, and turned away, since it was told to end.
-        self.taken = 0
-        self.refused = 0
+        self.accepted_count = 0
+        self.refused_count = 0
 
     @property
-    def lists(self) -> decisions.ListPolicy:
+    def list_policy(self) -> decisions.ListPolicy:
         """Return how entries are named to callers.
 
         Before a configuration is known any request may be the longest.
         """
-        current = self._cluster.routing
-        timeouts = () if current is None else current.timeouts
-        duties = self._own.duties
-        taking = decisions.accepting_seconds(duties.grace, timeouts)
-        return decisions.list_policy(taking, duties.longest_offer)
+        configuration = self._cluster.routing
+        timeouts = () if configuration is None else configuration.timeouts
+        duties = self._local_node.duties
+        accepting_seconds = decisions.accepting_seconds(duties.grace, timeouts)
+        return decisions.list_policy(accepting_seconds, duties.longest_offer)
 
-    def told(self, now: float) -> float:
+    def list_max_age(self, now: float) -> float:
         """Return for how long a list is to be kept that is told now."""
-        seconds = self.lists.ttl_seconds
-        until = now + decisions.max_kept_seconds(seconds)
-        self._told_until = max(self._told_until, until)
-        return seconds
+        max_age = self.list_policy.ttl_seconds
+        expires_at = now + decisions.max_kept_seconds(max_age)
+        self._lists_expire_at = max(self._lists_expire_at, expires_at)
+        return max_age
 
-    def begin(self, now: float) -> decisions.DrainPlan:
+    def start(self, now: float) -> decisions.DrainPlan:
         """Begin to leave; return the times of it."""
         self.plan = decisions.plan_drain(
             now,
-            self._own.duties.grace,
-            self.lists,
-            self._told_until,
+            self._local_node.duties.grace,
+            self.list_policy,
+            self._lists_expire_at,
         )
         return self.plan
 
-    def is_named(self, now: float) -> bool:
+    def is_listed(self, now: float) -> bool:
         """Tell whether callers are sent here where no entry is ready."""
-        since = self.since(now)
-        return since is None or since <= self.lists.listed_seconds
+        seconds_draining = self.seconds_draining(now)
+        return (
+            seconds_draining is None
+            or seconds_draining <= self.list_policy.listed_seconds
+        )
 
-    def since(self, now: float) -> float | None:
+    def seconds_draining(self, now: float) -> float | None:
         """Return the seconds since it was told; ``None`` before that."""
         return None if self.plan is None else now - self.plan.started_at
 
-    def takes(self, final_at: float) -> bool:
+    def accepts(self, deadline: float) -> bool:
         """Tell whether a request is taken whose final answer is due then."""
         if self.plan is None:
             return True
-        if self.plan.accepts(final_at):
-            self.taken += 1
+        if self.plan.accepts(deadline):
+            self.accepted_count += 1
             return True
-        self.refused += 1
+        self.refused_count += 1
         return False
 
-    def offered(self, now: float) -> None:
+    def log_listed(self, now: float) -> None:
         """Note that callers are told to use this entry."""
-        since = self.since(now)
-        if since is None or now - self._offered_at < _OFFERED_EACH:
+        seconds_draining = self.seconds_draining(now)
+        if (
+            seconds_draining is None
+            or now - self._logged_at < _LOG_INTERVAL_SECONDS
+        ):
             return
-        self._offered_at = now
-        logger.bind(node=self._own.name, since=round(since, 3)).info(
+        self._logged_at = now
+        logger.bind(
+            node=self._local_node.name, since=round(seconds_draining, 3)
+        ).info(
             'offered while leaving',
         )
--- a/clementinepass/direct/directory.py
+++ b/clementinepass/direct/directory.py
@@ -8,22 +8,24 @@
     from clementinepass.http import connection
 
 
-class Offers(typing.Protocol):
+class EntryDirectory(typing.Protocol):
     """Who can be asked for entries."""
 
     @property
-    def ready(self) -> bool:
+    def is_ready(self) -> bool:
         """Tell whether callers may be sent here."""
 
-    def told(self, now: float) -> float:
+    def list_max_age(self, now: float) -> float:
         """Return for how long callers may keep a list that is told now."""
 
-    def offered(self, now: float) -> list[str]:
+    def listed_addresses(self, now: float) -> list[str]:
         """Return the callers' addresses of entries to use."""
 
 
-class Spelling(typing.Protocol):
+class HandlerFactory(typing.Protocol):
     """How those questions and their answers are spelled."""
 
-    def handler(self, offers: Offers) -> connection.Handler:
+    def create_handler(
+        self, entry_directory: EntryDirectory
+    ) -> connection.Handler:
         """Return what answers them."""
--- a/clementinepass/direct/endpoint_loads.py
+++ b/clementinepass/direct/endpoint_loads.py
@@ -14,23 +14,23 @@
 #: Seconds for which the last report of an agent that fell silent is the least
 #: that is assumed. Some entries may still hear it; these count to others no
 #: requests there.
-_LAST_REPORT_SECONDS = 5.0
+_STALE_REPORT_SECONDS = 5.0
 #: Seconds after which another entry's count of its requests says nothing.
-_COUNT_SECONDS = 2.5
+_PEER_COUNT_LIFETIME_SECONDS = 2.5
 
 
 class _PeerCounts:
     """Another entry's requests at endpoints, as it last told."""
 
-    __slots__ = ('at', 'in_flight_by_endpoint')
+    __slots__ = ('received_at', 'in_flight_by_endpoint')
 
     def __init__(
         self,
         in_flight_by_endpoint: dict[str, int],
-        at: float,
+        received_at: float,
     ) -> None:
         self.in_flight_by_endpoint = in_flight_by_endpoint
-        self.at = at
+        self.received_at = received_at
 
 
 class EndpointLoads:
@@ -41,7 +41,7 @@
     def __init__(self) -> None:
         self._counts_by_peer: dict[str, _PeerCounts] = {}
 
-    def heard(
+    def update_peer_counts(
         self,
         peer: str,
         in_flight_by_endpoint: dict[str, int],
@@ -52,40 +52,43 @@
 
     def total(self, endpoint: endpoints.Endpoint, now: float) -> int:
         """Return the requests at an endpoint."""
-        reported = endpoint.reported
-        if reported.is_fresh(now):
-            return max(reported.total, endpoint.in_flight)
-        name = endpoint.listing.id
-        others = sum(
-            peer.in_flight_by_endpoint.get(name, 0)
-            for peer in self._counts_by_peer.values()
-            if now - peer.at < _COUNT_SECONDS
+        reported_load = endpoint.reported_load
+        if reported_load.is_fresh(now):
+            return max(reported_load.total, endpoint.in_flight)
+        endpoint_id = endpoint.listing.id
+        in_flight_of_peers = sum(
+            peer_counts.in_flight_by_endpoint.get(endpoint_id, 0)
+            for peer_counts in self._counts_by_peer.values()
+            if now - peer_counts.received_at < _PEER_COUNT_LIFETIME_SECONDS
         )
-        counted = endpoint.in_flight + others
-        if now - reported.at < _LAST_REPORT_SECONDS:
-            return max(counted, reported.active + reported.queued)
+        counted = endpoint.in_flight + in_flight_of_peers
+        if now - reported_load.received_at < _STALE_REPORT_SECONDS:
+            return max(counted, reported_load.active + reported_load.queued)
         return counted
 
-    def unbegun(self, endpoint: endpoints.Endpoint, now: float) -> float:
+    def unstarted(self, endpoint: endpoints.Endpoint, now: float) -> float:
         """Return how many requests there have no event yet.
 
         Entries tell only how many they have there; those of others are taken
         to have begun as often as this entry's.
         """
-        if endpoint.reported.is_fresh(now):
-            return endpoint.reported.unbegun
+        if endpoint.reported_load.is_fresh(now):
+            return endpoint.reported_load.unstarted
         if not endpoint.in_flight:
             return 0
-        waiting = max(endpoint.in_flight - endpoint.streams, 0)
-        return waiting / endpoint.in_flight * self.total(endpoint, now)
+        unstarted_here = max(endpoint.in_flight - endpoint.active_streams, 0)
+        return unstarted_here / endpoint.in_flight * self.total(endpoint, now)
 
     def forget_endpoint(self, endpoint_id: str) -> None:
         """Drop what is known of the start before of an endpoint."""
-        for peer in self._counts_by_peer.values():
-            peer.in_flight_by_endpoint.pop(endpoint_id, None)
+        for peer_counts in self._counts_by_peer.values():
+            peer_counts.in_flight_by_endpoint.pop(endpoint_id, None)
 
-    def forget(self, now: float) -> None:
+    def remove_expired(self, now: float) -> None:
         """Drop counts that say nothing any more."""
         for peer in list(self._counts_by_peer):
-            if now - self._counts_by_peer[peer].at > _COUNT_SECONDS:
+            if (
+                now - self._counts_by_peer[peer].received_at
+                > _PEER_COUNT_LIFETIME_SECONDS
+            ):
                 del self._counts_by_peer[peer]
--- a/clementinepass/direct/endpoints.py
+++ b/clementinepass/direct/endpoints.py
@@ -32,15 +32,15 @@
 #: that reads the longest prompts each 300.
 _STALLED_SECONDS = 0.6
 #: Streams that say so; a single one may have been given up there.
-_LEAST_STREAMS = 2
+_MIN_STALLED_STREAMS = 2
 
 
 #: Seconds that a report is on its way: what was sent there since then may have
 #: come after it was made.
-_ON_WAY = 0.03
+_REPORT_TRANSIT_SECONDS = 0.03
 #: Seconds for which an agent's report of its engine's load is gone by: two of
 #: the longest intervals between reports.
-_REPORT_SECONDS = 1.0
+_REPORT_LIFETIME_SECONDS = 1.0
 
 
 class Weights(typing.NamedTuple):
@@ -70,9 +70,9 @@
     heartbeat: int
     weights: Weights
     #: When its process started, in milliseconds of Unix time.
-    started: int = incarnations.UNKNOWN_START
+    started_ms: int = incarnations.UNKNOWN_START
     #: Grows with each word in the list, whosever it is.
-    written: int = 0
+    record_offset: int = 0
 
     @property
     def host(self) -> str:
@@ -82,59 +82,66 @@
     @property
     def stamp(self) -> incarnations.Stamp:
         """Return what orders it among the words of its id."""
-        return incarnations.Stamp(self.started, self.heartbeat)
+        return incarnations.Stamp(self.started_ms, self.heartbeat)
 
-    def is_elsewhere(self, known: Listing) -> bool:
+    def has_moved_from(self, earlier: Listing) -> bool:
         """Tell whether it names another place than a word before.
 
         A process keeps its service and address for as long as it runs, so
         this too is another start, also where none is told.
         """
-        return (self.service, self.address) != (known.service, known.address)
+        return (self.service, self.address) != (
+            earlier.service,
+            earlier.address,
+        )
 
 
-class Reported:
+class ReportedLoad:
     """The load of an engine as its agent told it, and what was sent since."""
 
-    __slots__ = ('_sent_at', 'active', 'at', 'queued')
+    __slots__ = ('_sent_at', 'active', 'received_at', 'queued')
 
     def __init__(self) -> None:
         #: When it was told; monotonic seconds.
-        self.at = float('-inf')
+        self.received_at = float('-inf')
         self.active = 0
         self.queued = 0
         #: When this entry sent what it doesn't know of; monotonic seconds.
         self._sent_at: list[float] = []
 
-    def tell(self, active: int, queued: int, now: float) -> None:
+    def update(self, active: int, queued: int, now: float) -> None:
         """Take a newer report."""
-        self.at = now
+        self.received_at = now
         self.active = active
         self.queued = queued
-        self._sent_at = [at for at in self._sent_at if now - at < _ON_WAY]
+        self._sent_at = [
+            sent_at
+            for sent_at in self._sent_at
+            if now - sent_at < _REPORT_TRANSIT_SECONDS
+        ]
 
     def is_fresh(self, now: float) -> bool:
         """Tell whether it still says something."""
-        return now - self.at < _REPORT_SECONDS
+        return now - self.received_at < _REPORT_LIFETIME_SECONDS
 
-    def sent(self, now: float) -> None:
+    def record_sent(self, now: float) -> None:
         """Note that this entry sends a request there."""
         self._sent_at.append(now)
 
     @property
-    def sent_since(self) -> int:
+    def sent_since_report(self) -> int:
         """Return how many requests the report can't know of."""
         return len(self._sent_at)
 
     @property
-    def unbegun(self) -> int:
+    def unstarted(self) -> int:
         """Return how many requests there have no event yet, about."""
-        return self.queued + self.sent_since
+        return self.queued + self.sent_since_report
 
     @property
     def total(self) -> int:
         """Return how many requests are there."""
-        return self.active + self.unbegun
+        return self.active + self.unstarted
 
 
 class Endpoint:
@@ -145,19 +152,19 @@
     """
 
     __slots__ = (
-        'gone_at',
-        'heard',
+        'unusable_at',
+        'last_received_at',
         'in_flight',
         'is_unreadable',
         'listing',
-        'misdirected',
+        'is_misdirected',
         'removed_at',
         'replaced_by',
-        'reported',
+        'reported_load',
         'congested_until',
-        'streams',
+        'active_streams',
         'weights',
-        'weights_started',
+        'weights_started_ms',
     )
 
     def __init__(self, listing: Listing) -> None:
@@ -165,11 +172,11 @@
         #: The newest word on its weights, of the list or of its agent, and
         #: the start of the engine that it is of.
         self.weights = listing.weights
-        self.weights_started = listing.started
+        self.weights_started_ms = listing.started_ms
         #: Requests of this entry at the endpoint.
         self.in_flight = 0
         #: Whether another answered at its address.
-        self.misdirected = False
+        self.is_misdirected = False
         #: Whether the newest record under its id names no endpoint.
         self.is_unreadable = False
         #: The endpoint that last listed itself at its address, if another.
@@ -177,31 +184,31 @@
         #: When the list dropped it; ``None`` while it stands there.
         self.removed_at: float | None = None
         #: When a byte of a stream of it last came; monotonic seconds.
-        self.heard: float = 0
+        self.last_received_at: float = 0
         #: Streams of it that have begun and go on.
-        self.streams = 0
+        self.active_streams = 0
         #: What its agent last told of its load.
-        self.reported = Reported()
+        self.reported_load = ReportedLoad()
         #: Until when its machine's link is taken for slow.
         self.congested_until = float('-inf')
         #: When it stops to be used after the list dropped it.
-        self.gone_at: float | None = None
+        self.unusable_at: float | None = None
 
-    def usable(self, now: float) -> bool:
+    def is_usable(self, now: float) -> bool:
         """Tell whether requests may be sent to it."""
-        if self.listing.draining or self.misdirected or self.is_unreadable:
+        if self.listing.draining or self.is_misdirected or self.is_unreadable:
             return False
         if self.replaced_by is not None and self.replaced_by.is_listed:
             return False
-        return self.gone_at is None or now < self.gone_at
+        return self.unusable_at is None or now < self.unusable_at
 
     @property
     def is_listed(self) -> bool:
         """Tell whether nothing speaks against its word in the list."""
-        is_refuted = self.misdirected or self.is_unreadable
+        is_refuted = self.is_misdirected or self.is_unreadable
         return self.removed_at is None and not is_refuted
 
-    def stalled(self, now: float) -> bool:
+    def is_stalled(self, now: float) -> bool:
         """Tell whether it says nothing though streams of it have begun.
 
         Failure: a machine stood still for four seconds. Its requests were
@@ -209,20 +216,20 @@
         been, it looked like the emptiest and drew more. Requests that haven't
         begun say nothing: they may wait for those of other entries.
         """
-        silent = now - self.heard > _STALLED_SECONDS
-        return silent and self.streams >= _LEAST_STREAMS
+        is_silent = now - self.last_received_at > _STALLED_SECONDS
+        return is_silent and self.active_streams >= _MIN_STALLED_STREAMS
 
     @property
-    def loading(self) -> bool:
+    def is_loading(self) -> bool:
         """Tell whether its engine takes up a version and runs nothing."""
         return bool(self.weights.version) and not self.weights.end
 
-    def holds(self, engine: routing.Engine, version: int) -> bool:
+    def has_weights(self, engine: routing.Engine, version: int) -> bool:
         """Tell whether it holds all layers of a version, or a newer one."""
-        held = self.weights
-        if not held.version or held.version < version:
+        loaded = self.weights
+        if not loaded.version or loaded.version < version:
             return False
-        return held.first == 0 and held.end >= engine.layers
+        return loaded.first == 0 and loaded.end >= engine.layers
 
 
 class Endpoints:
@@ -244,36 +251,36 @@
         """Return an endpoint by its id."""
         return self._by_id.get(endpoint_id)
 
-    def at_host(self, ip: str) -> list[Endpoint]:
+    def at_ip(self, ip: str) -> list[Endpoint]:
         """Return the endpoints that list themselves at an IP number."""
         return list(self._by_host.get(ip, {}).values())
 
-    def listed(self, listing: Listing) -> bool:
+    def apply_listing(self, listing: Listing) -> bool:
         """Take an endpoint's word; tell whether it changed anything."""
-        known = self._by_id.get(listing.id)
-        if known is None:
+        endpoint = self._by_id.get(listing.id)
+        if endpoint is None:
             self._add(Endpoint(listing))
             return True
-        order = incarnations.compare(known.listing.stamp, listing.stamp)
+        order = incarnations.compare(endpoint.listing.stamp, listing.stamp)
         if order is incarnations.Order.OLDER_START:
             return False
-        is_moved = listing.is_elsewhere(known.listing)
+        has_moved = listing.has_moved_from(endpoint.listing)
         if order is incarnations.Order.OLDER:
-            leaves_here = listing.draining and not is_moved
+            is_late_drain = listing.draining and not has_moved
             # Where no start is told, counts that begin anew after the list
             # dropped it are all that a restart shows.
             may_have_restarted = (
-                known.removed_at is not None
-                and listing.started == incarnations.UNKNOWN_START
+                endpoint.removed_at is not None
+                and listing.started_ms == incarnations.UNKNOWN_START
             )
-            if not (leaves_here or may_have_restarted):
+            if not (is_late_drain or may_have_restarted):
                 return False
-        if order is incarnations.Order.NEW_START or is_moved:
-            self._begin_anew(known, listing)
+        if order is incarnations.Order.NEW_START or has_moved:
+            self._replace_endpoint(endpoint, listing)
             return True
-        return self._renew(known, listing)
+        return self._update(endpoint, listing)
 
-    def unreadable(self, endpoint_id: str) -> bool:
+    def mark_unreadable(self, endpoint_id: str) -> bool:
         """Take it that the newest record of an id names no endpoint.
 
         Failure: an endpoint's state was one that this version doesn't know,
@@ -281,90 +288,95 @@
         known of it is touched: its next record tells it all. It holds in all
         entries alike, since only the newest record of a key is kept.
         """
-        known = self._by_id.get(endpoint_id)
-        if known is None or known.is_unreadable:
+        endpoint = self._by_id.get(endpoint_id)
+        if endpoint is None or endpoint.is_unreadable:
             return False
-        known.is_unreadable = True
+        endpoint.is_unreadable = True
         return True
 
-    def removed(self, endpoint_id: str, now: float, grace: float) -> bool:
+    def mark_removed(self, endpoint_id: str, now: float, grace: float) -> bool:
         """Take it that the list dropped an endpoint.
 
         :param grace: seconds for which it is used all the same, since the
             entry may have lapsed while the store was away.
         """
-        known = self._by_id.get(endpoint_id)
-        if known is None or known.removed_at is not None:
+        endpoint = self._by_id.get(endpoint_id)
+        if endpoint is None or endpoint.removed_at is not None:
             return False
-        known.removed_at = now
-        known.gone_at = now + grace
+        endpoint.removed_at = now
+        endpoint.unusable_at = now + grace
         return True
 
-    def of_service(self, service: str, now: float) -> list[Endpoint]:
+    def usable_for_service(self, service: str, now: float) -> list[Endpoint]:
         """Return the endpoints of a service that may be used."""
         return [
             endpoint
             for endpoint in self._by_service.get(service, {}).values()
-            if endpoint.usable(now)
+            if endpoint.is_usable(now)
         ]
 
-    def forget(self, now: float) -> list[Endpoint]:
+    def remove_expired(self, now: float) -> list[Endpoint]:
         """Drop endpoints that are gone and have no request left."""
-        dropped = [
+        expired = [
             endpoint
             for endpoint in self._by_id.values()
-            if endpoint.gone_at is not None
-            and endpoint.gone_at + RELIST_SECONDS < now
+            if endpoint.unusable_at is not None
+            and endpoint.unusable_at + RELIST_SECONDS < now
             and not endpoint.in_flight
         ]
-        for endpoint in dropped:
-            self._drop(endpoint)
-        return dropped
+        for endpoint in expired:
+            self._remove(endpoint)
+        return expired
 
-    def _renew(self, known: Endpoint, listing: Listing) -> bool:
+    def _update(self, endpoint: Endpoint, listing: Listing) -> bool:
         """Take a later word of the start that is known."""
-        if known.listing.draining:
+        if endpoint.listing.draining:
             # A process that leaves never stays; a word that says so was
             # written before.
             listing = listing._replace(draining=True)
-        if not listing.started:
-            listing = listing._replace(started=known.listing.started)
-        returned = known.removed_at is not None
-        is_same = listing == known.listing._replace(written=listing.written)
-        changed = returned or known.is_unreadable or not is_same
+        if not listing.started_ms:
+            listing = listing._replace(started_ms=endpoint.listing.started_ms)
+        is_relisted = endpoint.removed_at is not None
+        is_same = listing == endpoint.listing._replace(
+            record_offset=listing.record_offset
+        )
+        has_changed = is_relisted or endpoint.is_unreadable or not is_same
         is_current = not incarnations.is_superseded(
-            known.weights_started, listing.started
+            endpoint.weights_started_ms, listing.started_ms
         )
-        if listing.weights != known.listing.weights and is_current:
-            known.weights = listing.weights
-        known.listing = listing
-        known.is_unreadable = False
-        known.removed_at = None
-        known.gone_at = None
-        self._note_address(known)
-        return changed
-
-    def _begin_anew(self, known: Endpoint, listing: Listing) -> None:
+        if listing.weights != endpoint.listing.weights and is_current:
+            endpoint.weights = listing.weights
+        endpoint.listing = listing
+        endpoint.is_unreadable = False
+        endpoint.removed_at = None
+        endpoint.unusable_at = None
+        self._resolve_address(endpoint)
+        return has_changed
+
+    def _replace_endpoint(self, previous: Endpoint, listing: Listing) -> None:
         """Put a newer start in the place of the one that is known.
 
         Failure: an endpoint that had left, or that another had answered for,
         was never used again after it came back under its id; one that came
         back empty was sent requests for the weights that it had held.
         """
-        is_same_start = listing.started and (
-            listing.started == known.listing.started
+        is_same_start = listing.started_ms and (
+            listing.started_ms == previous.listing.started_ms
         )
-        if is_same_start and known.listing.draining:
+        if is_same_start and previous.listing.draining:
             # Moved, by its word; leaving is final for one start all the same.
             listing = listing._replace(draining=True)
-        fresh = Endpoint(listing)
-        if listing.started and known.weights_started == listing.started:
+        replacement = Endpoint(listing)
+        if (
+            listing.started_ms
+            and previous.weights_started_ms == listing.started_ms
+        ):
             # Its agent was faster than the list.
-            fresh.weights = known.weights
-        self._drop(known)
-        self._add(fresh)
+            replacement.weights = previous.weights
+        self._remove(previous)
+        self._add(replacement)
 
-    def _drop(self, endpoint: Endpoint) -> None:
+    def _remove(self, endpoint: Endpoint) -> None:
         listing = endpoint.listing
         del self._by_id[listing.id]
         del self._by_service[listing.service][listing.id]
@@ -381,9 +393,9 @@
         self._by_id[listing.id] = endpoint
         self._by_service.setdefault(listing.service, {})[listing.id] = endpoint
         self._by_host.setdefault(listing.host, {})[listing.id] = endpoint
-        self._note_address(endpoint)
+        self._resolve_address(endpoint)
 
-    def _note_address(self, endpoint: Endpoint) -> None:
+    def _resolve_address(self, endpoint: Endpoint) -> None:
         """Have the newest word at an address replace the others there.
 
         Only of the same service: a word that is wrong is refuted as soon as a
@@ -396,9 +408,9 @@
         listing = endpoint.listing
         endpoint.replaced_by = None
         for other in self._by_host[listing.host].values():
-            if other is endpoint or listing.is_elsewhere(other.listing):
+            if other is endpoint or listing.has_moved_from(other.listing):
                 continue
-            if other.listing.written < listing.written:
+            if other.listing.record_offset < listing.record_offset:
                 other.replaced_by = endpoint
-            elif other.listing.written > listing.written:
+            elif other.listing.record_offset > listing.record_offset:
                 endpoint.replaced_by = other
--- a/clementinepass/direct/entry.py
+++ b/clementinepass/direct/entry.py
@@ -33,17 +33,17 @@
     from clementinepass.direct import calls, directory, node, routing
 
 #: Seconds between looks for endpoints and members that are gone.
-_TIDY_SECONDS = 1.0
+_CLEANUP_SECONDS = 1.0
 #: Seconds for which an entry that fell silent still counts for the budget.
-_COUNTED_SECONDS = 12.0
+_ENTRY_COUNT_SECONDS = 12.0
 
 
-class Boundary(typing.NamedTuple):
+class PlatformAdapters(typing.NamedTuple):
     """What an entry needs from the users' platform."""
 
     store: records.Store
     dialect: calls.Dialect
-    spelling: directory.Spelling
+    directory_handlers: directory.HandlerFactory
     readers: intake.Readers
 
 
@@ -56,31 +56,35 @@
 
     def __init__(
         self,
-        own: node.Node,
-        boundary: Boundary,
+        local_node: node.Node,
+        adapters: PlatformAdapters,
         registry: aioprometheus.Registry,
         rng: random.Random,
     ) -> None:
-        self._own = own
-        self._boundary = boundary
-        self.cluster = cluster_state.ClusterState(own)
-        taking = intake.Intake(self.cluster, boundary.readers)
-        self._followers = taking.followers(boundary.store, rng)
-        patience = start_reading.read_delay(own.ip, own.seeds, rng)
-        for follow in self._followers.values():
-            follow.patience = patience
-        self.peers = gossip.Peers(own, self._followers, self.cluster, rng)
-        for topic, follow in self._followers.items():
-            follow.turns = self.peers.turns_by_topic[topic]
-            follow.tell_relying = self.peers.tell_relying
-            follow.tell_all = self.peers.speak
+        self._local_node = local_node
+        self._adapters = adapters
+        self.cluster = cluster_state.ClusterState(local_node)
+        record_intake = intake.Intake(self.cluster, adapters.readers)
+        self._followers = record_intake.followers(adapters.store, rng)
+        start_delay = start_reading.read_delay(
+            local_node.ip, local_node.seeds, rng
+        )
+        for follower in self._followers.values():
+            follower.patience = start_delay
+        self.peers = gossip.Peers(
+            local_node, self._followers, self.cluster, rng
+        )
+        for topic, follower in self._followers.items():
+            follower.turns = self.peers.turns_by_topic[topic]
+            follower.tell_relying = self.peers.tell_relying
+            follower.tell_all = self.peers.speak
         self._subscribing = subscribing.Subscribing(
-            own,
+            local_node,
             self.cluster,
             self.peers.subscribe,
         )
         # Agents have eight seconds for five seconds' work.
-        self.cluster.on_named = self._tell_of_version
+        self.cluster.on_named = self._announce_version
         log = request_log.RequestLog(registry)
         #: The cluster state, as metrics.
         self.gauges = gauges.Gauges(
@@ -89,155 +93,164 @@
             self._followers,
             self.peers,
         )
-        self._departure = departure.Departure(own, self.cluster)
-        self._sender = attempt.Sender(self.cluster, boundary.dialect, log)
-        self._path = path.Path(
-            own,
+        self._drain_state = departure.DrainState(local_node, self.cluster)
+        self._sender = attempt.Sender(self.cluster, adapters.dialect, log)
+        self._request_handler = path.RequestHandler(
+            local_node,
             self.cluster,
-            boundary.dialect,
+            adapters.dialect,
             self._sender,
             log,
-            self._entries,
-            self._departure,
-            self._others_ready,
+            self._count_entries,
+            self._drain_state,
+            self._count_ready_peers,
             rng,
         )
-        self.front = front.Front(self._path.serve, self._bounds)
-        self._asked = front.Front(boundary.spelling.handler(self))
+        self.front = front.Front(self._request_handler.serve, self._bounds)
+        self._directory_front = front.Front(
+            adapters.directory_handlers.create_handler(self)
+        )
 
     @property
-    def callers(self) -> str:
+    def callers_address(self) -> str:
         """Return ``host:port`` where callers connect."""
-        return self._own.callers
+        return self._local_node.callers
 
     @property
-    def directory(self) -> str:
+    def directory_address(self) -> str:
         """Return ``host:port`` where callers ask for entries."""
-        return self._own.directory or self._own.readiness
+        return self._local_node.directory or self._local_node.readiness
 
     @property
-    def ready(self) -> bool:
+    def is_ready(self) -> bool:
         """Tell whether callers may be sent here."""
         return self.peers.phase is members.Phase.READY
 
-    def told(self, now: float) -> float:
+    def list_max_age(self, now: float) -> float:
         """Return for how long callers may keep a list that is told now."""
-        return self._departure.told(now)
+        return self._drain_state.list_max_age(now)
 
-    def offered(self, now: float) -> list[str]:
+    def listed_addresses(self, now: float) -> list[str]:
         """Return the callers' addresses of entries to use."""
-        found = [member.callers for member in self.peers.members.ready(now)]
-        if self.ready:
-            found.append(self._own.callers)
-        return found or self._last_offered(now)
+        addresses = [member.callers for member in self.peers.members.ready(now)]
+        if self.is_ready:
+            addresses.append(self._local_node.callers)
+        return addresses or self._draining_addresses(now)
 
-    def _last_offered(self, now: float) -> list[str]:
+    def _draining_addresses(self, now: float) -> list[str]:
         """Return the entries to use when none is ready.
 
         Failure: all were stopped within six seconds, and each named itself,
         also those that took nothing any more. The ones told last still take
         what comes.
         """
-        named = self._departure.lists.listed_seconds
-        lately = self.peers.members.leaving_lately(now, named)
-        found = [member.callers for member in lately]
-        if not found or self._departure.is_named(now):
-            found.append(self._own.callers)
-            self._departure.offered(now)
-        return found
+        offer_seconds = self._drain_state.list_policy.listed_seconds
+        draining_members = self.peers.members.leaving_lately(now, offer_seconds)
+        addresses = [member.callers for member in draining_members]
+        if not addresses or self._drain_state.is_listed(now):
+            addresses.append(self._local_node.callers)
+            self._drain_state.log_listed(now)
+        return addresses
 
     async def run(self) -> None:
         """Serve until told to stop."""
         await self._listen()
-        leave = leaving.Leaving(
+        drainer = leaving.Drainer(
             self.front,
-            self._path,
+            self._request_handler,
             self.peers,
-            self._departure,
+            self._drain_state,
         )
         async with asyncio.TaskGroup() as tasks:
-            works = (
-                *(one.run for one in self._followers.values()),
+            jobs = (
+                *(follower.run for follower in self._followers.values()),
                 self.peers.run,
-                self._tidy,
+                self._clean_up,
                 self._become_ready,
                 self._subscribing.run,
             )
             running = [
-                tasks.create_task(background.keep_running(work))
-                for work in works
+                tasks.create_task(background.keep_running(job)) for job in jobs
             ]
-            await leave.wait()
+            await drainer.wait_until_drained()
             for task in running:
                 task.cancel()
         await self.front.close()
 
     async def _listen(self) -> None:
         for listener, address in (
-            (self.front, self._own.callers),
-            (self._asked, self._own.readiness),
+            (self.front, self._local_node.callers),
+            (self._directory_front, self._local_node.readiness),
         ):
             host, _, port = address.rpartition(':')
             await listener.listen(host, int(port))
-        if self._own.directory not in {'', self._own.readiness}:
-            host, _, port = self._own.directory.rpartition(':')
-            second = front.Front(self._asked.handler)
-            await second.listen(host, int(port))
+        if self._local_node.directory not in {'', self._local_node.readiness}:
+            host, _, port = self._local_node.directory.rpartition(':')
+            extra_front = front.Front(self._directory_front.handler)
+            await extra_front.listen(host, int(port))
         await self.peers.listen()
-        logger.bind(node=self._own.name, callers=self._own.callers).info(
+        logger.bind(
+            node=self._local_node.name, callers=self._local_node.callers
+        ).info(
             'entry started',
         )
 
     async def _become_ready(self) -> None:
         """Be ready once configuration and endpoints are known."""
-        while not all(one.started for one in self._followers.values()) or (
-            self.cluster.routing is None
-        ):
+        while not all(
+            follower.started for follower in self._followers.values()
+        ) or (self.cluster.routing is None):
             await asyncio.sleep(0.02)
         if self.peers.phase is members.Phase.STARTING:
             self.peers.phase = members.Phase.READY
             self.peers.speak()
             logger.bind(
-                node=self._own.name,
+                node=self._local_node.name,
                 seconds=uptime.seconds(),
             ).info('entry ready')
-        await self._meet()
+        await self._join()
 
-    async def _meet(self) -> None:
+    async def _join(self) -> None:
         """Find the other entries, and be found, through the store."""
-        store = self._boundary.store
+        store = self._adapters.store
         while True:
             try:
                 page = await store.newest(records.Topic.ENTRIES)
                 self.peers.met(page.ips)
-                if not any(one.key == self._own.ip for one in page.records):
-                    await store.put(records.Topic.ENTRIES, self._own.ip, b'1')
+                if not any(
+                    record.key == self._local_node.ip for record in page.records
+                ):
+                    await store.put(
+                        records.Topic.ENTRIES, self._local_node.ip, b'1'
+                    )
                 break
             except errors.ClementinepassError as error:
                 logger.info('entries not read: {}', error)
-            await asyncio.sleep(_TIDY_SECONDS)
+            await asyncio.sleep(_CLEANUP_SECONDS)
         await asyncio.Event().wait()
 
-    async def _tidy(self) -> None:
+    async def _clean_up(self) -> None:
         loop = asyncio.get_running_loop()
         while True:
-            await asyncio.sleep(_TIDY_SECONDS)
+            await asyncio.sleep(_CLEANUP_SECONDS)
             now = loop.time()
             for endpoint in self.cluster.forget(now):
-                self._sender.forget(endpoint.listing.id)
+                self._sender.close_connections(endpoint.listing.id)
             self.peers.members.forget(now)
 
-    def _tell_of_version(self) -> None:
+    def _announce_version(self) -> None:
         self.peers.speak(whole=True)
 
-    def _entries(self) -> int:
+    def _count_entries(self) -> int:
         now = asyncio.get_running_loop().time()
-        return 1 + self.peers.members.lately(now, _COUNTED_SECONDS)
+        return 1 + self.peers.members.lately(now, _ENTRY_COUNT_SECONDS)
 
-    def _others_ready(self) -> int:
+    def _count_ready_peers(self) -> int:
         now = asyncio.get_running_loop().time()
         return len(self.peers.members.ready(now))
 
     def _bounds(self) -> limits.Bounds:
-        current: routing.Routing | None = self.cluster.routing
-        return limits.Bounds() if current is None else current.bounds
+        configuration: routing.Routing | None = self.cluster.routing
+        return (
+            limits.Bounds() if configuration is None else configuration.bounds
+        )
--- a/clementinepass/direct/events.py
+++ b/clementinepass/direct/events.py
@@ -11,7 +11,7 @@
     from collections.abc import Iterator
 
 #: Bytes of one event that are kept until it is whole.
-_LONGEST_EVENT = 1 << 20
+_MAX_EVENT_BYTES = 1 << 20
 #: What ends an event: a line without anything on it.
 _BLANK_LINE = re.compile(b'\n\n|\r\n\r\n')
 
@@ -31,7 +31,7 @@
         super().__init__(detail, step='relay', peer='endpoint')
 
 
-class Splitter:
+class EventSplitter:
     """Collect bytes and hand out whole events in their order.
 
     Endpoints stop in the middle of an event when they crash.  Only whole
@@ -40,15 +40,15 @@
     :param after: the last event that the caller has; ``None`` at the start.
     """
 
-    __slots__ = ('_pending', 'last')
+    __slots__ = ('_pending', 'last_id')
 
-    def __init__(self, after: int | None) -> None:
+    def __init__(self, after_id: int | None) -> None:
         self._pending = b''
         #: The id of the last event handed out.
-        self.last = after
+        self.last_id = after_id
 
     @property
-    def partial(self) -> bool:
+    def has_partial_event(self) -> bool:
         """Tell whether an event has begun and isn't whole."""
         return bool(self._pending)
 
@@ -62,31 +62,31 @@
             is too long.
         """
         self._pending += payload
-        end = _end_of_event(self._pending)
+        end = _event_end(self._pending)
         while end:
-            event = Event(self._pending[:end], _id_of(self._pending[:end]))
+            event = Event(self._pending[:end], _event_id(self._pending[:end]))
             self._pending = self._pending[end:]
-            self._follow(event)
+            self._check_sequence(event)
             yield event
-            end = _end_of_event(self._pending)
-        if len(self._pending) > _LONGEST_EVENT:
+            end = _event_end(self._pending)
+        if len(self._pending) > _MAX_EVENT_BYTES:
             raise StreamBrokenError('an event has no end')
 
-    def _follow(self, event: Event) -> None:
+    def _check_sequence(self, event: Event) -> None:
         if event.id is None:
             return
-        if self.last is not None and event.id != self.last + 1:
-            raise StreamBrokenError(f'{event.id} follows on {self.last}')
-        self.last = event.id
+        if self.last_id is not None and event.id != self.last_id + 1:
+            raise StreamBrokenError(f'{event.id} follows on {self.last_id}')
+        self.last_id = event.id
 
 
-def _end_of_event(pending: bytes) -> int:
+def _event_end(pending: bytes) -> int:
     """Return where the first event ends; 0 where none is whole."""
-    found = _BLANK_LINE.search(pending)
-    return found.end() if found else 0
+    match = _BLANK_LINE.search(pending)
+    return match.end() if match else 0
 
 
-def _id_of(event: bytes) -> int | None:
+def _event_id(event: bytes) -> int | None:
     for line in event.splitlines():
         if line.startswith(b'id:'):
             field = line.removeprefix(b'id:').strip()
--- a/clementinepass/direct/exposition.py
+++ b/clementinepass/direct/exposition.py
@@ -20,7 +20,7 @@
 _NOT_FOUND = 404
 
 
-class Exposition:
+class MetricsServer:
     """Serve the metrics of a registry.
 
     :param registry: what is served.
@@ -36,7 +36,7 @@
     ) -> None:
         self._registry = registry
         self._refresh = refresh
-        self._front = front.Front(self._answer)
+        self._front = front.Front(self._handle)
 
     async def listen(self, ip: str, port: int = PORT) -> int:
         """Listen and return the port that was bound."""
@@ -46,7 +46,7 @@
         """Stop serving."""
         await self._front.close()
 
-    async def _answer(
+    async def _handle(
         self,
         request: messages.Request,
         reply: replies.Reply,
@@ -57,6 +57,6 @@
         self._refresh()
         body, headers = aioprometheus.render(self._registry, [])
         pairs = [
-            (name.encode(), field.encode()) for name, field in headers.items()
+            (name.encode(), value.encode()) for name, value in headers.items()
         ]
         reply.send(_OK, pairs, body)
--- a/clementinepass/direct/gauges.py
+++ b/clementinepass/direct/gauges.py
@@ -18,26 +18,26 @@
     """
 
     __slots__ = (
-        '_age',
+        '_store_answer_age',
         '_cluster',
         '_endpoints',
         '_followers',
         '_members',
         '_peers',
-        '_version',
+        '_configuration_version',
     )
 
     def __init__(
         self,
         registry: aioprometheus.Registry,
-        known: cluster_state.ClusterState,
+        cluster: cluster_state.ClusterState,
         followers: dict[records.Topic, follower.Follower],
         peers: gossip.Peers,
     ) -> None:
-        self._cluster = known
+        self._cluster = cluster
         self._followers = followers
         self._peers = peers
-        self._version = aioprometheus.Gauge(
+        self._configuration_version = aioprometheus.Gauge(
             'clementinepass_configuration_version',
             'Configuration in force; 0 while none is known.',
             registry=registry,
@@ -52,7 +52,7 @@
             'Other entries that are there.',
             registry=registry,
         )
-        self._age = aioprometheus.Gauge(
+        self._store_answer_age = aioprometheus.Gauge(
             'clementinepass_store_answer_age_seconds',
             "Time since the store's last answer, here or to who reads for it.",
             registry=registry,
@@ -61,12 +61,16 @@
     def update(self) -> None:
         """Set the gauges to what is known now."""
         now = asyncio.get_running_loop().time()
-        current = self._cluster.routing
-        self._version.set({}, 0 if current is None else current.version)
-        usable = sum(one.usable(now) for one in self._cluster.endpoints)
+        configuration = self._cluster.routing
+        self._configuration_version.set(
+            {}, 0 if configuration is None else configuration.version
+        )
+        usable = sum(
+            endpoint.is_usable(now) for endpoint in self._cluster.endpoints
+        )
         self._endpoints.set({}, usable)
         self._members.set({}, len(self._peers.members.alive(now)))
-        for topic, own in self._followers.items():
-            if own.contact:
-                age = round(now - own.contact, 3)
-                self._age.set({'topic': topic.value}, age)
+        for topic, topic_follower in self._followers.items():
+            if topic_follower.contact:
+                age = round(now - topic_follower.contact, 3)
+                self._store_answer_age.set({'topic': topic.value}, age)
--- a/clementinepass/direct/gossip.py
+++ b/clementinepass/direct/gossip.py
@@ -229,7 +229,7 @@
         if heartbeat.wants_load:
             self.subscribers.renewed(ip, now)
         if heartbeat.sender is not None:
-            self._cluster.loads.heard(
+            self._cluster.loads.update_peer_counts(
                 ip,
                 heartbeat.in_flight_by_endpoint,
                 now,
@@ -372,7 +372,7 @@
             endpoint.listing.address.rpartition(':')[0]
             for endpoint in self._cluster.endpoints
             if endpoint.listing.domain == self._own.domain
-            and endpoint.gone_at is None
+            and endpoint.unusable_at is None
         ]
 
     def _send(self, payload: bytes, ip: str) -> None:
--- a/clementinepass/direct/intake.py
+++ b/clementinepass/direct/intake.py
@@ -120,7 +120,7 @@
             listing = self._readers.endpoint(record)
         except errors.MalformedMessageError as error:
             self._passed_over(record, error)
-            self._cluster.endpoints.unreadable(record.key)
+            self._cluster.endpoints.mark_unreadable(record.key)
             return
         if listing is None:
             self._dropped(record.key)
@@ -132,7 +132,7 @@
                 version=listing.weights.version,
                 layers=listing.weights.end - listing.weights.first,
                 offset=record.offset,
-                started=listing.started,
+                started=listing.started_ms,
             ).info('endpoint listed')
 
     @property
@@ -148,7 +148,7 @@
         follow = self._listings
         age = None if follow is None else follow.outage_age(now)
         grace = 0 if age is None else min(_LAPSE_GRACE, _RELISTED - age)
-        if self._cluster.endpoints.removed(endpoint_id, now, grace):
+        if self._cluster.endpoints.mark_removed(endpoint_id, now, grace):
             logger.bind(endpoint=endpoint_id, used_for=grace).info(
                 'endpoint dropped from the list',
             )
--- a/clementinepass/direct/leaving.py
+++ b/clementinepass/direct/leaving.py
@@ -20,46 +20,52 @@
     from clementinepass.direct import departure, gossip, path
     from clementinepass.http import front
 
-_LOOK_SECONDS = 0.05
+_POLL_SECONDS = 0.05
 #: Looks at the end in which final answers go out, and connections that a caller
 #: still uses end. Counted and not timed, since a process that is held up for a
 #: moment finds its time over, with its final answers still to be written.
-_LAST_LOOKS = 4
+_FINAL_POLLS = 4
 
 
-class Leaving:
+class Drainer:
     """Wait for SIGTERM, then leave.
 
     :param callers: takes callers' connections.
     :param serving: the path of requests.
     """
 
-    __slots__ = ('_departure', '_front', '_path', '_peers', '_told')
+    __slots__ = (
+        '_drain_state',
+        '_front',
+        '_request_handler',
+        '_peers',
+        '_stop_requested',
+    )
 
     def __init__(
         self,
-        callers: front.Front,
-        serving: path.Path,
+        caller_front: front.Front,
+        request_handler: path.RequestHandler,
         peers: gossip.Peers,
-        state: departure.Departure,
+        drain_state: departure.DrainState,
     ) -> None:
-        self._front = callers
-        self._path = serving
+        self._front = caller_front
+        self._request_handler = request_handler
         self._peers = peers
-        self._departure = state
-        self._told = asyncio.Event()
+        self._drain_state = drain_state
+        self._stop_requested = asyncio.Event()
 
-    async def wait(self) -> None:
+    async def wait_until_drained(self) -> None:
         """Return when the process may end."""
         loop = asyncio.get_running_loop()
-        loop.add_signal_handler(signal.SIGTERM, self._told.set)
-        loop.add_signal_handler(signal.SIGINT, self._told.set)
-        await self._told.wait()
-        plan = self._departure.begin(loop.time())
+        loop.add_signal_handler(signal.SIGTERM, self._stop_requested.set)
+        loop.add_signal_handler(signal.SIGINT, self._stop_requested.set)
+        await self._stop_requested.wait()
+        plan = self._drain_state.start(loop.time())
         self._peers.phase = members.Phase.LEAVING
         self._peers.speak()
         self._front.leaving = True
-        self._path.end_by(plan.last_answer_at)
+        self._request_handler.finish_by(plan.last_answer_at)
         logger.bind(
             connections=len(self._front.connections),
             open=self._front.busy(),
@@ -67,15 +73,15 @@
             last=round(plan.last_answer_at - plan.started_at, 3),
         ).info('leaving')
         while not plan.may_end(loop.time(), self._front.busy()):
-            await asyncio.sleep(_LOOK_SECONDS)
+            await asyncio.sleep(_POLL_SECONDS)
         self._front.stop_listening()
-        for _ in range(_LAST_LOOKS):
+        for _ in range(_FINAL_POLLS):
             if not self._front.close_idle():
                 break
-            await asyncio.sleep(_LOOK_SECONDS)
+            await asyncio.sleep(_POLL_SECONDS)
         logger.bind(
             seconds=round(loop.time() - plan.started_at, 3),
             open=self._front.busy(),
-            taken=self._departure.taken,
-            refused=self._departure.refused,
+            taken=self._drain_state.accepted_count,
+            refused=self._drain_state.refused_count,
         ).info('stopped')
--- a/clementinepass/direct/neighbours.py
+++ b/clementinepass/direct/neighbours.py
@@ -57,7 +57,9 @@
     def service_endpoints(self) -> list[endpoints.Endpoint]:
         """Return the endpoints of the service, the own one included."""
         now = asyncio.get_running_loop().time()
-        return self._cluster.endpoints.of_service(self._local_node.service, now)
+        return self._cluster.endpoints.usable_for_service(
+            self._local_node.service, now
+        )
 
     def plan_input(self, version: int) -> piece_chains.PlanInput:
         """Return what choosing a source for pieces needs."""
@@ -70,7 +72,7 @@
                 self._local_node.region_of(endpoint.listing.domain),
                 endpoint.listing.domain,
                 endpoint.listing.address.rpartition(':')[0],
-                engine is not None and endpoint.holds(engine, version),
+                engine is not None and endpoint.has_weights(engine, version),
             )
             for endpoint in self.service_endpoints()
             if endpoint.listing.address != self._local_node.endpoint
--- a/clementinepass/direct/node.py
+++ b/clementinepass/direct/node.py
@@ -5,7 +5,7 @@
 import msgspec
 
 
-class Duties(msgspec.Struct):
+class SystemLimits(msgspec.Struct):
     """Bounds that the operator sets for the whole system; in seconds.
 
     One object for the life of the process: whoever asks it sees what the
@@ -29,7 +29,7 @@
     #: For which callers may keep a list of entries.
     longest_offer: float = 5
 
-    def take(self, newer: Duties) -> bool:
+    def update(self, newer: SystemLimits) -> bool:
         """Take over newer settings; tell whether anything changed."""
         changed = newer != self
         for name in self.__struct_fields__:
@@ -50,7 +50,7 @@
     first_port: int
     #: The store's address, ``host:port``.
     store: str
-    duties: Duties
+    duties: SystemLimits
     #: ``host:port`` where callers connect; empty for an agent.
     callers: str = ''
     #: ``host:port`` where readiness is asked for.
--- a/clementinepass/direct/path.py
+++ b/clementinepass/direct/path.py
@@ -10,11 +10,11 @@
 from clementinepass.direct import (
     attempt,
     calls,
-    placing,
+    configuration_history,
     request_log,
     routing,
+    selection,
     serving,
-    withdrawn,
 )
 
 if typing.TYPE_CHECKING:
@@ -31,12 +31,12 @@
 _GATEWAY_TIMEOUT = 504
 #: Seconds after which a caller may ask again when nothing says how long it
 #: will take: an entry that starts knows its configuration by then.
-_RETRY_AFTER = 0.4
+_RETRY_AFTER_SECONDS = 0.4
 #: Seconds from sending to the first event of a stream; twice the usual.
-_FIRST_EVENT_SECONDS = 0.35
+_FIRST_EVENT_MARGIN_SECONDS = 0.35
 
 
-class Path:
+class RequestHandler:
     """Serve callers' requests.
 
     :param entries: returns how many entries there are, this one included.
@@ -46,45 +46,53 @@
 
     __slots__ = (
         '_cluster',
-        '_budgets_by_service',
-        '_departure',
+        '_retry_budgets_by_service',
+        '_drain_state',
         '_dialect',
-        '_entries',
+        '_count_entries',
         '_log',
-        '_others_ready',
-        '_own',
-        '_placing',
+        '_count_ready_peers',
+        '_local_node',
+        '_selector',
         '_rng',
         '_sender',
-        '_timeouts',
-        '_withdrawn',
+        '_timeouts_by_request',
+        '_configuration_history',
     )
 
     def __init__(
         self,
-        own: node.Node,
-        known: cluster_state.ClusterState,
+        local_node: node.Node,
+        cluster: cluster_state.ClusterState,
         dialect: calls.Dialect,
         sender: attempt.Sender,
         log: request_log.RequestLog,
-        entries: typing.Callable[[], int],
-        leaving: departure.Departure,
-        others_ready: typing.Callable[[], int],
+        count_entries: typing.Callable[[], int],
+        drain_state: departure.DrainState,
+        count_ready_peers: typing.Callable[[], int],
         rng: random.Random,
     ) -> None:
-        self._own = own
-        self._cluster = known
+        self._local_node = local_node
+        self._cluster = cluster
         self._dialect = dialect
         self._sender = sender
         self._log = log
-        self._entries = entries
-        self._departure = leaving
-        self._others_ready = others_ready
-        self._timeouts: dict[serving.Serving, asyncio.Timeout] = {}
+        self._count_entries = count_entries
+        self._drain_state = drain_state
+        self._count_ready_peers = count_ready_peers
+        self._timeouts_by_request: dict[
+            serving.AdmittedRequest, asyncio.Timeout
+        ] = {}
         self._rng = rng
-        self._placing = placing.Placing(own, known, log, rng)
-        self._withdrawn = withdrawn.Withdrawn()
-        self._budgets_by_service: dict[str, window_budget.WindowBudget] = {}
+        self._selector = selection.EndpointSelector(
+            local_node, cluster, log, rng
+        )
+        self._configuration_history = (
+            configuration_history.ConfigurationHistory()
+        )
+        self._retry_budgets_by_service: dict[
+            str, window_budget.WindowBudget
+        ] = {}
 
     async def serve(
         self,
@@ -93,42 +101,42 @@
     ) -> None:
         """Serve one request to its end."""
         try:
-            call = self._dialect.call(request)
-        except calls.BadCallError as error:
-            self._log.malformed(error, _BAD_REQUEST)
-            reply.send(_BAD_REQUEST, self._dialect.refusal(None), b'')
+            call = self._dialect.decode_request(request)
+        except calls.InvalidRequestError as error:
+            self._log.log_malformed(error, _BAD_REQUEST)
+            reply.send(_BAD_REQUEST, self._dialect.refusal_headers(None), b'')
             return
         admitted = self._admit(call, reply)
         if admitted is None:
             return
-        since = self._departure.since(request.received)
-        if since is not None:
-            self._log.taken_while_leaving(admitted, since)
-        timeout = asyncio.timeout_at(admitted.final_at)
-        self._timeouts[admitted] = timeout
+        seconds_draining = self._drain_state.seconds_draining(request.received)
+        if seconds_draining is not None:
+            self._log.log_accepted_while_draining(admitted, seconds_draining)
+        timeout = asyncio.timeout_at(admitted.deadline)
+        self._timeouts_by_request[admitted] = timeout
         try:
             async with timeout:
-                await self._answer(admitted)
+                await self._run_attempts(admitted)
         except TimeoutError:
-            self._conclude(admitted, admitted.late)
+            self._send_final_answer(admitted, admitted.ending_at_deadline)
         except asyncio.CancelledError:
-            self._log.interrupted(admitted)
+            self._log.log_interrupted(admitted)
             raise
         except Exception as error:
-            self._log.own_fault(admitted, error)
+            self._log.log_internal_error(admitted, error)
             raise
         finally:
-            del self._timeouts[admitted]
+            del self._timeouts_by_request[admitted]
 
-    def end_by(self, when: float) -> None:
+    def finish_by(self, deadline: float) -> None:
         """Give whatever is in progress its final answer by some time.
 
         Failure: a request without a first event was cut off when the entry
         ended, and its caller could not tell whether it had run.
         """
-        for admitted, timeout in self._timeouts.items():
-            if admitted.end_by(when):
-                timeout.reschedule(when)
+        for admitted, timeout in self._timeouts_by_request.items():
+            if admitted.shorten_deadline(deadline):
+                timeout.reschedule(deadline)
 
     # Admission.
 
@@ -136,40 +144,40 @@
         self,
         call: calls.Call,
         reply: replies.Reply,
-    ) -> serving.Serving | None:
+    ) -> serving.AdmittedRequest | None:
         """Find out what a request is; refuse it if it is nothing."""
-        current = self._cluster.routing
-        if current is None:
+        configuration = self._cluster.routing
+        if configuration is None:
             self._refuse(call, reply, serving.Ending.STARTING, _UNAVAILABLE)
             return None
-        self._withdrawn.note(current)
-        route = current.route(call.host, call.request.path)
+        self._configuration_history.record(configuration)
+        route = configuration.find_route(call.host, call.request.path)
         if route is None:
             self._refuse(call, reply, serving.Ending.UNKNOWN_ROUTE, _NOT_FOUND)
             return None
         team = None
-        if current.has_teams and not route.is_public:
-            team = current.teams_by_key.get(call.key)
+        if configuration.requires_key and not route.is_public:
+            team = configuration.teams_by_key.get(call.key)
             if team is None:
                 ending = serving.Ending.UNKNOWN_KEY
                 self._refuse(call, reply, ending, _UNAUTHORIZED)
                 return None
-        final_at = calls.final_at(call, route)
-        if not self._departure.takes(final_at):
-            self._refuse_as_leaving(call, reply)
+        deadline = calls.deadline(call, route)
+        if not self._drain_state.accepts(deadline):
+            self._refuse_while_draining(call, reply)
             return None
-        return serving.Serving(
+        return serving.AdmittedRequest(
             call,
             reply,
             route,
-            self._service(current, route),
+            self._choose_service(configuration, route),
             team,
-            final_at,
+            deadline,
         )
 
-    def _service(
+    def _choose_service(
         self,
-        current: routing.Routing,
+        configuration: routing.Routing,
         route: routing.Route,
     ) -> routing.Service:
         """Return the service that runs the request.
@@ -177,9 +185,9 @@
         One that the configuration lacks has no endpoints, and its requests
         are refused like others that nobody can run.
         """
-        name = route.service_at(self._rng.random())
-        known = current.services_by_name.get(name)
-        return routing.Service(name, 1) if known is None else known
+        name = route.service_for(self._rng.random())
+        service = configuration.services_by_name.get(name)
+        return routing.Service(name, 1) if service is None else service
 
     def _refuse(
         self,
@@ -187,32 +195,34 @@
         reply: replies.Reply,
         ending: serving.Ending,
         status: int,
-        come_back: float = _RETRY_AFTER,
+        retry_after: float = _RETRY_AFTER_SECONDS,
     ) -> None:
-        pairs = self._dialect.refusal(call)
+        pairs = self._dialect.refusal_headers(call)
         if status == _UNAVAILABLE:
-            pairs.append((b'Retry-After', b'%.2f' % come_back))
-        self._log.refused(
+            pairs.append((b'Retry-After', b'%.2f' % retry_after))
+        self._log.log_refused(
             call,
             ending,
             status,
-            request_log.Basis(
+            request_log.RefusalContext(
                 configuration=self._cluster.configuration,
-                last_in=self._last_in(call, ending),
+                last_in=self._last_configuration_with(call, ending),
                 store_age=self._cluster.store_age,
             ),
         )
         reply.send(status, pairs, b'')
 
-    def _last_in(self, call: calls.Call, ending: serving.Ending) -> int:
+    def _last_configuration_with(
+        self, call: calls.Call, ending: serving.Ending
+    ) -> int:
         """Return the newest configuration with what a call lacks."""
         if ending is serving.Ending.UNKNOWN_KEY:
-            return self._withdrawn.key_last_in(call)
+            return self._configuration_history.last_version_with_key(call)
         if ending is serving.Ending.UNKNOWN_ROUTE:
-            return self._withdrawn.route_last_in(call)
+            return self._configuration_history.last_version_with_route(call)
         return 0
 
-    def _refuse_as_leaving(
+    def _refuse_while_draining(
         self,
         call: calls.Call,
         reply: replies.Reply,
@@ -220,93 +230,104 @@
         self._refuse(
             call,
             reply,
-            serving.Ending.LEAVING,
+            serving.Ending.DRAINING,
             _UNAVAILABLE,
-            leave_plan.retry_after(self._others_ready()),
+            leave_plan.retry_after(self._count_ready_peers()),
         )
 
     # Attempts.
 
-    async def _answer(self, admitted: serving.Serving) -> None:
+    async def _run_attempts(self, admitted: serving.AdmittedRequest) -> None:
         """Send the request until it is answered or nothing is left to try."""
-        endpoint = await self._placing.first_place(admitted)
+        endpoint = await self._selector.select_first(admitted)
         while endpoint is not None:
-            self._note_sending(admitted)
-            tried = await self._sender.send(admitted, endpoint)
-            if tried is serving.Tried.ANSWERED:
-                self._log.answered(admitted)
+            self._count_in_budget(admitted)
+            result = await self._sender.send(admitted, endpoint)
+            if result is serving.AttemptResult.ANSWERED:
+                self._log.log_answered(admitted)
                 return
-            if tried is serving.Tried.FAILED:
-                self._log.failed_by_endpoint(admitted)
-            if not self._may_repeat(admitted):
-                self._conclude(admitted, self._ending_of(admitted, tried))
+            if result is serving.AttemptResult.FAILED:
+                self._log.log_failed_by_endpoint(admitted)
+            if not self._may_retry(admitted):
+                self._send_final_answer(
+                    admitted, self._ending_after_attempt(admitted, result)
+                )
                 return
-            endpoint = self._placing.place(admitted)
-        self._conclude(admitted, self._ending_unplaced(admitted))
+            endpoint = self._selector.select(admitted)
+        self._send_final_answer(
+            admitted, self._ending_without_endpoint(admitted)
+        )
 
-    def _note_sending(self, admitted: serving.Serving) -> None:
+    def _count_in_budget(self, admitted: serving.AdmittedRequest) -> None:
         if not admitted.attempts:
             now = asyncio.get_running_loop().time()
-            self._budget(admitted.service.name).record_first_attempt(now)
+            self._retry_budget(admitted.service.name).record_first_attempt(now)
 
-    def _may_repeat(self, admitted: serving.Serving) -> bool:
+    def _may_retry(self, admitted: serving.AdmittedRequest) -> bool:
         now = asyncio.get_running_loop().time()
         decision = next_try.decide(
             next_try.AttemptHistory(
                 attempts=len(admitted.attempts),
-                runs=admitted.runs,
-                max_runs=admitted.route.most_attempts,
-                is_repeatable=admitted.route.repeatable,
+                runs=admitted.run_count,
+                max_runs=admitted.route.max_runs,
+                is_repeatable=admitted.route.is_repeatable,
                 seconds_left=_seconds_left(admitted, now),
             ),
         )
-        allowed = decision is next_try.RetryDecision.ALLOWED
-        if allowed:
-            budget = self._budget(admitted.service.name)
-            allowed = budget.try_acquire(now, self._entries())
-        self._log.repeat(admitted, decision, allowed)
-        return allowed
-
-    def _budget(self, service: str) -> window_budget.WindowBudget:
-        budget = self._budgets_by_service.get(service)
+        is_allowed = decision is next_try.RetryDecision.ALLOWED
+        if is_allowed:
+            budget = self._retry_budget(admitted.service.name)
+            is_allowed = budget.try_acquire(now, self._count_entries())
+        self._log.log_retry_decision(admitted, decision, is_allowed)
+        return is_allowed
+
+    def _retry_budget(self, service: str) -> window_budget.WindowBudget:
+        budget = self._retry_budgets_by_service.get(service)
         if budget is None:
-            duties = self._own.duties
+            duties = self._local_node.duties
             budget = window_budget.WindowBudget(
                 duties.budget_share,
                 duties.budget_surplus,
                 duties.budget_window,
             )
-            self._budgets_by_service[service] = budget
+            self._retry_budgets_by_service[service] = budget
         return budget
 
     # The end.
 
-    def _ending_of(
+    def _ending_after_attempt(
         self,
-        admitted: serving.Serving,
-        tried: serving.Tried,
+        admitted: serving.AdmittedRequest,
+        result: serving.AttemptResult,
     ) -> serving.Ending:
-        if tried is serving.Tried.NOT_RUN and admitted.not_run:
-            return serving.Ending.TURNED_AWAY
+        if result is serving.AttemptResult.NOT_RUN and admitted.has_not_run:
+            return serving.Ending.REJECTED
         return serving.Ending.BROKEN
 
-    def _ending_unplaced(self, admitted: serving.Serving) -> serving.Ending:
+    def _ending_without_endpoint(
+        self, admitted: serving.AdmittedRequest
+    ) -> serving.Ending:
         if admitted.attempts:
-            return self._ending_of(admitted, serving.Tried.NOT_RUN)
+            return self._ending_after_attempt(
+                admitted, serving.AttemptResult.NOT_RUN
+            )
         now = asyncio.get_running_loop().time()
         if self._cluster.candidates(admitted.service, now):
             return serving.Ending.OVERLOAD
-        current = self._cluster.routing
+        configuration = self._cluster.routing
         service = admitted.service.name
-        if current is not None and service not in current.services_by_name:
+        if (
+            configuration is not None
+            and service not in configuration.services_by_name
+        ):
             return serving.Ending.NO_SERVICE
-        if self._cluster.endpoints.of_service(service, now):
+        if self._cluster.endpoints.usable_for_service(service, now):
             return serving.Ending.NO_WEIGHTS
         return serving.Ending.NO_ENDPOINT
 
-    def _conclude(
+    def _send_final_answer(
         self,
-        admitted: serving.Serving,
+        admitted: serving.AdmittedRequest,
         ending: serving.Ending,
     ) -> None:
         """Give the final answer to a request that has none."""
@@ -314,44 +335,46 @@
         if reply.done:
             return
         if reply.begun:
-            self._log.ended(admitted, ending, 0)
+            self._log.log_ended(admitted, ending, 0)
             reply.break_off()
             return
-        if admitted.failure is not None:
-            failure = admitted.failure
+        if admitted.failed_answer is not None:
+            failed_answer = admitted.failed_answer
             ending = serving.Ending.ENDPOINT_FAILED
-            self._log.ended(admitted, ending, failure.status)
-            reply.send(failure.status, failure.pairs, failure.body)
+            self._log.log_ended(admitted, ending, failed_answer.status)
+            reply.send(
+                failed_answer.status, failed_answer.pairs, failed_answer.body
+            )
             return
-        pairs = self._dialect.refusal(admitted.call)
-        status = self._status(admitted, ending)
+        pairs = self._dialect.refusal_headers(admitted.call)
+        status = self._final_status(admitted, ending)
         if status == _UNAVAILABLE:
-            pairs.append((b'Retry-After', b'%.2f' % admitted.come_back))
-        self._log.ended(admitted, ending, status)
+            pairs.append((b'Retry-After', b'%.2f' % admitted.retry_after))
+        self._log.log_ended(admitted, ending, status)
         reply.send(status, pairs, b'')
 
-    def _status(
+    def _final_status(
         self,
-        admitted: serving.Serving,
+        admitted: serving.AdmittedRequest,
         ending: serving.Ending,
     ) -> int:
         """Return the status; 503 promises that the request never runs."""
-        if admitted.not_run:
+        if admitted.has_not_run:
             return _UNAVAILABLE
-        if ending in serving.LATE:
+        if ending in serving.EXPIRED:
             return _GATEWAY_TIMEOUT
         return _BAD_GATEWAY
 
 
-def _seconds_left(admitted: serving.Serving, now: float) -> float:
+def _seconds_left(admitted: serving.AdmittedRequest, now: float) -> float:
     """Return the time in which another attempt is of use.
 
     A stream that has not begun is given up by its caller long before its
     deadline; what is sent then reaches an endpoint for nobody.
     """
-    left = admitted.final_at - now
+    remaining = admitted.deadline - now
     is_stream = admitted.route.kind is routing.RouteKind.STREAM
     if not is_stream or admitted.reply.begun:
-        return left
-    by = calls.first_event_by(admitted.call, admitted.route)
-    return min(left, by - now - _FIRST_EVENT_SECONDS)
+        return remaining
+    caller_leaves_at = calls.first_event_deadline(admitted.call, admitted.route)
+    return min(remaining, caller_leaves_at - now - _FIRST_EVENT_MARGIN_SECONDS)
--- a/clementinepass/direct/request_log.py
+++ b/clementinepass/direct/request_log.py
@@ -22,15 +22,15 @@
     from clementinepass.direct import endpoints
 
 #: Bytes of a path that are written; callers may send any length.
-_MOST_PATH = 80
+_MAX_PATH_BYTES = 80
 #: Of so many requests that go well one is followed in the log.
-_FOLLOWED_EACH = 16
+_SAMPLE_ONE_IN = 16
 _BUCKETS = (
     0.025, 0.05, 0.1, 0.2, 0.3, 0.4, 0.6, 1.0, 2.0, 4.0, 8.0, float('inf'),
 )  # fmt: skip
 #: What is written of a request whose connection ended, and at which level,
 #: by why it did. Only a caller that ended its side is said to have left.
-_INTERRUPTED_BY_END = {
+_LEVEL_AND_MESSAGE_BY_END = {
     endings.End.CALLER_CLOSED: ('INFO', 'caller left'),
     endings.End.CALLER_RESET: ('INFO', 'connection reset'),
     endings.End.CALLER_SILENT: ('INFO', 'connection lost'),
@@ -38,13 +38,17 @@
     endings.End.CUT: ('WARNING', 'cut off, as this entry ends'),
 }
 #: What becomes of an attempt that an engine cuts to take up weights.
-_CUT = frozenset(
-    (serving.Outcome.LOST, serving.Outcome.ENDED, serving.Outcome.SPOILT),
+_CUT_BY_ENGINE = frozenset(
+    (
+        serving.AttemptFailure.CONNECTION_LOST,
+        serving.AttemptFailure.CONNECTION_CLOSED,
+        serving.AttemptFailure.MALFORMED,
+    ),
 )
-_NOT_KNOWN = ('WARNING', 'cut off, not known why')
+_UNKNOWN_END = ('WARNING', 'cut off, not known why')
 
 
-class Basis(typing.NamedTuple):
+class RefusalContext(typing.NamedTuple):
     """What a request was refused by.
 
     :param configuration: the version in force; 0 for none.
@@ -66,7 +70,13 @@
     :param registry: where the metrics are registered.
     """
 
-    __slots__ = ('_attempts', '_endings', '_first', '_repeats', '_whole')
+    __slots__ = (
+        '_attempts',
+        '_endings',
+        '_first_piece_seconds',
+        '_retries',
+        '_request_seconds',
+    )
 
     def __init__(self, registry: aioprometheus.Registry) -> None:
         self._endings = aioprometheus.Counter(
@@ -79,25 +89,27 @@
             'Attempts that failed, by what became of them.',
             registry=registry,
         )
-        self._repeats = aioprometheus.Counter(
+        self._retries = aioprometheus.Counter(
             'clementinepass_repeats_total',
             'Decisions on sending once more.',
             registry=registry,
         )
-        self._first = aioprometheus.Histogram(
+        self._first_piece_seconds = aioprometheus.Histogram(
             'clementinepass_first_piece_seconds',
             'Time from a request to the first piece of its answer.',
             buckets=_BUCKETS,
             registry=registry,
         )
-        self._whole = aioprometheus.Histogram(
+        self._request_seconds = aioprometheus.Histogram(
             'clementinepass_request_seconds',
             'Time from a request to the end of its answer.',
             buckets=_BUCKETS,
             registry=registry,
         )
 
-    def malformed(self, error: calls.BadCallError, status: int) -> None:
+    def log_malformed(
+        self, error: calls.InvalidRequestError, status: int
+    ) -> None:
         """Tell of a request that could not be read."""
         ending = serving.Ending.MALFORMED.value
         self._endings.inc({'ending': ending})
@@ -108,12 +120,12 @@
             error=str(error),
         ).info('refused')
 
-    def refused(
+    def log_refused(
         self,
         call: calls.Call,
         ending: serving.Ending,
         status: int,
-        basis: Basis,
+        context: RefusalContext,
     ) -> None:
         """Tell of a request that was refused before it was admitted."""
         self._endings.inc({'ending': ending.value})
@@ -122,15 +134,15 @@
             reason=ending.value,
             status=status,
             host=call.host.decode('latin-1'),
-            path=call.request.path[:_MOST_PATH].decode('latin-1'),
-            configuration=basis.configuration,
-            last_in=basis.last_in,
-            store_age=basis.store_age,
+            path=call.request.path[:_MAX_PATH_BYTES].decode('latin-1'),
+            configuration=context.configuration,
+            last_in=context.last_in,
+            store_age=context.store_age,
         ).info('refused')
 
-    def overloaded(
+    def log_overloaded(
         self,
-        admitted: serving.Serving,
+        admitted: serving.AdmittedRequest,
         choice: endpoint_choice.Choice,
     ) -> None:
         """Tell that even the best endpoint has too many waiting."""
@@ -142,34 +154,34 @@
             slots=choice.slots,
         ).info('no endpoint has room')
 
-    def sending(
+    def log_sending(
         self,
-        admitted: serving.Serving,
+        admitted: serving.AdmittedRequest,
         endpoint: endpoints.Endpoint,
     ) -> None:
         """Tell where a request is sent."""
         number = len(admitted.attempts)
-        if number == 1 and not _followed(admitted.call.id):
+        if number == 1 and not _is_sampled(admitted.call.id):
             return
         logger.bind(
             request=admitted.call.id,
             attempt=number,
             endpoint=endpoint.listing.id,
             in_flight=endpoint.in_flight,
-            left=round(admitted.final_at - _now(), 3),
+            left=round(admitted.deadline - _now(), 3),
             resume_after=admitted.resume_after,
         ).info('sent')
 
-    def attempt_failed(
+    def log_attempt_failed(
         self,
-        admitted: serving.Serving,
+        admitted: serving.AdmittedRequest,
         endpoint: endpoints.Endpoint,
         error: Exception,
     ) -> None:
         """Tell of an attempt without an answer."""
         attempt = admitted.attempts[-1]
-        outcome = _outcome(admitted, endpoint, error)
-        admitted.outcomes.append(outcome)
+        failure = _classify_failure(admitted, endpoint, error)
+        admitted.attempt_failures.append(failure)
         self._attempts.inc({'outcome': attempt.execution.value})
         logger.bind(
             request=admitted.call.id,
@@ -177,21 +189,21 @@
             endpoint=endpoint.listing.id,
             engine=endpoint.listing.address,
             execution=attempt.execution.value,
-            fault=outcome.value,
-            silent=_rounded(admitted.silent(_now())),
+            fault=failure.value,
+            silent=_round_or_none(admitted.silent_seconds(_now())),
             error=str(error),
             after_event=admitted.resume_after,
         ).warning('attempt failed')
 
-    def turned_away(
+    def log_rejected(
         self,
-        admitted: serving.Serving,
+        admitted: serving.AdmittedRequest,
         endpoint: endpoints.Endpoint,
         status: int,
     ) -> None:
         """Tell of an endpoint that did not run a request."""
         self._attempts.inc({'outcome': 'turned_away'})
-        admitted.outcomes.append(serving.Outcome.TURNED_AWAY)
+        admitted.attempt_failures.append(serving.AttemptFailure.REJECTED)
         logger.bind(
             request=admitted.call.id,
             attempt=admitted.attempts[-1].number,
@@ -200,12 +212,16 @@
             in_flight=endpoint.in_flight,
         ).info('turned away by the endpoint')
 
-    def failed_by_endpoint(self, admitted: serving.Serving) -> None:
+    def log_failed_by_endpoint(self, admitted: serving.AdmittedRequest) -> None:
         """Tell of an endpoint's whole answer that it failed."""
         self._attempts.inc({'outcome': 'failed'})
-        admitted.outcomes.append(serving.Outcome.FAILED)
+        admitted.attempt_failures.append(serving.AttemptFailure.FAILED)
         attempt = admitted.attempts[-1]
-        status = 0 if admitted.failure is None else admitted.failure.status
+        status = (
+            0
+            if admitted.failed_answer is None
+            else admitted.failed_answer.status
+        )
         logger.bind(
             request=admitted.call.id,
             attempt=attempt.number,
@@ -213,15 +229,15 @@
             status=status,
         ).info('failed by the endpoint')
 
-    def misdirected(
+    def log_misdirected(
         self,
-        admitted: serving.Serving,
+        admitted: serving.AdmittedRequest,
         endpoint: endpoints.Endpoint,
         instance: str,
     ) -> None:
         """Tell of an endpoint, or of weights, that are others than expected."""
         self._attempts.inc({'outcome': 'misdirected'})
-        admitted.outcomes.append(serving.Outcome.MISDIRECTED)
+        admitted.attempt_failures.append(serving.AttemptFailure.MISDIRECTED)
         logger.bind(
             request=admitted.call.id,
             attempt=admitted.attempts[-1].number,
@@ -230,46 +246,46 @@
             version=endpoint.weights.version,
         ).info('another endpoint or version answered')
 
-    def repeat(
+    def log_retry_decision(
         self,
-        admitted: serving.Serving,
+        admitted: serving.AdmittedRequest,
         decision: next_try.RetryDecision,
-        allowed: bool,  # noqa: FBT001
+        is_allowed: bool,  # noqa: FBT001
     ) -> None:
         """Tell whether a request is sent once more."""
         reason = decision.value
-        if not allowed and reason == 'allowed':
+        if not is_allowed and reason == 'allowed':
             reason = 'budget_spent'
-        self._repeats.inc({'decision': reason})
-        admitted.decision = reason
+        self._retries.inc({'decision': reason})
+        admitted.retry_decision = reason
         logger.bind(
             request=admitted.call.id,
             attempts=len(admitted.attempts),
             decision=reason,
-        ).info('sending once more' if allowed else 'not sending once more')
+        ).info('sending once more' if is_allowed else 'not sending once more')
 
-    def answered(self, admitted: serving.Serving) -> None:
+    def log_answered(self, admitted: serving.AdmittedRequest) -> None:
         """Tell of a whole answer."""
         self._endings.inc({'ending': 'answered'})
         received = admitted.call.request.received
         seconds = _now() - received
         labels = {'route': admitted.route.kind.value}
-        self._whole.observe(labels, seconds)
-        first = (admitted.first_event_at or _now()) - received
-        self._first.observe(labels, first)
-        told = admitted.noted or len(admitted.attempts) > 1
-        if told or _followed(admitted.call.id):
+        self._request_seconds.observe(labels, seconds)
+        first_piece_seconds = (admitted.first_event_at or _now()) - received
+        self._first_piece_seconds.observe(labels, first_piece_seconds)
+        must_log = admitted.is_logged or len(admitted.attempts) > 1
+        if must_log or _is_sampled(admitted.call.id):
             logger.bind(
                 request=admitted.call.id,
                 status=admitted.reply.status,
                 attempts=len(admitted.attempts),
-                first=round(first, 3),
+                first=round(first_piece_seconds, 3),
                 seconds=round(seconds, 3),
             ).info('answered')
 
-    def ended(
+    def log_ended(
         self,
-        admitted: serving.Serving,
+        admitted: serving.AdmittedRequest,
         ending: serving.Ending,
         status: int,
     ) -> None:
@@ -281,17 +297,17 @@
             status=status,
             service=admitted.service.name,
             attempts=len(admitted.attempts),
-            runs=admitted.runs,
-            outcomes=[one.value for one in admitted.outcomes],
-            decision=admitted.decision,
+            runs=admitted.run_count,
+            outcomes=[failure.value for failure in admitted.attempt_failures],
+            decision=admitted.retry_decision,
             **_progress(admitted, _now()),
         ).warning('ended without an answer')
 
-    def interrupted(self, admitted: serving.Serving) -> None:
+    def log_interrupted(self, admitted: serving.AdmittedRequest) -> None:
         """Tell of a request whose connection ended before its answer."""
         end = admitted.reply.ending
         self._endings.inc({'ending': end.value})
-        level, message = _INTERRUPTED_BY_END.get(end, _NOT_KNOWN)
+        level, message = _LEVEL_AND_MESSAGE_BY_END.get(end, _UNKNOWN_END)
         logger.bind(
             request=admitted.call.id,
             end=end.value,
@@ -300,19 +316,21 @@
             **_progress(admitted, _now()),
         ).log(level, message)
 
-    def own_fault(self, admitted: serving.Serving, error: Exception) -> None:
+    def log_internal_error(
+        self, admitted: serving.AdmittedRequest, error: Exception
+    ) -> None:
         """Tell of a request that met a fault which nobody foresaw."""
-        self._endings.inc({'ending': serving.Ending.OWN_FAULT.value})
+        self._endings.inc({'ending': serving.Ending.INTERNAL_ERROR.value})
         logger.bind(
             request=admitted.call.id,
             attempts=len(admitted.attempts),
             error=repr(error),
         ).error('cut off by a fault of this entry')
 
-    def taken_while_leaving(
+    def log_accepted_while_draining(
         self,
-        admitted: serving.Serving,
-        since: float,
+        admitted: serving.AdmittedRequest,
+        seconds_draining: float,
     ) -> None:
         """Tell of a request that came to an entry that leaves.
 
@@ -322,13 +340,13 @@
         :param since: seconds since the entry was told to end.
         """
         request = admitted.call.request
-        admitted.noted = True
+        admitted.is_logged = True
         logger.bind(
             request=admitted.call.id,
-            since=round(since, 3),
+            since=round(seconds_draining, 3),
             connected_for=round(request.received - request.connected, 3),
             number=request.number,
-            left=round(admitted.final_at - request.received, 3),
+            left=round(admitted.deadline - request.received, 3),
         ).info('taken while leaving')
 
 
@@ -336,54 +354,60 @@
     return asyncio.get_running_loop().time()
 
 
-def _progress(admitted: serving.Serving, now: float) -> dict[str, typing.Any]:
+def _progress(
+    admitted: serving.AdmittedRequest, now: float
+) -> dict[str, typing.Any]:
     """Return how far a request had come when it ended.
 
     With these a caller that gave up is told from one that left of its own
     accord, and whose silence it was that it gave up on.
     """
     received = admitted.call.request.received
-    first = admitted.first_event_at
-    written = admitted.reply.written_at
-    patience = None
+    first_at = admitted.first_event_at
+    last_written_at = admitted.reply.written_at
+    event_wait = None
     if admitted.route.kind is routing.RouteKind.STREAM:
-        patience = calls.longest_silence(admitted.route)
+        event_wait = calls.max_event_wait(admitted.route)
     return {
         'seconds': round(now - received, 3),
-        'left': round(admitted.final_at - now, 3),
+        'left': round(admitted.deadline - now, 3),
         'events': admitted.reply.pieces,
-        'first': None if first is None else round(first - received, 3),
-        'waited': round(now - (written or received), 3),
-        'patience': patience,
+        'first': None if first_at is None else round(first_at - received, 3),
+        'waited': round(now - (last_written_at or received), 3),
+        'patience': event_wait,
         'endpoint': admitted.attempts[-1].peer if admitted.attempts else None,
-        'silent': _rounded(admitted.silent(now)),
+        'silent': _round_or_none(admitted.silent_seconds(now)),
     }
 
 
-def _outcome(
-    admitted: serving.Serving,
+def _classify_failure(
+    admitted: serving.AdmittedRequest,
     endpoint: endpoints.Endpoint,
     error: Exception,
-) -> serving.Outcome:
+) -> serving.AttemptFailure:
     """Return what became of an attempt without an answer.
 
     One that is given up since the weights there grow too old looks like one
     at a silent endpoint: both end as nothing has come by a certain time.
     """
-    outcome = serving.Outcome.SPOILT
+    failure = serving.AttemptFailure.MALFORMED
     if isinstance(error, channel.ChannelBrokenError):
-        outcome = serving.Outcome(error.fault.value)
-    if outcome in _CUT and endpoint.loading:
-        return serving.Outcome.LOADING
-    silent = outcome is serving.Outcome.SILENT
-    if silent and not admitted.reply.begun and _now() >= admitted.begin_by:
-        return serving.Outcome.TOO_OLD
-    return outcome
-
-
-def _rounded(seconds: float | None) -> float | None:
+        failure = serving.AttemptFailure(error.fault.value)
+    if failure in _CUT_BY_ENGINE and endpoint.is_loading:
+        return serving.AttemptFailure.ENGINE_LOADING
+    is_silent = failure is serving.AttemptFailure.SILENT
+    if (
+        is_silent
+        and not admitted.reply.begun
+        and _now() >= admitted.start_deadline
+    ):
+        return serving.AttemptFailure.WEIGHTS_TOO_OLD
+    return failure
+
+
+def _round_or_none(seconds: float | None) -> float | None:
     return None if seconds is None else round(seconds, 3)
 
 
-def _followed(request_id: str) -> bool:
-    return zlib.crc32(request_id.encode()) % _FOLLOWED_EACH == 0
+def _is_sampled(request_id: str) -> bool:
+    return zlib.crc32(request_id.encode()) % _SAMPLE_ONE_IN == 0
--- a/clementinepass/direct/routing.py
+++ b/clementinepass/direct/routing.py
@@ -22,7 +22,7 @@
     #: Running twice does no harm.
     IDEMPOTENT = 'idempotent'
     #: Runs once at most.
-    ONCE = 'once'
+    AT_MOST_ONCE = 'once'
 
 
 class Backend(msgspec.Struct, frozen=True):
@@ -43,32 +43,32 @@
     #: Seconds until the final answer.
     timeout: float
     #: Seconds to the answer, or to the first event of a stream.
-    aim: float
+    latency_target: float
     #: Seconds between events of a stream on time.
-    longest_gap: float = 0
+    max_event_gap: float = 0
     #: Its rank; 0 is served first.
     priority: int = 0
     #: How often a request may run.
-    most_attempts: int = 1
+    max_runs: int = 1
     #: Whether requests need no key.
     is_public: bool = False
     #: Whether a stream may be resumed after its last event.
-    resumable: bool = False
+    is_resumable: bool = False
 
     @property
-    def repeatable(self) -> bool:
+    def is_repeatable(self) -> bool:
         """Tell whether a request may run more than once."""
         if self.kind is RouteKind.STREAM:
-            return self.resumable
+            return self.is_resumable
         return self.kind is RouteKind.IDEMPOTENT
 
-    def service_at(self, point: float) -> str:
+    def service_for(self, fraction: float) -> str:
         """Return the service for a point from 0 to 1, by the weights."""
         total = sum(backend.weight for backend in self.backends)
-        left = point * total
+        remaining = fraction * total
         for backend in self.backends:
-            left -= backend.weight
-            if left < 0:
+            remaining -= backend.weight
+            if remaining < 0:
                 return backend.service
         return self.backends[-1].service
 
@@ -87,18 +87,18 @@
     #: Seconds for one token of each running request.
     step_seconds: float
     #: Prompt tokens read in a second.
-    read_per_second: float
+    prompt_tokens_per_second: float
     #: Mean tokens of a prompt and of an answer.
-    usual_prompt: float
-    usual_answer: float
+    mean_prompt_tokens: float
+    mean_answer_tokens: float
 
     @property
-    def pace(self) -> first_event.ServiceRate:
+    def service_rate(self) -> first_event.ServiceRate:
         """Return how fast a full engine works."""
         return first_event.service_rate(
-            self.read_per_second,
-            self.usual_prompt,
-            self.usual_answer,
+            self.prompt_tokens_per_second,
+            self.mean_prompt_tokens,
+            self.mean_answer_tokens,
             self.step_seconds,
             self.slots,
         )
@@ -109,7 +109,7 @@
 
     name: str
     #: Connections that one endpoint allows to all callers together.
-    most_connections: int
+    max_connections: int
     engine: Engine | None = None
     #: ``host:port`` of the service that hands out weights; empty for others.
     origin: str = ''
@@ -135,7 +135,7 @@
 
     __slots__ = (
         'bounds',
-        'has_teams',
+        'requires_key',
         'services_by_name',
         'teams_by_key',
         'timeouts',
@@ -154,17 +154,17 @@
         self.version = version
         self.services_by_name = {service.name: service for service in services}
         #: Whether requests need a key.
-        self.has_teams = teams_by_key is not None
+        self.requires_key = teams_by_key is not None
         self.teams_by_key = teams_by_key or {}
         self.bounds = bounds
         self._routes_by_host: dict[bytes, list[Route]] = {}
         routes = tuple(routes)
         #: Seconds that requests may take, each figure once.
-        self.timeouts = frozenset(one.timeout for one in routes)
+        self.timeouts = frozenset(item.timeout for item in routes)
         for route in sorted(routes, key=_prefix_length, reverse=True):
             self._routes_by_host.setdefault(route.host, []).append(route)
 
-    def route(self, host: bytes, path: bytes) -> Route | None:
+    def find_route(self, host: bytes, path: bytes) -> Route | None:
         """Return the route with the longest prefix that begins the path."""
         name = host.lower()
         if name not in self._routes_by_host:
--- /dev/null
+++ b/clementinepass/direct/selection.py
@@ -0,0 +1,236 @@
+"""Choose the endpoint of a request: step *place* of its path."""
+
+from __future__ import annotations
+
+import asyncio
+import math
+import typing
+
+from clementinepass.decisions import endpoint_choice, first_event, timely_start
+
+if typing.TYPE_CHECKING:
+    import random
+
+    from collections.abc import Sequence
+
+    from clementinepass.direct import (
+        cluster_state,
+        endpoints,
+        node,
+        request_log,
+        routing,
+        serving,
+    )
+
+#: Seconds that a request waits for an engine that loads: the time for it to
+#: finish what it runs, and to load.
+_LOADING_WAIT_SECONDS = 1.2
+_POLL_SECONDS = 0.03
+_UNKNOWN_SERVICE_RATE = first_event.ServiceRate(0, 0)
+#: Engines with links that aren't congested that are enough to choose from.
+_MIN_UNCONGESTED = 2
+
+
+class EndpointSelector:
+    """Choose endpoints by the state of the cluster.
+
+    :param own: who this entry is.
+    :param known: configuration, versions, endpoints and loads.
+    """
+
+    __slots__ = ('_cluster', '_log', '_local_node', '_rng')
+
+    def __init__(
+        self,
+        local_node: node.Node,
+        cluster: cluster_state.ClusterState,
+        log: request_log.RequestLog,
+        rng: random.Random,
+    ) -> None:
+        self._local_node = local_node
+        self._cluster = cluster
+        self._log = log
+        self._rng = rng
+
+    async def select_first(
+        self,
+        admitted: serving.AdmittedRequest,
+    ) -> endpoints.Endpoint | None:
+        """Choose an endpoint, waiting a moment for engines that load.
+
+        Load: a new version while all engines take it up within the same
+        second. Harm: whoever comes then is told to come back after two
+        seconds, though an engine is there after half a second.
+        """
+        loop = asyncio.get_running_loop()
+        wait_deadline = admitted.call.request.received + _LOADING_WAIT_SECONDS
+        endpoint = self.select(admitted)
+        while endpoint is None and loop.time() < wait_deadline:
+            if self._cluster.candidates(admitted.service, loop.time()):
+                break
+            if not self._cluster.loading(admitted.service, loop.time()):
+                break
+            await asyncio.sleep(_POLL_SECONDS)
+            endpoint = self.select(admitted)
+        return endpoint
+
+    def select(
+        self, admitted: serving.AdmittedRequest
+    ) -> endpoints.Endpoint | None:
+        """Choose an endpoint; ``None`` if there is none with room."""
+        now = asyncio.get_running_loop().time()
+        candidates = self._cluster.candidates(admitted.service, now)
+        untried = [
+            endpoint
+            for endpoint in candidates
+            if endpoint.listing.id not in admitted.tried_endpoint_ids
+        ]
+        engine = admitted.service.engine
+        options = self._options(self._healthy(untried, now), engine, now)
+        startable = _startable_in_time(admitted, options)
+        choice = endpoint_choice.choose(startable, self._rng)
+        if choice is None:
+            admitted.retry_after = first_event.MAX_RETRY_AFTER
+            return None
+        if not admitted.attempts and not self._answers_in_time(
+            admitted, choice, now
+        ):
+            self._log.log_overloaded(admitted, choice)
+            return None
+        return self._cluster.endpoints.get(choice.endpoint_id)
+
+    def _healthy(
+        self,
+        untried: list[endpoints.Endpoint],
+        now: float,
+    ) -> list[endpoints.Endpoint]:
+        """Return the endpoints without those that fail or stall.
+
+        Where all do, each would be the wrong one to leave out.
+        """
+        ejected = self._cluster.ejector.ejected_endpoints(now)
+        healthy = [
+            endpoint
+            for endpoint in untried
+            if endpoint.listing.id not in ejected
+            and not endpoint.is_stalled(now)
+        ]
+        return healthy or untried
+
+    def _options(
+        self,
+        healthy: list[endpoints.Endpoint],
+        engine: routing.Engine | None,
+        now: float,
+    ) -> list[endpoint_choice.Candidate]:
+        """Return what is compared: of engines a sample."""
+        newest_version = max(
+            (endpoint.weights.version for endpoint in healthy), default=0
+        )
+        compared = (
+            healthy if engine is None else self._sample_engines(healthy, now)
+        )
+        return [
+            endpoint_choice.Candidate(
+                endpoint.listing.id,
+                self._cluster.loads.total(endpoint, now),
+                endpoint.listing.slots,
+                is_same_domain=self._is_in_local_domain(endpoint),
+                has_old_version=endpoint.weights.version < newest_version,
+                is_congested=endpoint.congested_until > now,
+                unstarted=self._cluster.loads.unstarted(endpoint, now),
+                usable_seconds=self._usable_seconds(endpoint, engine, now),
+            )
+            for endpoint in compared
+        ]
+
+    def _sample_engines(
+        self,
+        healthy: list[endpoints.Endpoint],
+        now: float,
+    ) -> Sequence[endpoints.Endpoint]:
+        """Return a few of a service's engines.
+
+        Those elsewhere by their agents' reports, as their loads are hardly
+        known without. Near ones also where reports don't come: on a link that
+        is full of weights they are late or lost, and requests met at the few
+        engines whose agents were heard.
+        """
+        uncongested = [
+            endpoint for endpoint in healthy if endpoint.congested_until <= now
+        ]
+        if len(uncongested) < _MIN_UNCONGESTED:
+            uncongested = healthy
+        remote = [
+            endpoint
+            for endpoint in uncongested
+            if not self._is_in_local_domain(endpoint)
+        ]
+        return endpoint_choice.sample(
+            [
+                endpoint
+                for endpoint in uncongested
+                if self._is_in_local_domain(endpoint)
+            ],
+            [
+                endpoint
+                for endpoint in remote
+                if endpoint.reported_load.is_fresh(now)
+            ]
+            or remote,
+            self._rng,
+        )
+
+    def _is_in_local_domain(self, endpoint: endpoints.Endpoint) -> bool:
+        return endpoint.listing.domain == self._local_node.domain
+
+    def _usable_seconds(
+        self,
+        endpoint: endpoints.Endpoint,
+        engine: routing.Engine | None,
+        now: float,
+    ) -> float:
+        if engine is None:
+            return math.inf
+        start_deadline = self._cluster.begin_by(
+            engine, endpoint.weights.version
+        )
+        return start_deadline - now
+
+    def _answers_in_time(
+        self,
+        admitted: serving.AdmittedRequest,
+        choice: endpoint_choice.Choice,
+        now: float,
+    ) -> bool:
+        """Tell whether the best endpoint answers in time."""
+        engine = admitted.service.engine
+        service_rate = (
+            _UNKNOWN_SERVICE_RATE if engine is None else engine.service_rate
+        )
+        admitted.retry_after = first_event.retry_after(
+            choice.queue_depth, service_rate
+        )
+        queued_request = first_event.PendingRequest(
+            queue_depth=choice.queue_depth,
+            slots=choice.slots,
+            prompt_tokens=admitted.call.prompt_tokens,
+            latency_target=admitted.route.latency_target,
+            elapsed_seconds=now - admitted.call.request.received,
+        )
+        return first_event.meets_target(queued_request, service_rate)
+
+
+def _startable_in_time(
+    admitted: serving.AdmittedRequest,
+    options: list[endpoint_choice.Candidate],
+) -> list[endpoint_choice.Candidate]:
+    """Return the endpoints whose weights are allowed when it begins there."""
+    engine = admitted.service.engine
+    if engine is None:
+        return options
+    request = timely_start.Request(
+        admitted.call.prompt_tokens,
+        engine.mean_prompt_tokens,
+    )
+    return timely_start.filter_timely(request, options, engine.service_rate)
--- a/clementinepass/direct/serving.py
+++ b/clementinepass/direct/serving.py
@@ -18,7 +18,7 @@
 
 #: Seconds after which a caller may ask again when nothing says how long it
 #: will take: an entry that starts knows its configuration by then.
-_COME_BACK = 0.4
+_RETRY_AFTER_SECONDS = 0.4
 
 
 class Ending(enum.Enum):
@@ -38,7 +38,7 @@
     #: Endpoints are there, and none has whole weights that may be used.
     NO_WEIGHTS = 'no_weights'
     #: All endpoints that were tried turned it away.
-    TURNED_AWAY = 'turned_away'
+    REJECTED = 'turned_away'
     #: The endpoint broke off or spoiled its answer.
     BROKEN = 'broken'
     #: The endpoint ran it and failed; its own answer is passed on.
@@ -46,27 +46,27 @@
     #: The time that its caller gave it is over.
     DEADLINE = 'deadline'
     #: The time that its route gives it is over.
-    ROUTE_TIME = 'route_time'
+    ROUTE_TIMEOUT = 'route_time'
     #: The same while its caller had yet to read what was sent.
     SLOW_READER = 'slow_reader'
     #: This entry ends before the request would.
-    LEAVING = 'leaving'
+    DRAINING = 'leaving'
     #: A fault of this process.
-    OWN_FAULT = 'own_fault'
+    INTERNAL_ERROR = 'own_fault'
 
 
 #: Endings of requests whose time is over, or that of the entry.
-LATE = frozenset(
+EXPIRED = frozenset(
     (
         Ending.DEADLINE,
-        Ending.ROUTE_TIME,
+        Ending.ROUTE_TIMEOUT,
         Ending.SLOW_READER,
-        Ending.LEAVING,
+        Ending.DRAINING,
     ),
 )
 
 
-class Tried(enum.Enum):
+class AttemptResult(enum.Enum):
     """What became of one attempt."""
 
     #: The caller has the whole answer.
@@ -79,32 +79,32 @@
     FAILED = 'failed'
 
 
-class Outcome(enum.Enum):
+class AttemptFailure(enum.Enum):
     """What became of an attempt that failed."""
 
     #: The endpoint said that it did not run it.
-    TURNED_AWAY = 'turned_away'
+    REJECTED = 'turned_away'
     #: Another endpoint, or another version, was there; it did not run it.
     MISDIRECTED = 'misdirected'
     #: No connection was opened.
     UNREACHABLE = 'unreachable'
     #: The connection was reset, or the kernel gave it up.
-    LOST = 'lost'
+    CONNECTION_LOST = 'lost'
     #: The endpoint ended the connection before its answer was whole.
-    ENDED = 'ended'
+    CONNECTION_CLOSED = 'ended'
     #: Nothing came for too long.
     SILENT = 'silent'
     #: What came was no answer, or none to this request.
-    SPOILT = 'spoilt'
+    MALFORMED = 'spoilt'
     #: The engine took up weights when it cut its answer.
-    LOADING = 'loading'
+    ENGINE_LOADING = 'loading'
     #: It had not begun when the weights there were about to be too old.
-    TOO_OLD = 'too_old'
+    WEIGHTS_TOO_OLD = 'too_old'
     #: It ran, and failed.
     FAILED = 'failed'
 
 
-class Failure(typing.NamedTuple):
+class FailedAnswer(typing.NamedTuple):
     """An endpoint's whole answer that it failed."""
 
     status: int
@@ -112,7 +112,7 @@
     body: bytes
 
 
-class Serving:
+class AdmittedRequest:
     """One admitted request.
 
     :param final_at: monotonic seconds by which the final answer is due.
@@ -120,24 +120,24 @@
 
     __slots__ = (
         'attempts',
-        'begin_by',
-        'begun_at',
+        'start_deadline',
+        'attempt_started_at',
         'channel',
-        'decision',
+        'retry_decision',
         'call',
-        'ends_early',
-        'failure',
-        'final_at',
-        'come_back',
+        'is_cut_short_by_drain',
+        'failed_answer',
+        'deadline',
+        'retry_after',
         'first_event_at',
-        'noted',
-        'outcomes',
+        'is_logged',
+        'attempt_failures',
         'reply',
         'route',
         'service',
         'splitter',
         'team',
-        'tried_ids',
+        'tried_endpoint_ids',
     )
 
     def __init__(
@@ -147,79 +147,79 @@
         route: routing.Route,
         service: routing.Service,
         team: routing.Team | None,
-        final_at: float,
+        deadline: float,
     ) -> None:
         self.call = call
         self.reply = reply
         self.route = route
         self.service = service
         self.team = team
-        self.final_at = final_at
+        self.deadline = deadline
         #: Whether that is the time of this entry's own end.
-        self.ends_early = False
+        self.is_cut_short_by_drain = False
         self.attempts: list[outcome.Attempt] = []
         #: When the newest of them began, and its connection once it has one.
-        self.begun_at: float = 0
+        self.attempt_started_at: float = 0
         self.channel: channel.Channel | None = None
         #: What became of those that failed, in order, and whether it was to
         #: be sent once more after the last of them.
-        self.outcomes: list[Outcome] = []
-        self.decision = ''
+        self.attempt_failures: list[AttemptFailure] = []
+        self.retry_decision = ''
         #: Whether a line was written of it, so that one has to say its end.
-        self.noted = False
+        self.is_logged = False
         #: Endpoints that it was sent to.
-        self.tried_ids: set[str] = set()
+        self.tried_endpoint_ids: set[str] = set()
         #: An endpoint's answer to fall back on.
-        self.failure: Failure | None = None
+        self.failed_answer: FailedAnswer | None = None
         #: When the first piece of the answer went to the caller.
         self.first_event_at: float | None = None
         #: Monotonic seconds by which the attempt must have begun, since the
         #: weights there are old.
-        self.begin_by = math.inf
+        self.start_deadline = math.inf
         #: Seconds after which its caller may find room.
-        self.come_back = _COME_BACK
+        self.retry_after = _RETRY_AFTER_SECONDS
         #: Follows the events of a stream over all attempts.
-        self.splitter = events.Splitter(call.resume_after)
+        self.splitter = events.EventSplitter(call.resume_after)
 
     @property
     def resume_after(self) -> int | None:
         """Return the last event that the caller has."""
-        return self.splitter.last
+        return self.splitter.last_id
 
     @property
-    def late(self) -> Ending:
+    def ending_at_deadline(self) -> Ending:
         """Return whose time it is that is over at ``final_at``."""
-        if self.ends_early:
-            return Ending.LEAVING
+        if self.is_cut_short_by_drain:
+            return Ending.DRAINING
         if self.reply.blocked:
             return Ending.SLOW_READER
-        patience = self.call.patience
-        if patience is not None and patience <= self.route.timeout:
+        caller_timeout = self.call.timeout_seconds
+        if caller_timeout is not None and caller_timeout <= self.route.timeout:
             return Ending.DEADLINE
-        return Ending.ROUTE_TIME
+        return Ending.ROUTE_TIMEOUT
 
-    def end_by(self, when: float) -> bool:
+    def shorten_deadline(self, latest: float) -> bool:
         """Have it end by a time, as this entry does; tell if that is sooner."""
-        if self.final_at <= when:
+        if self.deadline <= latest:
             return False
-        self.final_at = when
-        self.ends_early = True
+        self.deadline = latest
+        self.is_cut_short_by_drain = True
         return True
 
-    def silent(self, now: float) -> float | None:
+    def silent_seconds(self, now: float) -> float | None:
         """Return the seconds for which the endpoint has sent nothing.
 
         :returns: ``None`` if the request was sent to none.
         """
         if not self.attempts:
             return None
-        since = self.begun_at
+        last_activity_at = self.attempt_started_at
         if self.channel is not None:
-            since = max(since, self.channel.heard)
-        return now - since
+            last_activity_at = max(last_activity_at, self.channel.heard)
+        return now - last_activity_at
 
     @property
-    def runs(self) -> int:
+    def run_count(self) -> int:
         """Return the attempts that ran, or may have."""
         return sum(
             attempt.execution is not errors.Execution.NOT_RUN
@@ -227,11 +227,11 @@
         )
 
     @property
-    def not_run(self) -> bool:
+    def has_not_run(self) -> bool:
         """Tell whether it is known that no endpoint ran the request."""
-        return not self.runs
+        return not self.run_count
 
-    def begin_attempt(self, endpoint_id: str) -> outcome.Attempt:
+    def start_attempt(self, endpoint_id: str) -> outcome.Attempt:
         """Begin another attempt."""
         attempt = outcome.Attempt(
             self.call.id,
@@ -239,10 +239,10 @@
             endpoint_id,
         )
         self.attempts.append(attempt)
-        self.begun_at = asyncio.get_running_loop().time()
+        self.attempt_started_at = asyncio.get_running_loop().time()
         self.channel = None
-        self.tried_ids.add(endpoint_id)
+        self.tried_endpoint_ids.add(endpoint_id)
         # What one endpoint left unfinished is no beginning of what the next
         # one sends.
-        self.splitter = events.Splitter(self.splitter.last)
+        self.splitter = events.EventSplitter(self.splitter.last_id)
         return attempt
--- a/clementinepass/direct/subscribing.py
+++ b/clementinepass/direct/subscribing.py
@@ -80,7 +80,7 @@
         store's list, two seconds later.
         """
         usable = self._cluster.candidates(service, now)
-        every = self._cluster.endpoints.of_service(service.name, now)
+        every = self._cluster.endpoints.usable_for_service(service.name, now)
         waiting = [one for one in every if one not in usable]
         domain = self._own.domain
         near, far = _split(usable, domain)
--- a/clementinepass/machines.py
+++ b/clementinepass/machines.py
@@ -97,7 +97,7 @@
     except errors.SettingsError as error:
         logger.bind(step='reload').error('settings stay as they are: {}', error)
         return
-    changed = own.duties.take(newer.duties)
+    changed = own.duties.update(newer.duties)
     logger.bind(step='reload', changed=changed).info('settings read')
 
 
@@ -105,10 +105,10 @@
     from clementinepass.direct import entry  # noqa: PLC0415
     from clementinepass.platform import dialect, directory  # noqa: PLC0415
 
-    boundary = entry.Boundary(
+    boundary = entry.PlatformAdapters(
         store=store.HttpStore(own.store),
         dialect=dialect.HeaderDialect(),
-        spelling=directory.DirectorySpelling(),
+        directory_handlers=directory.DirectorySpelling(),
         readers=_readers(),
     )
     registry_of_metrics = aioprometheus.Registry()
@@ -118,7 +118,7 @@
         registry_of_metrics,
         random.Random(),
     )
-    shown = exposition.Exposition(registry_of_metrics, process.gauges.update)
+    shown = exposition.MetricsServer(registry_of_metrics, process.gauges.update)
     await shown.listen(own.ip)
     _settle()
     await process.run()
@@ -136,7 +136,7 @@
     )
     registry_of_metrics = aioprometheus.Registry()
     process = agent.Agent(own, boundary, registry_of_metrics, random.Random())
-    shown = exposition.Exposition(registry_of_metrics, process.gauges.update)
+    shown = exposition.MetricsServer(registry_of_metrics, process.gauges.update)
     await shown.listen(own.ip)
     _settle()
     await process.run()
--- a/clementinepass/platform/dialect.py
+++ b/clementinepass/platform/dialect.py
@@ -58,7 +58,7 @@
 
     __slots__ = ()
 
-    def call(self, request: messages.Request) -> calls.Call:
+    def decode_request(self, request: messages.Request) -> calls.Call:
         """Decode a caller's request.
 
         :raises BadCallError: it has no id, or one of its numbers is none.
@@ -66,10 +66,10 @@
         headers = request.headers
         name = headers.get(_ID_NAME) or b''
         if not 0 < len(name) <= _LONGEST_ID or headers.count(_ID_NAME) != 1:
-            raise calls.BadCallError('a request needs one id')
+            raise calls.InvalidRequestError('a request needs one id')
         try:
             return self._named(name.decode('latin-1'), request)
-        except calls.BadCallError as error:
+        except calls.InvalidRequestError as error:
             error.request_id = name.decode('latin-1')
             raise
 
@@ -81,26 +81,28 @@
             request=request,
             host=headers.get(b'host') or b'',
             key=headers.get(_KEY_NAME) or b'',
-            patience=_number(headers.get(_DEADLINE_NAME), _seconds),
+            timeout_seconds=_number(headers.get(_DEADLINE_NAME), _seconds),
             prompt_tokens=prompt,
             answer_tokens=answer,
             resume_after=_number(headers.get(_RESUME_NAME), _event_id),
         )
 
-    def attempt(self, call: calls.Call, sending: calls.Sending) -> bytes:
+    def encode_attempt(
+        self, call: calls.Call, parameters: calls.AttemptParameters
+    ) -> bytes:
         """Return the request for an endpoint as it goes on the wire."""
         request = call.request
         pairs = request.headers.end_to_end(_SET_HERE)
-        left = max(int(sending.seconds * _MS), 1)
+        left = max(int(parameters.timeout_seconds * _MS), 1)
         pairs.append((_DEADLINE, b'%d' % left))
-        pairs.append((_EXPECT_INSTANCE, sending.endpoint_id.encode()))
-        pairs.append((_URGENCY, b'%d' % sending.urgency))
-        if sending.team:
-            pairs.append((_TEAM, sending.team.encode()))
-        if sending.version:
-            pairs.append((_EXPECT_VERSION, b'%d' % sending.version))
-        if sending.resume_after is not None:
-            pairs.append((_RESUME, b'%d' % sending.resume_after))
+        pairs.append((_EXPECT_INSTANCE, parameters.endpoint_id.encode()))
+        pairs.append((_URGENCY, b'%d' % parameters.urgency))
+        if parameters.team:
+            pairs.append((_TEAM, parameters.team.encode()))
+        if parameters.version:
+            pairs.append((_EXPECT_VERSION, b'%d' % parameters.version))
+        if parameters.resume_after is not None:
+            pairs.append((_RESUME, b'%d' % parameters.resume_after))
         return messages.request_bytes(
             request.method,
             request.target,
@@ -108,22 +110,22 @@
             request.body,
         )
 
-    def answer(
+    def decode_head(
         self,
         call: calls.Call,
         head: messages.AnswerHead,
-    ) -> calls.AnswerFacts:
+    ) -> calls.DecodedHead:
         """Decode the head of an endpoint's answer."""
         headers = head.headers
         content_type = headers.get(b'content-type') or b''
-        return calls.AnswerFacts(
+        return calls.DecodedHead(
             verdict=_verdict(call, head),
             is_stream=content_type.lower().startswith(_EVENTS),
             pairs=headers.end_to_end(_PRIVATE),
             instance=(headers.get(_INSTANCE_NAME) or b'').decode('latin-1'),
         )
 
-    def refusal(self, call: calls.Call | None) -> list[messages.Pair]:
+    def refusal_headers(self, call: calls.Call | None) -> list[messages.Pair]:
         """Return the headers of an answer of the system's own."""
         if call is None:
             return []
@@ -134,14 +136,14 @@
     headers = head.headers
     echoed = headers.get(_ID_NAME)
     if echoed is not None and echoed != call.id.encode('latin-1'):
-        return calls.Verdict.FOREIGN
+        return calls.Verdict.OTHER_REQUEST
     if head.status == _MISDIRECTED:
         return calls.Verdict.MISDIRECTED
     if headers.get(_NOT_RUN_NAME) is not None:
         return calls.Verdict.NOT_RUN
     encoded = headers.get(b'content-encoding') not in {None, b'identity'}
     if echoed is None or encoded or headers.get(_STAMP_NAME) is None:
-        return calls.Verdict.SPOILED
+        return calls.Verdict.INVALID
     if head.status in _SUCCESS:
         return calls.Verdict.SUCCESS
     return calls.Verdict.FAILURE
@@ -157,7 +159,7 @@
     try:
         return read(field)
     except ValueError as error:
-        raise calls.BadCallError('a header holds no number') from error
+        raise calls.InvalidRequestError('a header holds no number') from error
 
 
 def _seconds(field: bytes) -> float:
--- a/clementinepass/platform/directory.py
+++ b/clementinepass/platform/directory.py
@@ -33,7 +33,9 @@
 
     __slots__ = ()
 
-    def handler(self, offers: directory.Offers) -> connection.Handler:
+    def create_handler(
+        self, entry_directory: directory.EntryDirectory
+    ) -> connection.Handler:
         """Return what answers the questions."""
 
         async def answer(  # noqa: WPS430
@@ -41,16 +43,20 @@
             reply: replies.Reply,
         ) -> None:
             if request.path == _RESOLVE:
-                self._resolve(offers, reply)
+                self._resolve(entry_directory, reply)
             elif request.path == _READY:
-                reply.send(_OK if offers.ready else _UNAVAILABLE, [], b'')
+                reply.send(
+                    _OK if entry_directory.is_ready else _UNAVAILABLE, [], b''
+                )
             else:
                 reply.send(_NOT_FOUND, [], b'')
 
         return answer
 
-    def _resolve(self, offers: directory.Offers, reply: replies.Reply) -> None:
+    def _resolve(
+        self, entry_directory: directory.EntryDirectory, reply: replies.Reply
+    ) -> None:
         now = asyncio.get_running_loop().time()
-        found = offers.offered(now)[:_MOST_ADDRESSES]
-        resolved = _Resolved(found, offers.told(now))
+        found = entry_directory.listed_addresses(now)[:_MOST_ADDRESSES]
+        resolved = _Resolved(found, entry_directory.list_max_age(now))
         reply.send(_OK, _JSON, msgspec.json.encode(resolved))
--- a/clementinepass/platform/node_settings.py
+++ b/clementinepass/platform/node_settings.py
@@ -117,8 +117,8 @@
     )
 
 
-def _duties(bounds: _Bounds) -> node.Duties:
-    return node.Duties(
+def _duties(bounds: _Bounds) -> node.SystemLimits:
+    return node.SystemLimits(
         drain=bounds.drainMs / _MS,
         grace=bounds.graceS,
         budget_share=bounds.budgetRatio,
--- a/clementinepass/platform/operator.py
+++ b/clementinepass/platform/operator.py
@@ -22,7 +22,7 @@
 _KINDS_BY_NAME = {
     'streaming': routing.RouteKind.STREAM,
     'idempotent': routing.RouteKind.IDEMPOTENT,
-    'non_idempotent': routing.RouteKind.ONCE,
+    'non_idempotent': routing.RouteKind.AT_MOST_ONCE,
 }
 
 
@@ -159,15 +159,17 @@
         name=route.name,
         host=route.host.lower().encode(),
         prefix=route.path_prefix.encode(),
-        kind=_KINDS_BY_NAME.get(route.route_kind, routing.RouteKind.ONCE),
+        kind=_KINDS_BY_NAME.get(
+            route.route_kind, routing.RouteKind.AT_MOST_ONCE
+        ),
         backends=backends or (routing.Backend(route.service, 1),),
         timeout=route.timeout_ms / _MS,
-        aim=route.slo_ms / _MS,
-        longest_gap=route.gap_target_ms / _MS,
+        latency_target=route.slo_ms / _MS,
+        max_event_gap=route.gap_target_ms / _MS,
         priority=route.priority,
-        most_attempts=max(route.max_attempts, 1),
+        max_runs=max(route.max_attempts, 1),
         is_public=route.public,
-        resumable=route.resumable,
+        is_resumable=route.resumable,
     )
 
 
@@ -194,9 +196,9 @@
         chunks=engine.chunks,
         chunk_bytes=engine.chunkBytes,
         step_seconds=engine.step_ms / _MS,
-        read_per_second=engine.read_per_s,
-        usual_prompt=usual.prompt,
-        usual_answer=usual.answer,
+        prompt_tokens_per_second=engine.read_per_s,
+        mean_prompt_tokens=usual.prompt,
+        mean_answer_tokens=usual.answer,
     )
 
 
--- a/clementinepass/platform/registry.py
+++ b/clementinepass/platform/registry.py
@@ -83,8 +83,8 @@
         draining=entry.state == _DRAINING,
         heartbeat=entry.sequence,
         weights=weights(entry.models, entry.layers),
-        started=started(entry.born),
-        written=record.offset,
+        started_ms=started(entry.born),
+        record_offset=record.offset,
     )
 
 
--- a/standins/following_callers.py
+++ b/standins/following_callers.py
@@ -155,7 +155,7 @@
         answer: int,
     ) -> _Attempt:
         loop = asyncio.get_running_loop()
-        splitter = events.Splitter(None)
+        splitter = events.EventSplitter(None)
         first = float(0)
         before = float(0)
         longest = float(0)
@@ -170,7 +170,7 @@
                 longest = max(longest, now - (before or now))
                 before = now
         wanted = max(answer // stepping_engine.STRIDE, 1)
-        if splitter.last != wanted - 1 or splitter.partial:
+        if splitter.last_id != wanted - 1 or splitter.has_partial_event:
             self.broken.append(f'ORDER {name}: ended as whole too soon')
         return _Attempt(whole=True, first=first, longest_gap=longest)
 
--- a/standins/machines.py
+++ b/standins/machines.py
@@ -119,7 +119,7 @@
     def __init__(
         self,
         engines: typing.Sequence[weights_origin.LoadingEngine],
-        duties: node.Duties | None = None,
+        duties: node.SystemLimits | None = None,
         config: dict[str, typing.Any] | None = None,
         entries: int = 2,
         regions: int = 1,
@@ -127,7 +127,7 @@
         self.store = keyed_store.KeyedStore()
         self.origin = weights_origin.WeightsOrigin(CHUNKS)
         self.engines = list(engines)
-        self._duties = duties or node.Duties(version=1.5)
+        self._duties = duties or node.SystemLimits(version=1.5)
         self._config = config or CONFIG
         self.desk = direct_endpoint.DirectEndpoint('i-desk')
         self.entries: list[entry.Entry] = []
@@ -186,7 +186,9 @@
                 task.result()
         now = asyncio.get_running_loop().time()
         whole = len(self.entries)
-        return all(len(one.offered(now)) == whole for one in self.entries)
+        return all(
+            len(one.listed_addresses(now)) == whole for one in self.entries
+        )
 
     def kill_entry(self, ip: str) -> None:
         """End an entry without a word to anybody."""
@@ -234,10 +236,10 @@
             callers=f'{ip}:{ports[0]}',
             readiness=f'{ip}:{ports[1]}',
         )
-        boundary = entry.Boundary(
+        boundary = entry.PlatformAdapters(
             store=store.HttpStore(own.store),
             dialect=dialect.HeaderDialect(),
-            spelling=directory.DirectorySpelling(),
+            directory_handlers=directory.DirectorySpelling(),
             readers=READERS,
         )
         one = entry.Entry(
@@ -273,7 +275,7 @@
 
     async def ask(self, number: int, target: str = '/plain/a') -> int:
         """Ask an entry as a caller and return the status."""
-        address = self.entries[number].callers
+        address = self.entries[number].callers_address
         request = messages.request_bytes(
             b'GET',
             target.encode(),
--- a/tests/direct/path_world.py
+++ b/tests/direct/path_world.py
@@ -23,7 +23,7 @@
 from standins import direct_endpoint
 
 HOST = direct_endpoint.HOST
-DUTIES = node.Duties(budget_surplus=1000)
+DUTIES = node.SystemLimits(budget_surplus=1000)
 NODE = node.Node(
     name='entry-1',
     ip=HOST,
@@ -41,9 +41,9 @@
     chunks=4,
     chunk_bytes=8,
     step_seconds=0.007,
-    read_per_second=30000,
-    usual_prompt=900,
-    usual_answer=100,
+    prompt_tokens_per_second=30000,
+    mean_prompt_tokens=900,
+    mean_answer_tokens=100,
 )
 
 
@@ -56,23 +56,23 @@
         'kind': routing.RouteKind.STREAM,
         'backends': (routing.Backend('pool', 1),),
         'timeout': 10,
-        'aim': 5,
-        'longest_gap': 5,
-        'most_attempts': 2,
-        'resumable': True,
+        'latency_target': 5,
+        'max_event_gap': 5,
+        'max_runs': 2,
+        'is_resumable': True,
     }
     return routing.Route(**{**usual, **changes})
 
 
 ROUTES = (
     route('stream'),
-    route('stream/once', resumable=False),
+    route('stream/once', is_resumable=False),
     route('plain', kind=routing.RouteKind.IDEMPOTENT),
     route('plain/brief', kind=routing.RouteKind.IDEMPOTENT, timeout=1),
-    route('once', kind=routing.RouteKind.ONCE, most_attempts=1),
-    route('once/twice', kind=routing.RouteKind.ONCE),
+    route('once', kind=routing.RouteKind.AT_MOST_ONCE, max_runs=1),
+    route('once/twice', kind=routing.RouteKind.AT_MOST_ONCE),
     route('public', kind=routing.RouteKind.IDEMPOTENT, is_public=True),
-    route('short', kind=routing.RouteKind.ONCE, timeout=0.05),
+    route('short', kind=routing.RouteKind.AT_MOST_ONCE, timeout=0.05),
 )
 
 
@@ -85,13 +85,13 @@
             for number in range(count)
         ]
         self.cluster = cluster_state.ClusterState(own)
-        self.departure = departure.Departure(own, self.cluster)
+        self.departure = departure.DrainState(own, self.cluster)
         #: Other entries that callers may be sent to.
         self.others_ready = 0
         log = request_log.RequestLog(aioprometheus.Registry())
         spelling = dialect.HeaderDialect()
         self.sender = attempt.Sender(self.cluster, spelling, log)
-        self.path = path.Path(
+        self.path = path.RequestHandler(
             own,
             self.cluster,
             spelling,
@@ -159,7 +159,7 @@
 
     def kept(self, endpoint_id: str) -> list[channel.Channel]:
         """Return the idle connections that are kept to an endpoint."""
-        kept = self.sender._kept_by_id[endpoint_id]
+        kept = self.sender._pools_by_id[endpoint_id]
         return list(kept.connections._idle)
 
     def fail_first(self, *faults: direct_endpoint.Fault) -> None:
--- a/tests/direct/test_announcer.py
+++ b/tests/direct/test_announcer.py
@@ -27,7 +27,7 @@
     regions_by_domain={'a': 'a'},
     first_port=1,
     store='',
-    duties=node.Duties(),
+    duties=node.SystemLimits(),
     endpoint=ENGINE,
 )
 HELD = endpoints.Weights(2, 0, 4)
@@ -125,7 +125,7 @@
         """An agent that falls silent isn't passed by for ever."""
         now = [100.0]
         known = cluster_state.ClusterState(OWN, clock=lambda: now[0])
-        known.endpoints.listed(
+        known.endpoints.apply_listing(
             endpoints.Listing('i', 's', ENGINE, 'a', 16, False, 1, HELD),
         )
         known.heard_held(
--- a/tests/direct/test_catching_up.py
+++ b/tests/direct/test_catching_up.py
@@ -65,7 +65,7 @@
             regions_by_domain={'a': 'a'},
             first_port=port,
             store='',
-            duties=node.Duties(),
+            duties=node.SystemLimits(),
             callers=f'{HOST}:1',
         )
         self.cluster = cluster_state.ClusterState(own)
--- a/tests/direct/test_cluster_state.py
+++ b/tests/direct/test_cluster_state.py
@@ -27,7 +27,7 @@
     regions_by_domain={'a': 'a'},
     first_port=1,
     store='',
-    duties=node.Duties(),
+    duties=node.SystemLimits(),
 )
 
 
@@ -46,7 +46,7 @@
         draining=False,
         heartbeat=heartbeat,
         weights=weights,
-        started=started,
+        started_ms=started,
     )
 
 
@@ -101,7 +101,7 @@
         It wasn't believed, as of one that is gone; but the weights of before
         were taken for those of the new start, which it had told of.
         """
-        self.known.endpoints.removed('i-1', now=90, grace=0)
+        self.known.endpoints.mark_removed('i-1', now=90, grace=0)
         self.told(2000, EMPTY)
         self.known.listed(listing(2000, 1))
         self.assertEqual(EMPTY, self.endpoint.weights)
@@ -131,7 +131,9 @@
 
     def test_load_told_by_peers(self) -> None:
         """Others' requests at the start before are no load of the new one."""
-        self.known.loads.heard('10.0.0.8', {'i-1': 9, 'i-2': 1}, 100)
+        self.known.loads.update_peer_counts(
+            '10.0.0.8', {'i-1': 9, 'i-2': 1}, 100
+        )
         self.endpoint.in_flight = 3
         self.assertEqual(12, self.known.loads.total(self.endpoint, 100))
         self.known.listed(listing(2000, 1))
--- a/tests/direct/test_endpoint_loads.py
+++ b/tests/direct/test_endpoint_loads.py
@@ -37,9 +37,9 @@
         chunks=12,
         chunk_bytes=30,
         step_seconds=0.01,
-        read_per_second=20_000,
-        usual_prompt=900,
-        usual_answer=90,
+        prompt_tokens_per_second=20_000,
+        mean_prompt_tokens=900,
+        mean_answer_tokens=90,
     )
     service = routing.Service('s', 100, engine)
     return routing.Routing(1, (), (service,), None, limits.Bounds())
@@ -58,7 +58,7 @@
         super().setUp()
         self.known = cluster_state.ClusterState(test_cluster_state.OWN)
         self.known.listed(listing())
-        self.known.loads.heard('10.0.0.8', {'i-1': 9}, NOW)
+        self.known.loads.update_peer_counts('10.0.0.8', {'i-1': 9}, NOW)
         (self.engine,) = self.known.endpoints
 
     def total(self, after: float = 0) -> int:
@@ -71,13 +71,13 @@
         self.known.heard_load(HOST, load(3, 2), NOW)
 
         self.assertEqual(5, self.total())
-        self.assertEqual(2, self.known.loads.unbegun(self.engine, NOW))
+        self.assertEqual(2, self.known.loads.unstarted(self.engine, NOW))
 
     def test_sent_since(self) -> None:
         """What was sent since the last report is added until the next."""
         self.known.heard_load(HOST, load(3, 0), NOW)
         for after in (0.05, 0.09):
-            self.engine.reported.sent(NOW + after)
+            self.engine.reported_load.record_sent(NOW + after)
         self.assertEqual(5, self.total())
 
         self.known.heard_load(HOST, load(4, 0), NOW + 0.2)
@@ -85,7 +85,7 @@
 
     def test_sent_meanwhile(self) -> None:
         """A report left before a request came that was sent before it came."""
-        self.engine.reported.sent(NOW)
+        self.engine.reported_load.record_sent(NOW)
         self.known.heard_load(HOST, load(3, 0), NOW + 0.01)
 
         self.assertEqual(4, self.total())
@@ -101,7 +101,7 @@
 
         To those others the engine looked empty, and drew their requests.
         """
-        self.known.loads.heard('10.0.0.8', {}, NOW)
+        self.known.loads.update_peer_counts('10.0.0.8', {}, NOW)
         self.known.heard_load(HOST, load(8, 5), NOW)
         self.assertEqual(13, self.total(after=1.1))
         self.assertEqual(0, self.total(after=5.1))
@@ -112,7 +112,7 @@
         (self.engine,) = self.known.endpoints
         self.known.heard_load(HOST, load(8, 8, started=4), NOW)
 
-        self.assertEqual(0, self.engine.reported.total)
+        self.assertEqual(0, self.engine.reported_load.total)
 
     def test_told_to_others(self) -> None:
         """Entries count to one another only what no agent reports."""
@@ -128,12 +128,12 @@
     def test_gone_from_the_list(self) -> None:
         """An address that another endpoint has taken over."""
         other = listing()._replace(id='i-2', service='t')
-        self.known.endpoints.listed(other)
-        self.assertEqual(2, len(self.known.endpoints.at_host(HOST)))
-        self.known.endpoints.removed('i-1', NOW, 0)
-        self.known.endpoints.forget(NOW + 10)
+        self.known.endpoints.apply_listing(other)
+        self.assertEqual(2, len(self.known.endpoints.at_ip(HOST)))
+        self.known.endpoints.mark_removed('i-1', NOW, 0)
+        self.known.endpoints.remove_expired(NOW + 10)
 
-        (left,) = self.known.endpoints.at_host(HOST)
+        (left,) = self.known.endpoints.at_ip(HOST)
         self.assertEqual('i-2', left.listing.id)
 
 
--- a/tests/direct/test_endpoints.py
+++ b/tests/direct/test_endpoints.py
@@ -16,9 +16,9 @@
     chunks=96,
     chunk_bytes=24576,
     step_seconds=0.007,
-    read_per_second=30000,
-    usual_prompt=900,
-    usual_answer=100,
+    prompt_tokens_per_second=30000,
+    mean_prompt_tokens=900,
+    mean_answer_tokens=100,
 )
 
 
@@ -43,11 +43,13 @@
     def setUp(self) -> None:
         super().setUp()
         self.known = endpoints.Endpoints()
-        self.known.listed(listing())
+        self.known.apply_listing(listing())
 
     def usable(self, now: float = 0) -> list[str]:
         """Return the ids of those that may be used."""
-        return [one.listing.id for one in self.known.of_service('pool', now)]
+        return [
+            one.listing.id for one in self.known.usable_for_service('pool', now)
+        ]
 
     def test_replaced_at_its_address(self) -> None:
         """All lost their power; the list named who had been there, too.
@@ -55,40 +57,44 @@
         Each entry sent to each of those once, and was told that another is
         there now, until it might send nothing more.
         """
-        self.known.listed(listing(id='i-2', written=9))
+        self.known.apply_listing(listing(id='i-2', record_offset=9))
         self.assertEqual(['i-2'], self.usable())
-        self.known.listed(listing(id='i-0', written=3))
+        self.known.apply_listing(listing(id='i-0', record_offset=3))
         self.assertEqual(['i-2'], self.usable())
 
     def test_address_named_by_another_service(self) -> None:
         """A wrong record takes no endpoint away from another service."""
-        self.known.listed(listing(id='i-2', service='other', written=9))
+        self.known.apply_listing(
+            listing(id='i-2', service='other', record_offset=9)
+        )
         self.assertEqual(['i-1'], self.usable())
 
     def test_newer_word_at_an_address(self) -> None:
         """Whoever writes last is there; a word of its start isn't needed."""
-        self.known.listed(listing(id='i-2', written=9))
-        self.known.listed(listing(heartbeat=6, written=12))
+        self.known.apply_listing(listing(id='i-2', record_offset=9))
+        self.known.apply_listing(listing(heartbeat=6, record_offset=12))
         self.assertEqual(['i-1'], self.usable())
 
     def test_replacement_refuted(self) -> None:
         """A record named an address that isn't its endpoint's."""
-        self.known.listed(listing(id='i-2', written=9))
+        self.known.apply_listing(listing(id='i-2', record_offset=9))
         replacement = self.known.get('i-2')
         assert replacement is not None
-        replacement.misdirected = True
+        replacement.is_misdirected = True
         self.assertEqual(['i-1'], self.usable())
 
     def test_replacement_moved(self) -> None:
         """The one that replaced an endpoint started anew elsewhere."""
-        self.known.listed(listing(id='i-2', written=9))
-        self.known.listed(listing(id='i-2', address='10.0.0.7:80', written=10))
+        self.known.apply_listing(listing(id='i-2', record_offset=9))
+        self.known.apply_listing(
+            listing(id='i-2', address='10.0.0.7:80', record_offset=10)
+        )
         self.assertEqual({'i-1', 'i-2'}, set(self.usable()))
 
     def test_replacement_gone(self) -> None:
         """The record of who replaced an endpoint is dropped."""
-        self.known.listed(listing(id='i-2', written=9))
-        self.known.removed('i-2', 5, 0)
+        self.known.apply_listing(listing(id='i-2', record_offset=9))
+        self.known.mark_removed('i-2', 5, 0)
         self.assertEqual(['i-1'], self.usable(6))
 
     def test_stalled(self) -> None:
@@ -99,17 +105,17 @@
         """
         endpoint = self.known.get('i-1')
         assert endpoint is not None
-        endpoint.heard = 10
+        endpoint.last_received_at = 10
         endpoint.in_flight = 3
         # Nothing has begun: all may wait behind the requests of others.
-        self.assertFalse(endpoint.stalled(12))
-        endpoint.streams = 2
-        self.assertFalse(endpoint.stalled(10.5))
-        self.assertTrue(endpoint.stalled(10.7))
-        endpoint.heard = 10.7
-        self.assertFalse(endpoint.stalled(10.8))
-        endpoint.streams = 1
-        self.assertFalse(endpoint.stalled(12))
+        self.assertFalse(endpoint.is_stalled(12))
+        endpoint.active_streams = 2
+        self.assertFalse(endpoint.is_stalled(10.5))
+        self.assertTrue(endpoint.is_stalled(10.7))
+        endpoint.last_received_at = 10.7
+        self.assertFalse(endpoint.is_stalled(10.8))
+        endpoint.active_streams = 1
+        self.assertFalse(endpoint.is_stalled(12))
 
     def test_old_word(self) -> None:
         """A word from before the endpoint was leaving comes late.
@@ -117,8 +123,8 @@
         Requests went to an endpoint four seconds after it had said that it
         was leaving: an older heartbeat had been read after that.
         """
-        self.known.listed(listing(draining=True, heartbeat=7))
-        self.assertFalse(self.known.listed(listing(heartbeat=6)))
+        self.known.apply_listing(listing(draining=True, heartbeat=7))
+        self.assertFalse(self.known.apply_listing(listing(heartbeat=6)))
         self.assertEqual([], self.usable())
 
     def test_leaving_overtaken(self) -> None:
@@ -128,10 +134,12 @@
         that it was leaving. That word had been taken for an old one: its
         number was lower than the last heartbeat's.
         """
-        self.known.listed(listing(heartbeat=8))
-        self.assertTrue(self.known.listed(listing(draining=True, heartbeat=7)))
+        self.known.apply_listing(listing(heartbeat=8))
+        self.assertTrue(
+            self.known.apply_listing(listing(draining=True, heartbeat=7))
+        )
         self.assertEqual([], self.usable())
-        self.known.listed(listing(heartbeat=9))
+        self.known.apply_listing(listing(heartbeat=9))
         self.assertEqual([], self.usable())
 
     def test_leaving_is_final(self) -> None:
@@ -139,8 +147,8 @@
 
         Where no start is told, nothing tells a new one from a late word.
         """
-        self.known.listed(listing(draining=True, heartbeat=7))
-        self.known.listed(listing(heartbeat=8))
+        self.known.apply_listing(listing(draining=True, heartbeat=7))
+        self.known.apply_listing(listing(heartbeat=8))
         self.assertEqual([], self.usable())
 
     def test_lapsed_while_the_store_was_away(self) -> None:
@@ -149,15 +157,15 @@
         Every request was refused until they had listed themselves again,
         though all of them lived.
         """
-        self.known.removed('i-1', now=10, grace=2)
+        self.known.mark_removed('i-1', now=10, grace=2)
         self.assertEqual(['i-1'], self.usable(11.9))
         self.assertEqual([], self.usable(12))
-        self.known.listed(listing(heartbeat=1))
+        self.known.apply_listing(listing(heartbeat=1))
         self.assertEqual(['i-1'], self.usable(12))
 
     def test_gone_at_once(self) -> None:
         """One that the list drops in quiet times is gone."""
-        self.known.removed('i-1', now=10, grace=0)
+        self.known.mark_removed('i-1', now=10, grace=0)
         self.assertEqual([], self.usable(10))
 
     def test_forgotten(self) -> None:
@@ -165,10 +173,10 @@
         one = self.known.get('i-1')
         assert one is not None
         one.in_flight = 1
-        self.known.removed('i-1', now=10, grace=0)
-        self.assertEqual([], self.known.forget(20))
+        self.known.mark_removed('i-1', now=10, grace=0)
+        self.assertEqual([], self.known.remove_expired(20))
         one.in_flight = 0
-        self.assertEqual([one], self.known.forget(20))
+        self.assertEqual([one], self.known.remove_expired(20))
         self.assertIsNone(self.known.get('i-1'))
 
     def test_layers(self) -> None:
@@ -184,7 +192,9 @@
         )
         for weights, version, expected in table:
             one = endpoints.Endpoint(listing(weights=weights))
-            self.assertEqual(expected, one.holds(ENGINE, version), weights)
+            self.assertEqual(
+                expected, one.has_weights(ENGINE, version), weights
+            )
 
 
 class RestartTest(testtools.TestCase):
@@ -193,11 +203,13 @@
     def setUp(self) -> None:
         super().setUp()
         self.known = endpoints.Endpoints()
-        self.known.listed(listing(started=1000, heartbeat=50))
+        self.known.apply_listing(listing(started_ms=1000, heartbeat=50))
 
     def usable(self, now: float = 0) -> list[str]:
         """Return the ids of those that may be used."""
-        return [one.listing.id for one in self.known.of_service('pool', now)]
+        return [
+            one.listing.id for one in self.known.usable_for_service('pool', now)
+        ]
 
     def held(self) -> endpoints.Weights:
         """Return what the endpoint is believed to hold."""
@@ -210,11 +222,13 @@
 
         Its counts began anew, so its words were also taken for old ones.
         """
-        self.known.listed(
-            listing(started=1000, heartbeat=51, draining=True),
+        self.known.apply_listing(
+            listing(started_ms=1000, heartbeat=51, draining=True),
         )
         self.assertEqual([], self.usable())
-        self.assertTrue(self.known.listed(listing(started=2000, heartbeat=1)))
+        self.assertTrue(
+            self.known.apply_listing(listing(started_ms=2000, heartbeat=1))
+        )
         self.assertEqual(['i-1'], self.usable())
 
     def test_late_word_of_the_start_before(self) -> None:
@@ -223,17 +237,21 @@
         The endpoint was taken for leaving, or for holding what it had held.
         """
         empty = endpoints.Weights(0, 0, 0)
-        self.known.listed(listing(started=2000, heartbeat=1, weights=empty))
+        self.known.apply_listing(
+            listing(started_ms=2000, heartbeat=1, weights=empty)
+        )
         for late in (
-            listing(started=1000, heartbeat=99),
-            listing(started=1000, heartbeat=99, draining=True),
-            listing(started=1000, heartbeat=99, address='10.0.0.9:80'),
+            listing(started_ms=1000, heartbeat=99),
+            listing(started_ms=1000, heartbeat=99, draining=True),
+            listing(started_ms=1000, heartbeat=99, address='10.0.0.9:80'),
         ):
-            self.assertFalse(self.known.listed(late))
+            self.assertFalse(self.known.apply_listing(late))
             self.assertEqual(empty, self.held())
             self.assertEqual(['i-1'], self.usable())
-        self.known.removed('i-1', now=10, grace=0)
-        self.assertFalse(self.known.listed(listing(started=1000, heartbeat=99)))
+        self.known.mark_removed('i-1', now=10, grace=0)
+        self.assertFalse(
+            self.known.apply_listing(listing(started_ms=1000, heartbeat=99))
+        )
         self.assertEqual([], self.usable(10))
 
     def test_nothing_is_kept(self) -> None:
@@ -245,15 +263,15 @@
         """
         before = self.known.get('i-1')
         assert before is not None
-        before.misdirected = True
+        before.is_misdirected = True
         before.in_flight = 7
-        before.streams = 7
+        before.active_streams = 7
         before.congested_until = 99
-        self.known.listed(listing(started=2000, heartbeat=1))
+        self.known.apply_listing(listing(started_ms=2000, heartbeat=1))
         after = self.known.get('i-1')
         assert after is not None
         self.assertEqual(['i-1'], self.usable())
-        self.assertFalse(after.stalled(99))
+        self.assertFalse(after.is_stalled(99))
         # What still ends there ends at the start before.
         before.in_flight -= 1
         self.assertEqual((0, 6), (after.in_flight, before.in_flight))
@@ -266,23 +284,25 @@
         """
         for start in (2000, 0):
             elsewhere = listing(
-                started=start,
+                started_ms=start,
                 heartbeat=60 + start,
                 service=f'other-{start}',
                 address='10.0.0.9:80',
             )
-            self.known.listed(elsewhere)
+            self.known.apply_listing(elsewhere)
             self.assertEqual([], self.usable())
-        self.known.removed('i-1', now=10, grace=0)
-        self.assertEqual(1, len(self.known.forget(20)))
+        self.known.mark_removed('i-1', now=10, grace=0)
+        self.assertEqual(1, len(self.known.remove_expired(20)))
 
     def test_untold_start(self) -> None:
         """Writers that don't tell their start are ordered as before."""
-        self.assertFalse(self.known.listed(listing(heartbeat=49)))
-        self.assertTrue(self.known.listed(listing(heartbeat=51, slots=8)))
+        self.assertFalse(self.known.apply_listing(listing(heartbeat=49)))
+        self.assertTrue(
+            self.known.apply_listing(listing(heartbeat=51, slots=8))
+        )
         one = self.known.get('i-1')
         assert one is not None
-        self.assertEqual((1000, 8), (one.listing.started, one.listing.slots))
+        self.assertEqual((1000, 8), (one.listing.started_ms, one.listing.slots))
 
     def test_any_words_in_any_order(self) -> None:
         """Whatever comes when: starts don't go back, and leaving is final.
@@ -300,7 +320,7 @@
         left: set[int] = set()
         for now in range(60):
             word = listing(
-                started=rng.randrange(1, 4),
+                started_ms=rng.randrange(1, 4),
                 heartbeat=rng.randrange(1, 30),
                 draining=rng.random() < 0.1,
                 service=rng.choice(('pool', 'pool', 'pool', 'other')),
@@ -308,30 +328,30 @@
             )
             event = rng.random()
             if event < 0.1:
-                known.removed('i-1', now, grace=0)
+                known.mark_removed('i-1', now, grace=0)
             elif event < 0.2:
-                known.unreadable('i-1')
+                known.mark_unreadable('i-1')
             elif event < 0.25:
-                known.forget(now)
+                known.remove_expired(now)
                 if known.get('i-1') is None:
                     newest, left = 0, set()
-            elif known.listed(word):
-                self.assertGreaterEqual(word.started, newest, seed)
-                newest = word.started
+            elif known.apply_listing(word):
+                self.assertGreaterEqual(word.started_ms, newest, seed)
+                newest = word.started_ms
             one = known.get('i-1')
             if one is None:
                 continue
             if one.listing.draining:
-                left.add(one.listing.started)
-            self.assertEqual(newest, one.listing.started, seed)
+                left.add(one.listing.started_ms)
+            self.assertEqual(newest, one.listing.started_ms, seed)
             if newest in left:
-                self.assertFalse(one.usable(now), seed)
+                self.assertFalse(one.is_usable(now), seed)
             served = [
                 each.listing.id
                 for service in ('pool', 'other')
-                for each in known.of_service(service, now)
+                for each in known.usable_for_service(service, now)
             ]
-            self.assertEqual(int(one.usable(now)), len(served), seed)
+            self.assertEqual(int(one.is_usable(now)), len(served), seed)
 
     def test_unreadable(self) -> None:
         """A state that this version doesn't know, under a known id.
@@ -339,11 +359,13 @@
         The endpoint got requests by the record before. Its next word is
         believed again, and nothing known of it was lost.
         """
-        self.assertFalse(self.known.unreadable('i-unknown'))
-        self.assertTrue(self.known.unreadable('i-1'))
-        self.assertFalse(self.known.unreadable('i-1'))
+        self.assertFalse(self.known.mark_unreadable('i-unknown'))
+        self.assertTrue(self.known.mark_unreadable('i-1'))
+        self.assertFalse(self.known.mark_unreadable('i-1'))
         self.assertEqual([], self.usable())
         one = self.known.get('i-1')
-        self.assertTrue(self.known.listed(listing(started=1000, heartbeat=51)))
+        self.assertTrue(
+            self.known.apply_listing(listing(started_ms=1000, heartbeat=51))
+        )
         self.assertEqual(['i-1'], self.usable())
         self.assertIs(one, self.known.get('i-1'))
--- a/tests/direct/test_gossip.py
+++ b/tests/direct/test_gossip.py
@@ -46,7 +46,7 @@
             regions_by_domain={},
             first_port=7000,
             store='',
-            duties=node.Duties(),
+            duties=node.SystemLimits(),
             callers=f'{ip}:80',
         )
         super().__init__(own, {}, cluster_state.ClusterState(own), rng)
--- a/tests/direct/test_intake.py
+++ b/tests/direct/test_intake.py
@@ -57,7 +57,7 @@
 
     def usable(self) -> list[str]:
         """Return the ids of the endpoints that may be used."""
-        found = self.known.endpoints.of_service('pool', 0)
+        found = self.known.endpoints.usable_for_service('pool', 0)
         return [one.listing.id for one in found]
 
     def test_no_flood(self) -> None:
@@ -148,7 +148,7 @@
             removal = records.Record('i-1', 1, None)
             follow.take(records.Page((removal,), 2), 'peer')
             (one,) = known.endpoints
-            gone_at = one.gone_at
+            gone_at = one.unusable_at
             return None if gone_at is None else round(gone_at - now(), 2)
 
         return skipped_time.run(play())
--- a/tests/direct/test_leaving.py
+++ b/tests/direct/test_leaving.py
@@ -52,7 +52,7 @@
     peers: Quiet | None = None,
 ) -> asyncio.Task[None]:
     """Send SIGTERM; return what ends the entry."""
-    leave = leaving.Leaving(
+    leave = leaving.Drainer(
         world.front,
         world.path,
         typing.cast('typing.Any', peers or Quiet()),
@@ -60,7 +60,7 @@
     )
 
     async def ended() -> None:
-        await leave.wait()
+        await leave.wait_until_drained()
         await world.front.close()
 
     task = asyncio.create_task(ended())
@@ -251,7 +251,7 @@
 
     def counts(self, world: path_world.PathWorld) -> tuple[int, int]:
         """Return the requests taken and refused since SIGTERM."""
-        return world.departure.taken, world.departure.refused
+        return world.departure.accepted_count, world.departure.refused_count
 
     def test_answered_before_it(self) -> None:
         """A request that was answered before SIGTERM ends nothing again."""
@@ -270,7 +270,7 @@
         """Know nothing yet."""
         super().setUp()
         self.known = cluster_state.ClusterState(path_world.NODE)
-        self.state = departure.Departure(path_world.NODE, self.known)
+        self.state = departure.DrainState(path_world.NODE, self.known)
 
     def configure(self, version: int, timeout: float) -> None:
         """Put a configuration with one route in force."""
@@ -287,9 +287,9 @@
     def test_by_the_routes(self) -> None:
         """Long requests make short lists."""
         self.configure(1, 6)
-        short = self.state.told(0)
+        short = self.state.list_max_age(0)
         self.configure(2, 1)
-        self.assertLess(short, self.state.told(0))
+        self.assertLess(short, self.state.list_max_age(0))
 
     def test_lists_told_before(self) -> None:
         """An entry told callers long lists, and ended early.
@@ -298,13 +298,13 @@
         when nobody names it any more.
         """
         self.configure(1, 1)
-        told = self.state.told(100)
+        told = self.state.list_max_age(100)
         self.configure(2, 6)
-        plan = self.state.begin(100)
+        plan = self.state.start(100)
         self.assertGreaterEqual(plan.lists_expire_at, 100 + 3 * told)
 
     def test_before_the_first_configuration(self) -> None:
         """Any request may be long while no route is known."""
-        unknown = self.state.told(0)
+        unknown = self.state.list_max_age(0)
         self.configure(1, 6)
-        self.assertLessEqual(unknown, self.state.told(0))
+        self.assertLessEqual(unknown, self.state.list_max_age(0))
--- a/tests/direct/test_machines.py
+++ b/tests/direct/test_machines.py
@@ -46,7 +46,7 @@
         there = machines.Machines(engines, config=config)
         async with asyncio.timeout(60), there as world:
             await machines.until(
-                lambda: all(one.ready for one in world.entries)
+                lambda: all(one.is_ready for one in world.entries)
             )
             await play(world)
 
@@ -83,7 +83,7 @@
         async def play(world: machines.Machines) -> None:
             first, second = await world.all_known()
             loop = asyncio.get_running_loop()
-            first._departure.begin(loop.time() - 60)
+            first._drain_state.start(loop.time() - 60)
             for one in world.entries:
                 one.peers.phase = members.Phase.LEAVING
                 one.peers.speak()
@@ -91,7 +91,9 @@
             await machines.until(
                 lambda: not first.peers.members.ready(loop.time())
             )
-            self.assertEqual([second.callers], first.offered(loop.time()))
+            self.assertEqual(
+                [second.callers_address], first.listed_addresses(loop.time())
+            )
 
         run(play)
 
@@ -108,7 +110,7 @@
         async def play(world: machines.Machines) -> None:
             first, second = await world.all_known()
             loop = asyncio.get_running_loop()
-            plan = first._departure.begin(loop.time())
+            plan = first._drain_state.start(loop.time())
             _leave(world)
             await machines.until(
                 lambda: not second.peers.members.ready(loop.time())
@@ -116,10 +118,12 @@
             offered = [
                 plan.started_at + step * 0.01
                 for step in range(1000)
-                if first.callers
-                in second.offered(plan.started_at + step * 0.01)
+                if first.callers_address
+                in second.listed_addresses(plan.started_at + step * 0.01)
             ]
-            kept = max(offered) + _LONGEST_KEPT * second.told(plan.started_at)
+            kept = max(offered) + _LONGEST_KEPT * second.list_max_age(
+                plan.started_at
+            )
             self.assertGreaterEqual(
                 plan.lists_expire_at, min(kept, plan.last_answer_at)
             )
@@ -140,14 +144,16 @@
             first, second = await world.all_known()
             loop = asyncio.get_running_loop()
             now = loop.time()
-            first._departure.begin(now - 60)
-            second._departure.begin(now)
+            first._drain_state.start(now - 60)
+            second._drain_state.start(now)
             _leave(world)
             await machines.until(
                 lambda: not first.peers.members.ready(loop.time())
             )
             self.assertEqual(200, await world.ask(1))
-            self.assertEqual([second.callers], first.offered(loop.time()))
+            self.assertEqual(
+                [second.callers_address], first.listed_addresses(loop.time())
+            )
 
         run(play, config=config)
 
@@ -301,8 +307,8 @@
             named = {'model': 'm', 'version': 2}
             world.store.put('keyed.op', 'version/m', named)
             own = msgspec.structs.replace(
-                world.entries[0]._own,
-                duties=node.Duties(version=8, settling=3),
+                world.entries[0]._local_node,
+                duties=node.SystemLimits(version=8, settling=3),
             )
             known = cluster_state.ClusterState(own)
             follow = intake.Intake(known, machines.READERS).followers(
@@ -401,7 +407,7 @@
             # The list may be later than the agent.
             await machines.until(
                 lambda: all(
-                    one.cluster.endpoints.get('i-0').listing.started == 2
+                    one.cluster.endpoints.get('i-0').listing.started_ms == 2
                     for one in world.entries
                 )
             )
@@ -447,7 +453,7 @@
             there = machines.Machines(engines)
             async with asyncio.timeout(30), there as world:
                 await machines.until(
-                    lambda: all(one.ready for one in world.entries)
+                    lambda: all(one.is_ready for one in world.entries)
                 )
                 world.store.put(
                     'keyed.op',
@@ -455,15 +461,17 @@
                     {'model': 'm', 'version': 2},
                 )
                 known = world.entries[0].cluster.endpoints
-                await machines.until(lambda: any(one.loading for one in known))
-                (loading,) = (one for one in known if one.loading)
+                await machines.until(
+                    lambda: any(one.is_loading for one in known)
+                )
+                (loading,) = (one for one in known if one.is_loading)
                 number = int(loading.listing.id.removeprefix('i-'))
                 agent = world._tasks[len(world.entries) + number]
                 told_by_task[agent]()
                 await agent
                 self.assertEqual([], world.engines[number].orders)
                 async with asyncio.timeout(_HEARD_SECONDS):
-                    await machines.until(lambda: not loading.loading)
+                    await machines.until(lambda: not loading.is_loading)
 
         asyncio.run(played())
 
@@ -504,7 +512,7 @@
 def _usable(one: entry.Entry, endpoint_id: str) -> bool:
     known = one.cluster.endpoints.get(endpoint_id)
     now = asyncio.get_running_loop().time()
-    return known is not None and known.usable(now)
+    return known is not None and known.is_usable(now)
 
 
 def _held(world: machines.Machines, endpoint_id: str) -> list[int]:
--- a/tests/direct/test_many_readers.py
+++ b/tests/direct/test_many_readers.py
@@ -116,6 +116,6 @@
                     lambda follow=follow: follow.known.next_offset == 2,
                 )
                 (desk,) = one.cluster.endpoints
-                self.assertTrue(desk.usable(loop.time()))
+                self.assertTrue(desk.is_usable(loop.time()))
 
         played(play)
