--- a/tests/direct/test_path.py
+++ b/tests/direct/test_path.py
@@ -201,11 +201,11 @@
 
         async def play(world: path_world.PathWorld) -> None:
             (before,) = world.endpoints
-            world.listed(before, started=1)
+            world.listed(before, started_ms=1)
             self.assertEqual(200, (await world.ask('/once/a')).status)
             before.faults = [Fault.MUTE]
             async with direct_endpoint.DirectEndpoint(before.id) as after:
-                world.listed(after, started=2, heartbeat=0)
+                world.listed(after, started_ms=2, heartbeat=0)
                 found = await world.ask('/once/a', X_Deadline_Ms='900')
                 self.assertEqual(200, found.status)
                 self.assertEqual((1, 1), (len(before.ran), len(after.ran)))
@@ -220,13 +220,13 @@
 
         async def play(world: path_world.PathWorld) -> None:
             (one,) = world.endpoints
-            world.listed(one, started=1)
+            world.listed(one, started_ms=1)
             one.going.clear()
             asking = asyncio.create_task(world.ask('/stream/a'))
             while not one.ran:
                 await asyncio.sleep(0.01)
             before = world.cluster.endpoints.get(one.id)
-            world.listed(one, started=2, heartbeat=0)
+            world.listed(one, started_ms=2, heartbeat=0)
             after = world.cluster.endpoints.get(one.id)
             assert before is not None
             assert after is not None
@@ -557,7 +557,9 @@
         async def play(world: path_world.PathWorld) -> None:
             now = asyncio.get_running_loop().time()
             world.cluster.named('m', 2, now - path_world.DUTIES.version + 0.9)
-            world.cluster.loads.heard('entry-2', {'i-0': 40, 'i-1': 40}, now)
+            world.cluster.loads.update_peer_counts(
+                'entry-2', {'i-0': 40, 'i-1': 40}, now
+            )
             fetched = await world.ask('/stream/a')
             self.assertEqual(503, fetched.status)
             self.assertEqual([], world.came)
@@ -571,7 +573,7 @@
             now = asyncio.get_running_loop().time()
             world.fail_first(Fault.CUT)
             world.cluster.named('m', 2, now - path_world.DUTIES.version + 0.9)
-            world.cluster.loads.heard('entry-2', {'i-1': 40}, now)
+            world.cluster.loads.update_peer_counts('entry-2', {'i-1': 40}, now)
             with self.assertRaises(channel.ChannelBrokenError):
                 await world.ask('/stream/a')
             self.assertEqual([], world.endpoints[1].came)
--- a/tests/direct/test_silent_reads.py
+++ b/tests/direct/test_silent_reads.py
@@ -25,7 +25,7 @@
 IN_FORCE_SECONDS = 2.0
 #: Seconds in which a change is in force that came while reads were silent: the
 #: time after a disturbance for which no bound holds.
-SETTLED_SECONDS = node.Duties().settling
+SETTLED_SECONDS = node.SystemLimits().settling
 
 
 def _configure(world: machines.Machines, version: int) -> None:
--- a/tests/direct/test_start.py
+++ b/tests/direct/test_start.py
@@ -41,7 +41,7 @@
             async with asyncio.timeout(30), world:
                 begun = asyncio.get_running_loop().time()
                 await machines.until(
-                    lambda: all(one.ready for one in world.entries)
+                    lambda: all(one.is_ready for one in world.entries)
                 )
                 took = asyncio.get_running_loop().time() - begun
                 self.assertLess(took, READY_SECONDS)
--- a/tests/observability/test_causes.py
+++ b/tests/observability/test_causes.py
@@ -40,7 +40,7 @@
 LONG_EVENTS = 32
 LONG_EVENT = b'x' * (1 << 19)
 #: A stream whose callers leave after two seconds, the least of all.
-HURRIED = path_world.route('stream', aim=0.1, longest_gap=0.1)
+HURRIED = path_world.route('stream', latency_target=0.1, max_event_gap=0.1)
 
 
 async def connected(
@@ -146,12 +146,12 @@
     """The entry gives what it has in progress a final answer in time."""
     hold(world)
     await connected(world, '/stream/a')
-    world.path.end_by(asyncio.get_running_loop().time())
+    world.path.finish_by(asyncio.get_running_loop().time())
     await asyncio.sleep(0.01)
 
 
 async def leaving(world: World) -> None:
-    world.departure.begin(asyncio.get_running_loop().time())
+    world.departure.start(asyncio.get_running_loop().time())
     await asked(world, '/stream/a')
 
 
@@ -269,7 +269,7 @@
     def __init__(self) -> None:
         """Need nothing."""
 
-    async def send(self, *_: object) -> serving.Tried:
+    async def send(self, *_: object) -> serving.AttemptResult:
         """Raise what nobody catches."""
         raise RuntimeError('nobody foresaw it')
 
@@ -459,7 +459,7 @@
     def test_each_reason(self) -> None:
         """No reason or outcome that an entry writes is unknown to explain."""
         for ending in serving.Ending:
-            if ending in {serving.Ending.BROKEN, serving.Ending.OWN_FAULT}:
+            if ending in {serving.Ending.BROKEN, serving.Ending.INTERNAL_ERROR}:
                 continue
             ended = line(
                 3,
@@ -470,7 +470,7 @@
                 last_in=0,
             )
             self.assertNotEqual(Cause.NOT_KNOWN, self.cause(ended), ending)
-        for outcome in serving.Outcome:
+        for outcome in serving.AttemptFailure:
             ended = line(
                 3,
                 'ended without an answer',
--- a/tests/platform/test_machines.py
+++ b/tests/platform/test_machines.py
@@ -100,17 +100,17 @@
         """Each field has its meaning and unit."""
         found = operator.read(record('config', CONFIG))
         assert isinstance(found, routing.Routing)
-        one = found.route(b'h.example:80', b'/a/x')
+        one = found.find_route(b'h.example:80', b'/a/x')
         assert one is not None
         self.assertEqual(
             (routing.RouteKind.STREAM, 6.0, 0.406, 0.3, 2, True),
             (
                 one.kind,
                 one.timeout,
-                one.aim,
-                one.longest_gap,
-                one.most_attempts,
-                one.repeatable,
+                one.latency_target,
+                one.max_event_gap,
+                one.max_runs,
+                one.is_repeatable,
             ),
         )
         engine_of = found.services_by_name['pool'].engine
@@ -129,13 +129,13 @@
         """The longest prefix wins; an unknown kind runs once at most."""
         found = operator.read(record('config', CONFIG))
         assert isinstance(found, routing.Routing)
-        one = found.route(b'H.EXAMPLE', b'/a/b/c')
+        one = found.find_route(b'H.EXAMPLE', b'/a/b/c')
         assert one is not None
         self.assertEqual('b', one.name)
-        self.assertIs(routing.RouteKind.ONCE, one.kind)
-        self.assertFalse(one.repeatable)
+        self.assertIs(routing.RouteKind.AT_MOST_ONCE, one.kind)
+        self.assertFalse(one.is_repeatable)
         self.assertTrue(one.is_public)
-        points = [one.service_at(number / 100) for number in range(100)]
+        points = [one.service_for(number / 100) for number in range(100)]
         self.assertEqual(90, points.count('pool'))
 
     def test_no_teams(self) -> None:
@@ -143,10 +143,10 @@
         without = {key: CONFIG[key] for key in CONFIG if key != 'tenants'}
         found = operator.read(record('config', without))
         assert isinstance(found, routing.Routing)
-        self.assertFalse(found.has_teams)
+        self.assertFalse(found.requires_key)
         found = operator.read(record('config', {**CONFIG, 'tenants': []}))
         assert isinstance(found, routing.Routing)
-        self.assertTrue(found.has_teams)
+        self.assertTrue(found.requires_key)
 
     def test_version(self) -> None:
         """A named version, and what is of no concern."""
@@ -220,33 +220,37 @@
             b'',
             0,
         )
-        call = spelling.call(request)
+        call = spelling.decode_request(request)
         own = (b'X-Attempt-Id', b'r')
         stamp = (b'X-Server-Stamp', b's')
         table = (
             (200, [own, stamp], calls.Verdict.SUCCESS),
             (500, [own, stamp], calls.Verdict.FAILURE),
-            (200, [own], calls.Verdict.SPOILED),
-            (200, [stamp], calls.Verdict.SPOILED),
-            (500, [own], calls.Verdict.SPOILED),
+            (200, [own], calls.Verdict.INVALID),
+            (200, [stamp], calls.Verdict.INVALID),
+            (500, [own], calls.Verdict.INVALID),
             (
                 200,
                 [own, stamp, (b'Content-Encoding', b'gzip')],
-                calls.Verdict.SPOILED,
+                calls.Verdict.INVALID,
+            ),
+            (
+                200,
+                [(b'X-Attempt-Id', b'o'), stamp],
+                calls.Verdict.OTHER_REQUEST,
             ),
-            (200, [(b'X-Attempt-Id', b'o'), stamp], calls.Verdict.FOREIGN),
             (503, [own, (b'X-Not-Executed', b'1')], calls.Verdict.NOT_RUN),
             (503, [own, stamp], calls.Verdict.FAILURE),
             (421, [own], calls.Verdict.MISDIRECTED),
             (
                 503,
                 [(b'X-Attempt-Id', b'o'), (b'X-Not-Executed', b'1')],
-                calls.Verdict.FOREIGN,
+                calls.Verdict.OTHER_REQUEST,
             ),
         )
         for status, pairs, verdict in table:
             head = messages.AnswerHead(status, messages.Headers(pairs))
-            facts = spelling.answer(call, head)
+            facts = spelling.decode_head(call, head)
             self.assertIs(verdict, facts.verdict, (status, pairs))
 
 
@@ -545,20 +549,20 @@
     class Offers:
         """An entry that offers itself."""
 
-        ready = False
+        is_ready = False
 
-        def offered(self, now: float) -> list[str]:
+        def listed_addresses(self, now: float) -> list[str]:
             """Return one address."""
             return ['10.0.0.1:80']
 
-        def told(self, now: float) -> float:
+        def list_max_age(self, now: float) -> float:
             """Return how long to keep it."""
             return 1.5
 
     def test_answers(self) -> None:
         """Each question has its answer, anything else none."""
         offers = self.Offers()
-        handler = directory.DirectorySpelling().handler(offers)
+        handler = directory.DirectorySpelling().create_handler(offers)
         sent: list[tuple[int, bytes]] = []
 
         class Reply:
--- a/tests/platform/test_registry.py
+++ b/tests/platform/test_registry.py
@@ -118,8 +118,8 @@
 
     def test_start(self) -> None:
         """The start is told, or untold by older writers."""
-        self.assertEqual(1764727117000, self.read(entry()).started)
-        self.assertEqual(0, self.read(entry(born=...)).started)
+        self.assertEqual(1764727117000, self.read(entry()).started_ms)
+        self.assertEqual(0, self.read(entry(born=...)).started_ms)
 
     def test_plain_endpoint(self) -> None:
         """One without an engine has no models, and may be new in its fields."""
@@ -161,7 +161,7 @@
             self.assertEqual(4, len(host.split('.')))
             self.assertIn(int(port), range(1, 65536))
             self.assertGreater(found.slots, 0)
-            self.assertIs(int, type(found.started))
+            self.assertIs(int, type(found.started_ms))
         return True
 
     def test_random_bytes(self) -> None:
