--- a/tests/direct/test_announcer.py
+++ b/tests/direct/test_announcer.py
@@ -27,7 +27,7 @@
     regions_by_domain={'a': 'a'},
     first_port=1,
     store='',
-    duties=node.Duties(),
+    duties=node.SystemLimits(),
     endpoint=ENGINE,
 )
 HELD = endpoints.Weights(2, 0, 4)
@@ -130,7 +130,7 @@
         """The endpoint of an agent that falls silent is used again."""
         now = [100.0]
         cluster = cluster_state.ClusterState(LOCAL_NODE, clock=lambda: now[0])
-        cluster.endpoints.listed(
+        cluster.endpoints.apply_listing(
             endpoints.Listing('i', 's', ENGINE, 'a', 16, False, 1, HELD),
         )
         cluster.heard_held(
