--- a/tests/decisions/test_direct_decisions.py
+++ b/tests/decisions/test_direct_decisions.py
@@ -23,30 +23,30 @@
     """Repeats of all entries together stay within the bound."""
 
     @given(st.integers(1, 12), st.integers(0, 40))
-    def test_sum_stays_below(self, entries: int, requests: int) -> None:
+    def test_total_retries_bounded(self, entries: int, requests: int) -> None:
         """However many entries repeat whatever they may."""
-        repeats = 0
+        retries = 0
         for _ in range(entries):
             budget = window_budget.WindowBudget(0.2, 100, 10)
             for number in range(requests):
                 budget.record_first_attempt(number * 0.1)
             while budget.try_acquire(requests * 0.1, entries):
-                repeats += 1
-        self.assertLessEqual(repeats, 0.2 * requests * entries + 100)
+                retries += 1
+        self.assertLessEqual(retries, 0.2 * requests * entries + 100)
 
-    def test_returns_with_time(self) -> None:
+    def test_budget_returns_after_window(self) -> None:
         """What left the window no longer counts."""
         budget = window_budget.WindowBudget(0, 10, 10)
-        taken = sum(budget.try_acquire(0, 1) for _ in range(20))
+        acquired = sum(budget.try_acquire(0, 1) for _ in range(20))
         self.assertFalse(budget.try_acquire(5, 1))
         self.assertTrue(budget.try_acquire(11, 1))
-        self.assertEqual(6, taken)
+        self.assertEqual(6, acquired)
 
 
 class NextTryTest(testtools.TestCase):
     """What must not run twice isn't sent twice."""
 
-    def test_table(self) -> None:
+    def test_each_rule(self) -> None:
         """Each rule alone forbids another attempt."""
         allowed = next_try.AttemptHistory(
             1, 1, 2, is_repeatable=True, seconds_left=1
@@ -71,40 +71,40 @@
                 next_try.RetryDecision.NO_TIME,
             ),
         )
-        for past, expected in table:
-            self.assertIs(expected, next_try.decide(past), past)
+        for history, expected in table:
+            self.assertIs(expected, next_try.decide(history), history)
 
 
-class NearestPlaceTest(testtools.TestCase):
+class EndpointChoiceTest(testtools.TestCase):
     """Requests go where they start soonest."""
 
     def setUp(self) -> None:
         super().setUp()
         self.rng = random.Random(7)
 
-    def choose(self, *options: endpoint_choice.Candidate) -> str:
+    def choose(self, *candidates: endpoint_choice.Candidate) -> str:
         """Return the choice that is always made."""
         chosen = {
             choice.endpoint_id
             for _ in range(50)
-            if (choice := endpoint_choice.choose(options, self.rng))
+            if (choice := endpoint_choice.choose(candidates, self.rng))
         }
         self.assertEqual(1, len(chosen), chosen)
         return chosen.pop()
 
-    def test_free_slot_before_nearness(self) -> None:
+    def test_free_slot_in_other_domain(self) -> None:
         """A free slot far away is better than a place in a queue."""
         near = endpoint_choice.Candidate('near', 17, 16, is_same_domain=True)
         far = endpoint_choice.Candidate('far', 12, 16, is_same_domain=False)
         self.assertEqual('far', self.choose(near, far))
 
-    def test_near_among_equals(self) -> None:
+    def test_same_domain_on_equal_load(self) -> None:
         """Bytes between failure domains have a price."""
         near = endpoint_choice.Candidate('near', 5, 16, is_same_domain=True)
         far = endpoint_choice.Candidate('far', 5, 16, is_same_domain=False)
         self.assertEqual('near', self.choose(near, far))
 
-    def test_slow_link(self) -> None:
+    def test_congested_link(self) -> None:
         """Requests reached an engine when their callers had left.
 
         Its link was narrowed to a tenth, and they waited there behind pieces
@@ -130,23 +130,26 @@
         new = endpoint_choice.Candidate('new', 4, 16, is_same_domain=False)
         self.assertEqual('new', self.choose(old, new))
 
-    def test_none(self) -> None:
+    def test_no_candidates(self) -> None:
         """Without an endpoint there is no choice."""
         self.assertIsNone(endpoint_choice.choose((), self.rng))
 
-    def test_equals_are_spread(self) -> None:
+    def test_equal_load_is_spread(self) -> None:
         """Entries with the same counts don't all choose the same one."""
-        options = [
+        candidates = [
             endpoint_choice.Candidate(str(number), 3, 16, is_same_domain=True)
             for number in range(4)
         ]
-        chosen = [endpoint_choice.choose(options, self.rng) for _ in range(400)]
-        for option in options:
-            times = sum(
-                one is not None and one.endpoint_id == option.endpoint_id
-                for one in chosen
+        chosen = [
+            endpoint_choice.choose(candidates, self.rng) for _ in range(400)
+        ]
+        for candidate in candidates:
+            count = sum(
+                choice is not None
+                and choice.endpoint_id == candidate.endpoint_id
+                for choice in chosen
             )
-            self.assertGreater(times, 50)
+            self.assertGreater(count, 50)
 
 
 class FirstEventTest(testtools.TestCase):
@@ -154,46 +157,50 @@
 
     def setUp(self) -> None:
         super().setUp()
-        self.pace = first_event.service_rate(30600, 964, 119, 0.00673, 16)
+        self.rate = first_event.service_rate(30600, 964, 119, 0.00673, 16)
 
-    def fits(self, waiting: float, passed: float = 0) -> bool:
+    def is_sent(self, queue_depth: float, elapsed: float = 0) -> bool:
         """Tell whether a usual request is sent to such a queue."""
-        wish = first_event.PendingRequest(waiting, 16, 964, 0.406, passed)
-        return first_event.meets_target(wish, self.pace)
+        request = first_event.PendingRequest(
+            queue_depth, 16, 964, 0.406, elapsed
+        )
+        return first_event.meets_target(request, self.rate)
 
-    def test_pace(self) -> None:
+    def test_service_rate(self) -> None:
         """An engine with these figures ends twelve answers a second."""
-        self.assertAlmostEqual(12.3, self.pace.requests_per_second, 1)
+        self.assertAlmostEqual(12.3, self.rate.requests_per_second, 1)
 
-    def test_queue(self) -> None:
+    def test_queue_limit(self) -> None:
         """Three may wait for a quarter of a second, five may not."""
-        self.assertTrue(self.fits(0))
-        self.assertTrue(self.fits(3))
-        self.assertFalse(self.fits(5))
+        self.assertTrue(self.is_sent(0))
+        self.assertTrue(self.is_sent(3))
+        self.assertFalse(self.is_sent(5))
 
     def test_free_slot_is_always_taken(self) -> None:
         """Late or not, a request that runs at once holds up nobody."""
-        self.assertTrue(self.fits(0, passed=3))
-        self.assertTrue(self.fits(1, passed=3))
-        self.assertFalse(self.fits(2, passed=3))
+        self.assertTrue(self.is_sent(0, elapsed=3))
+        self.assertTrue(self.is_sent(1, elapsed=3))
+        self.assertFalse(self.is_sent(2, elapsed=3))
 
-    def test_unknown_pace(self) -> None:
+    def test_unknown_service_rate(self) -> None:
         """A plain service has a third of its slots waiting at most."""
-        unknown = first_event.service_rate(0, 0, 0, 0, 6)
-        wish = first_event.PendingRequest(2, 6, 0, 0.4, 0)
-        self.assertTrue(first_event.meets_target(wish, unknown))
+        unknown_rate = first_event.service_rate(0, 0, 0, 0, 6)
+        request = first_event.PendingRequest(2, 6, 0, 0.4, 0)
+        self.assertTrue(first_event.meets_target(request, unknown_rate))
         self.assertFalse(
-            first_event.meets_target(wish._replace(queue_depth=3), unknown)
+            first_event.meets_target(
+                request._replace(queue_depth=3), unknown_rate
+            )
         )
 
-    def test_come_back(self) -> None:
+    def test_retry_after(self) -> None:
         """Callers come back when the queue is shorter, within bounds."""
-        self.assertEqual(0.25, first_event.retry_after(0, self.pace))
-        self.assertAlmostEqual(0.81, first_event.retry_after(10, self.pace), 1)
-        self.assertEqual(2, first_event.retry_after(500, self.pace))
+        self.assertEqual(0.25, first_event.retry_after(0, self.rate))
+        self.assertAlmostEqual(0.81, first_event.retry_after(10, self.rate), 1)
+        self.assertEqual(2, first_event.retry_after(500, self.rate))
 
 
-class NamedVersionsTest(testtools.TestCase):
+class DesiredVersionsTest(testtools.TestCase):
     """Each version has its own bound.
 
     A user named version 2 and, four seconds later, version 3. Requests began
@@ -201,62 +208,62 @@
     version had taken the place of the older one's.
     """
 
-    def test_two_bounds(self) -> None:
+    def test_two_deadlines(self) -> None:
         """Naming a version doesn't put off the bound of the one before."""
-        named = desired_versions.DesiredVersions(8)
-        named.record(2, 100)
-        named.record(3, 104)
-        self.assertEqual(0, named.oldest_allowed(107.9))
-        self.assertEqual(2, named.oldest_allowed(108))
-        self.assertEqual(3, named.oldest_allowed(112))
-
-    def test_earlier_time_counts(self) -> None:
+        versions = desired_versions.DesiredVersions(8)
+        versions.record(2, 100)
+        versions.record(3, 104)
+        self.assertEqual(0, versions.oldest_allowed(107.9))
+        self.assertEqual(2, versions.oldest_allowed(108))
+        self.assertEqual(3, versions.oldest_allowed(112))
+
+    def test_earlier_time_is_kept(self) -> None:
         """Whoever was restarted heard of the version later."""
-        named = desired_versions.DesiredVersions(8)
-        self.assertTrue(named.record(2, 100))
-        self.assertFalse(named.record(2, 95))
-        self.assertFalse(named.record(2, 101))
-        self.assertEqual(2, named.oldest_allowed(103))
+        versions = desired_versions.DesiredVersions(8)
+        self.assertTrue(versions.record(2, 100))
+        self.assertFalse(versions.record(2, 95))
+        self.assertFalse(versions.record(2, 101))
+        self.assertEqual(2, versions.oldest_allowed(103))
 
-    def test_older_is_no_news(self) -> None:
+    def test_older_version_is_not_newest(self) -> None:
         """A version told of after a newer one doesn't take its place."""
-        named = desired_versions.DesiredVersions(8)
-        named.record(3, 100)
-        self.assertFalse(named.record(2, 99))
-        self.assertEqual(3, named.newest)
+        versions = desired_versions.DesiredVersions(8)
+        versions.record(3, 100)
+        self.assertFalse(versions.record(2, 99))
+        self.assertEqual(3, versions.newest)
 
-    def test_guess_gives_way(self) -> None:
+    def test_guess_is_replaced(self) -> None:
         """A restarted entry guessed when a version was named.
 
         It held that it had just been, and sent requests to older weights for
         seconds after the bound. Others knew the time; theirs goes before a
         guess, earlier or later, and a guess never before theirs.
         """
-        named = desired_versions.DesiredVersions(8)
-        self.assertTrue(named.record(2, 95, is_guess=True))
-        self.assertFalse(named.record(2, 98))
-        self.assertEqual(106, named.usable_until(1))
-        named.record(2, 90, is_guess=True)
-        self.assertEqual(106, named.usable_until(1))
-        self.assertEqual(set(), named.guessed_versions)
+        versions = desired_versions.DesiredVersions(8)
+        self.assertTrue(versions.record(2, 95, is_guess=True))
+        self.assertFalse(versions.record(2, 98))
+        self.assertEqual(106, versions.usable_until(1))
+        versions.record(2, 90, is_guess=True)
+        self.assertEqual(106, versions.usable_until(1))
+        self.assertEqual(set(), versions.guessed_versions)
 
 
 class SupersedingTest(testtools.TestCase):
     """The shorter gap is chosen."""
 
-    def test_finish(self) -> None:
+    def test_finishes_current(self) -> None:
         """Four seconds apart: both are in time one after the other."""
         current = superseding.Transfer(2.3, 4)
         newer = superseding.Transfer(5.6, 8)
         self.assertTrue(superseding.should_finish_first(current, newer))
 
-    def test_drop(self) -> None:
+    def test_drops_current(self) -> None:
         """Two seconds apart: the first would make the second late."""
         current = superseding.Transfer(3.5, 6)
         newer = superseding.Transfer(5.6, 8)
         self.assertFalse(superseding.should_finish_first(current, newer))
 
-    def test_no_gap_either_way(self) -> None:
+    def test_no_gap_keeps_pieces(self) -> None:
         """Both are in time one after the other: nothing in hand is dropped.
 
         The origin was gone half a second after the second was named, and
@@ -266,15 +273,15 @@
         newer = superseding.Transfer(5.6, 8)
         self.assertTrue(superseding.should_finish_first(current, newer))
 
-    def test_all_agree(self) -> None:
+    def test_agents_agree(self) -> None:
         """Two seconds apart, with links that just carry two versions in time.
 
         Agents with many pieces finished the first and those with few dropped
         it, so that pieces of neither came through.
         """
         newer = superseding.Transfer(4.8, 8)
-        for seconds in (2.6, 3.2, 4.4):
-            current = superseding.Transfer(seconds, 6)
+        for remaining_seconds in (2.6, 3.2, 4.4):
+            current = superseding.Transfer(remaining_seconds, 6)
             self.assertFalse(superseding.should_finish_first(current, newer))
 
     def test_decision_stands(self) -> None:
@@ -286,7 +293,7 @@
             superseding.should_finish_first(current, newer, is_decided=True),
         )
 
-    def test_of_no_use(self) -> None:
+    def test_expired_version_is_dropped(self) -> None:
         """A version that would be whole after its own bound is dropped."""
         current = superseding.Transfer(3, 0.5)
         newer = superseding.Transfer(4.4, 2.5)
@@ -300,16 +307,16 @@
 
     def setUp(self) -> None:
         super().setUp()
-        self.endpoints = [
+        self.engines = [
             load_turns.LoadingEngine(f'10.{domain}.0.{number}:80', str(domain))
             for domain in (1, 2, 3)
             for number in (1, 2, 3)
         ]
 
-    def test_spread(self) -> None:
+    def test_turns_spread_over_time(self) -> None:
         """Turns are spread over the time left, the last in good time."""
         delays = [
-            load_turns.delay(one, self.endpoints, 3) for one in self.endpoints
+            load_turns.delay(engine, self.engines, 3) for engine in self.engines
         ]
         self.assertEqual(0, min(delays))
         self.assertAlmostEqual(2, max(delays))
@@ -318,28 +325,28 @@
     def test_domains_alternate(self) -> None:
         """No domain is out as a whole."""
         ordered = sorted(
-            self.endpoints,
-            key=lambda one: load_turns.delay(one, self.endpoints, 3),
+            self.engines,
+            key=lambda engine: load_turns.delay(engine, self.engines, 3),
         )
         self.assertEqual(
             ['1', '2', '3'] * 3,
-            [one.domain for one in ordered],
+            [engine.domain for engine in ordered],
         )
 
     def test_no_time_left(self) -> None:
         """Then all load at once: nobody may serve the old version."""
-        for one in self.endpoints:
-            self.assertEqual(0, load_turns.delay(one, self.endpoints, 0.5))
+        for engine in self.engines:
+            self.assertEqual(0, load_turns.delay(engine, self.engines, 0.5))
 
-    def test_alone(self) -> None:
+    def test_single_engine(self) -> None:
         """An engine alone has nobody to wait for."""
-        self.assertEqual(0, load_turns.delay(self.endpoints[0], [], 5))
+        self.assertEqual(0, load_turns.delay(self.engines[0], [], 5))
 
 
 class SampleTest(testtools.TestCase):
     """Which engines are compared where loads are reported."""
 
-    def test_drawn(self) -> None:
+    def test_sample_sizes(self) -> None:
         """All entries sent to the engine that was emptiest when last told."""
         rng = random.Random(1)
         cases = (
@@ -349,7 +356,7 @@
             ([], ['x'], 0, 1),
             (list('abc'), [], 2, 0),
         )
-        for near, far, near_drawn, far_drawn in cases:
+        for near, far, near_count, far_count in cases:
             drawn = endpoint_choice.sample(near, far, rng)
-            self.assertEqual(near_drawn, len(set(drawn) & set(near)))
-            self.assertEqual(far_drawn, len(set(drawn) & set(far)))
+            self.assertEqual(near_count, len(set(drawn) & set(near)))
+            self.assertEqual(far_count, len(set(drawn) & set(far)))
--- a/tests/decisions/test_load_reports.py
+++ b/tests/decisions/test_load_reports.py
@@ -22,16 +22,16 @@
 SEEDS = (1, 2, 3)
 
 
-def in_mean(
+def mean_outcome(
     setting: load_reports.Setting,
     make: load_reports.Make,
 ) -> load_reports.Outcome:
     """Play a load with several seeds."""
-    found = [
+    outcomes = [
         load_reports.play(setting._replace(seed=seed), make) for seed in SEEDS
     ]
     return load_reports.Outcome(
-        *map(statistics.fmean, zip(*found, strict=True))
+        *map(statistics.fmean, zip(*outcomes, strict=True))
     )
 
 
@@ -43,22 +43,22 @@
     there, and hardly any was refused.
     """
 
-    def test_full(self) -> None:
+    def test_full_engines(self) -> None:
         """Four in five are in time, and the rest is refused rather than late."""
-        told = in_mean(FULL, load_reports.ToldCounts)
-        reported = in_mean(FULL, load_reports.Reports)
-        self.assertLess(told.in_time, 0.4)
-        self.assertGreater(reported.in_time, 0.8)
-        self.assertLess(reported.late, 0.1)
+        with_counts = mean_outcome(FULL, load_reports.ToldCounts)
+        with_reports = mean_outcome(FULL, load_reports.Reports)
+        self.assertLess(with_counts.in_time, 0.4)
+        self.assertGreater(with_reports.in_time, 0.8)
+        self.assertLess(with_reports.late, 0.1)
 
-    def test_room_to_spare(self) -> None:
+    def test_spare_capacity(self) -> None:
         """Hardly any request is late or refused where there is room."""
-        found = in_mean(SPARE, load_reports.Reports)
-        self.assertGreater(found.in_time, 0.95)
+        outcome = mean_outcome(SPARE, load_reports.Reports)
+        self.assertGreater(outcome.in_time, 0.95)
 
-    def test_level_at_size(self) -> None:
+    def test_larger_cluster(self) -> None:
         """Five times as many entries and engines do about as well."""
         larger = FULL._replace(entries=100, engines=60, domains=5, rate=385)
-        small = in_mean(FULL, load_reports.Reports)
-        found = in_mean(larger, load_reports.Reports)
-        self.assertGreater(found.in_time, small.in_time - 0.05)
+        small_outcome = mean_outcome(FULL, load_reports.Reports)
+        outcome = mean_outcome(larger, load_reports.Reports)
+        self.assertGreater(outcome.in_time, small_outcome.in_time - 0.05)
--- a/tests/decisions/test_manifest_round.py
+++ b/tests/decisions/test_manifest_round.py
@@ -7,7 +7,7 @@
 from clementinepass.decisions import manifest_round, piece_chains
 
 
-def agents(count: int) -> list[piece_chains.Agent]:
+def make_agents(count: int) -> list[piece_chains.Agent]:
     """Return agents of three regions."""
     return [
         piece_chains.Agent(
@@ -19,18 +19,18 @@
     ]
 
 
-def plans(count: int) -> dict[str, piece_chains.FetchPlan]:
+def plans_by_ip(count: int) -> dict[str, piece_chains.FetchPlan]:
     """Return each agent's plan by its IP number."""
-    peers = agents(count)
+    peers = make_agents(count)
     return {
-        own.ip: piece_chains.plan_fetch(
+        agent.ip: piece_chains.plan_fetch(
             piece_chains.PlanInput(
-                own,
-                [peer for peer in peers if peer != own],
+                agent,
+                [peer for peer in peers if peer != agent],
                 'region-0',
             ),
         )
-        for own in peers
+        for agent in peers
     }
 
 
@@ -39,16 +39,16 @@
 
     def test_first_round(self) -> None:
         """At first the agents before are asked, and the origin by some."""
-        for count, most_at_origin in ((10, 10), (150, 22), (300, 22)):
-            at_origin = 0
-            for plan in plans(count).values():
-                asked = manifest_round.choose_sources(plan, 0)
-                at_origin += piece_chains.ORIGIN in asked
+        for count, max_origin_requests in ((10, 10), (150, 22), (300, 22)):
+            origin_requests = 0
+            for plan in plans_by_ip(count).values():
+                sources = manifest_round.choose_sources(plan, 0)
+                origin_requests += piece_chains.ORIGIN in sources
                 self.assertEqual(
                     {*plan.sources, piece_chains.ORIGIN},
-                    {*asked, piece_chains.ORIGIN},
+                    {*sources, piece_chains.ORIGIN},
                 )
-            self.assertLessEqual(at_origin, most_at_origin)
+            self.assertLessEqual(origin_requests, max_origin_requests)
 
     def test_stale_holders(self) -> None:
         """All machines lost their power, and the list still names holders.
@@ -56,12 +56,12 @@
         Each agent asked those that had held the version, which had lost it
         too and let it wait for a second. Service was back a second later.
         """
-        holders = [peer._replace(has_version=True) for peer in agents(13)]
-        for own in holders:
+        holders = [peer._replace(has_version=True) for peer in make_agents(13)]
+        for agent in holders:
             plan = piece_chains.plan_fetch(
                 piece_chains.PlanInput(
-                    own,
-                    [peer for peer in holders if peer != own],
+                    agent,
+                    [peer for peer in holders if peer != agent],
                     'region-0',
                 ),
             )
@@ -70,59 +70,59 @@
                 manifest_round.choose_sources(plan, 0),
             )
 
-    def test_questions_level(self) -> None:
+    def test_request_count_bounded(self) -> None:
         """An agent asks no more where there are more of them."""
         for count in (3, 10, 40, 300):
-            for plan in plans(count).values():
-                for number in range(5):
-                    asked = manifest_round.choose_sources(plan, number)
-                    self.assertLessEqual(len(asked), len(plan.sources) + 3)
-                    self.assertEqual(len(asked), len(set(asked)))
+            for plan in plans_by_ip(count).values():
+                for failed_rounds in range(5):
+                    sources = manifest_round.choose_sources(plan, failed_rounds)
+                    self.assertLessEqual(len(sources), len(plan.sources) + 3)
+                    self.assertEqual(len(sources), len(set(sources)))
 
     def test_heads_ask_origin(self) -> None:
         """Whoever gets a stripe from the origin asks it in each round."""
-        heads = []
-        for plan in plans(40).values():
+        head_plans = []
+        for plan in plans_by_ip(40).values():
             if piece_chains.ORIGIN in plan.sources:
-                heads.append(plan)
-                for number in range(20):
+                head_plans.append(plan)
+                for failed_rounds in range(20):
                     self.assertIn(
                         piece_chains.ORIGIN,
-                        manifest_round.choose_sources(plan, number),
+                        manifest_round.choose_sources(plan, failed_rounds),
                     )
-        self.assertEqual(2, len(heads))
+        self.assertEqual(2, len(head_plans))
 
-    def test_origin_back(self) -> None:
+    def test_origin_reachable_again(self) -> None:
         """The origin is back after a while in which nobody had anything.
 
         All agents have the manifest after a few rounds, and the origin isn't
         asked by all of them at once.
         """
-        for count, rounds, most_at_origin in (
+        for count, max_rounds, max_origin_requests in (
             (14, 2, 11),
             (40, 3, 20),
             (150, 4, 22),
             (300, 5, 22),
         ):
-            found = plans(count)
+            all_plans = plans_by_ip(count)
             holders: set[str] = set()
-            number = 7
+            failed_rounds = 7
             while len(holders) < count:
-                asked_by_ip = {
-                    ip: manifest_round.choose_sources(plan, number)
-                    for ip, plan in found.items()
+                sources_by_ip = {
+                    ip: manifest_round.choose_sources(plan, failed_rounds)
+                    for ip, plan in all_plans.items()
                     if ip not in holders
                 }
-                at_origin = sum(
-                    piece_chains.ORIGIN in asked
-                    for asked in asked_by_ip.values()
+                origin_requests = sum(
+                    piece_chains.ORIGIN in sources
+                    for sources in sources_by_ip.values()
                 )
-                self.assertLessEqual(at_origin, most_at_origin)
-                can_answer = {piece_chains.ORIGIN, *holders}
+                self.assertLessEqual(origin_requests, max_origin_requests)
+                answering = {piece_chains.ORIGIN, *holders}
                 holders.update(
                     ip
-                    for ip, asked in asked_by_ip.items()
-                    if not can_answer.isdisjoint(asked)
+                    for ip, sources in sources_by_ip.items()
+                    if not answering.isdisjoint(sources)
                 )
-                number += 1
-            self.assertLessEqual(number - 7, rounds)
+                failed_rounds += 1
+            self.assertLessEqual(failed_rounds - 7, max_rounds)
--- a/tests/decisions/test_piece_stripes.py
+++ b/tests/decisions/test_piece_stripes.py
@@ -13,32 +13,35 @@
 STRIPES = (2, 3, 5)
 
 
-def fleet(
+def make_fleet(
     counts: tuple[int, ...],
     stripes: int,
-    avoided: frozenset[str] = frozenset(),
+    excluded_ips: frozenset[str] = frozenset(),
 ) -> piece_stripes.Fleet:
     """Return agents of regions, so many in each; the first has the origin."""
     agents = [
-        piece_stripes.Agent(f'region-{place}', f'10.{place}.0.{number}')
-        for place, count in enumerate(counts)
+        piece_stripes.Agent(f'region-{index}', f'10.{index}.0.{number}')
+        for index, count in enumerate(counts)
         for number in range(count)
     ]
-    return piece_stripes.Fleet(agents, 'region-0', stripes, avoided)
+    return piece_stripes.Fleet(agents, 'region-0', stripes, excluded_ips)
 
 
-def layouts(
-    known: piece_stripes.Fleet,
+def layouts_by_ip(
+    fleet: piece_stripes.Fleet,
 ) -> dict[str, piece_stripes.Layout]:
     """Return each agent's layout by its IP number."""
     return {
-        own.ip: piece_stripes.compute_layout(own, known) for own in known.agents
+        agent.ip: piece_stripes.compute_layout(agent, fleet)
+        for agent in fleet.agents
     }
 
 
-def every_case() -> list[piece_stripes.Fleet]:
+def all_fleets() -> list[piece_stripes.Fleet]:
     """Return fleets of several shapes."""
-    return [fleet(counts, stripes) for counts in COUNTS for stripes in STRIPES]
+    return [
+        make_fleet(counts, stripes) for counts in COUNTS for stripes in STRIPES
+    ]
 
 
 class StripesTest(testtools.TestCase):
@@ -50,147 +53,159 @@
         With two chains it sent two copies, and one of them was paid for
         nothing.
         """
-        for known in every_case():
-            read = [
+        for fleet in all_fleets():
+            stripes_from_origin = [
                 source.stripe
-                for each in layouts(known).values()
-                for source in each.sources
+                for layout in layouts_by_ip(fleet).values()
+                for source in layout.sources
                 if source.ip is None
             ]
-            stripes = next(iter(layouts(known).values())).stripe_count
-            self.assertLessEqual(stripes, known.stripe_count)
-            self.assertEqual(list(range(stripes)), sorted(read), known)
+            stripes = next(iter(layouts_by_ip(fleet).values())).stripe_count
+            self.assertLessEqual(stripes, fleet.stripe_count)
+            self.assertEqual(
+                list(range(stripes)), sorted(stripes_from_origin), fleet
+            )
 
-    def test_origin_feeds_several(self) -> None:
+    def test_origin_serves_several_heads(self) -> None:
         """As many agents read from the origin as its link can fill.
 
         The origin was gone 2.5 s after a version was named. It had sent each
         of two agents nine pieces in ten of a half, and nobody had the
         version for nine seconds.
         """
-        for known in every_case():
+        for fleet in all_fleets():
             heads = {
                 ip
-                for ip, each in layouts(known).items()
-                if any(source.ip is None for source in each.sources)
+                for ip, layout in layouts_by_ip(fleet).items()
+                if any(source.ip is None for source in layout.sources)
             }
-            at_home = sum(
-                one.region == known.origin_region for one in known.agents
+            origin_agents = sum(
+                agent.region == fleet.origin_region for agent in fleet.agents
             )
-            most = min(
-                known.stripe_count,
-                max(at_home, piece_stripes.MIN_STRIPES),
-                len(known.agents),
+            head_count = min(
+                fleet.stripe_count,
+                max(origin_agents, piece_stripes.MIN_STRIPES),
+                len(fleet.agents),
             )
-            self.assertEqual(most, len(heads), known)
+            self.assertEqual(head_count, len(heads), fleet)
 
-    def test_comes_to_all(self) -> None:
+    def test_stripes_reach_all_agents(self) -> None:
         """From each agent every stripe leads back to the origin."""
-        for known in every_case():
-            found = layouts(known)
-            for own in known.agents:
-                for stripe in range(found[own.ip].stripe_count):
-                    self.assertTrue(self._reaches(found, own.ip, stripe))
-
-    def test_level_uplinks(self) -> None:
+        for fleet in all_fleets():
+            layouts = layouts_by_ip(fleet)
+            for agent in fleet.agents:
+                for stripe in range(layouts[agent.ip].stripe_count):
+                    self.assertTrue(
+                        self._reaches_origin(layouts, agent.ip, stripe)
+                    )
+
+    def test_uplinks_are_balanced(self) -> None:
         """An agent sends little more than a copy, where regions are alike.
 
         One that sent two had its followers wait twice as long.
         """
         for counts in ((3, 3, 3), (6, 6, 6), (9, 0, 0), (12, 12, 12)):
             for stripes in (2, 3):
-                sent = self._sent(fleet(counts, stripes))
-                self.assertLessEqual(max(sent.values()), stripes, counts)
-
-    def test_borders(self) -> None:
+                requests_by_source = self._requests_by_source(
+                    make_fleet(counts, stripes)
+                )
+                self.assertLessEqual(
+                    max(requests_by_source.values()), stripes, counts
+                )
+
+    def test_border_crossings(self) -> None:
         """Each piece enters each other region once.
 
         Where the origin's region has fewer agents than there are stripes,
         some enter it once, too.
         """
-        for known in every_case():
-            entered: collections.Counter[tuple[str, int]] = (
+        for fleet in all_fleets():
+            entry_counts: collections.Counter[tuple[str, int]] = (
                 collections.Counter()
             )
-            for own in known.agents:
-                for source in piece_stripes.compute_layout(own, known).sources:
+            for agent in fleet.agents:
+                for source in piece_stripes.compute_layout(
+                    agent, fleet
+                ).sources:
                     if source.enters_region:
-                        entered[own.region, source.stripe] += 1
-            self.assertEqual({1}, set(entered.values()), known)
+                        entry_counts[agent.region, source.stripe] += 1
+            self.assertEqual({1}, set(entry_counts.values()), fleet)
 
     def test_entering_first(self) -> None:
         """A head asks for what it brings in before anything else."""
-        for known in every_case():
-            for each in layouts(known).values():
-                enters = [source.enters_region for source in each.sources]
+        for fleet in all_fleets():
+            for layout in layouts_by_ip(fleet).values():
+                enters = [source.enters_region for source in layout.sources]
                 self.assertEqual(sorted(enters, reverse=True), enters)
 
-    def _reaches(
+    def _reaches_origin(
         self,
-        found: dict[str, piece_stripes.Layout],
+        layouts: dict[str, piece_stripes.Layout],
         ip: str,
         stripe: int,
     ) -> bool:
-        for _ in range(len(found) + 1):
+        for _ in range(len(layouts) + 1):
             (source,) = [
-                each for each in found[ip].sources if each.stripe == stripe
+                layout
+                for layout in found[ip].sources
+                if layout.stripe == stripe
             ]
             if source.ip is None:
                 return True
             ip = source.ip
         return False
 
-    def _sent(
+    def _requests_by_source(
         self,
-        known: piece_stripes.Fleet,
+        fleet: piece_stripes.Fleet,
     ) -> collections.Counter[str | None]:
         return collections.Counter(
             source.ip
-            for each in layouts(known).values()
-            for source in each.sources
+            for layout in layouts_by_ip(fleet).values()
+            for source in layout.sources
             if source.ip is not None
         )
 
 
-class AvoidedTest(testtools.TestCase):
+class ExcludedTest(testtools.TestCase):
     """An agent stands still, and those beside it take its part over."""
 
-    def test_head(self) -> None:
+    def test_excluded_head(self) -> None:
         """The next in the ring gets its stripe from the origin."""
-        known = fleet((3, 3, 3), 3, frozenset({'10.0.0.1'}))
+        fleet = make_fleet((3, 3, 3), 3, frozenset({'10.0.0.1'}))
         found = piece_stripes.compute_layout(
             piece_stripes.Agent('region-0', '10.0.0.2'),
-            known,
+            fleet,
         )
         from_origin = {
             source.stripe for source in found.sources if source.ip is None
         }
         self.assertEqual({1, 2}, from_origin)
 
-    def test_others_keep_theirs(self) -> None:
+    def test_other_agents_keep_sources(self) -> None:
         """Whoever isn't beside it changes nothing."""
-        before = fleet((6, 6, 6), 2)
+        before = make_fleet((6, 6, 6), 2)
         after = before._replace(excluded_ips=frozenset({'10.0.0.4'}))
-        own = piece_stripes.Agent('region-0', '10.0.0.1')
+        agent = piece_stripes.Agent('region-0', '10.0.0.1')
         self.assertEqual(
-            piece_stripes.compute_layout(own, before),
-            piece_stripes.compute_layout(own, after),
+            piece_stripes.compute_layout(agent, before),
+            piece_stripes.compute_layout(agent, after),
         )
 
-    def test_region_gone(self) -> None:
+    def test_excluded_region(self) -> None:
         """Where a whole region brings nothing, the one before it does."""
-        gone = frozenset({'10.1.0.0', '10.1.0.1', '10.1.0.2'})
-        known = fleet((3, 3, 2), 3, gone)
+        excluded_ips = frozenset({'10.1.0.0', '10.1.0.1', '10.1.0.2'})
+        fleet = make_fleet((3, 3, 2), 3, excluded_ips)
         for number in range(2):
-            own = piece_stripes.Agent('region-2', f'10.2.0.{number}')
-            for source in piece_stripes.compute_layout(own, known).sources:
-                self.assertNotIn(source.ip, gone)
+            agent = piece_stripes.Agent('region-2', f'10.2.0.{number}')
+            for source in piece_stripes.compute_layout(agent, fleet).sources:
+                self.assertNotIn(source.ip, excluded_ips)
 
 
-class CountTest(testtools.TestCase):
+class CountStripesTest(testtools.TestCase):
     """How many stripes there are."""
 
-    def test_links(self) -> None:
+    def test_counts(self) -> None:
         """As many as the origin's link fills, and never a single one."""
         for origin, link, expected in (
             (9.9, 3.8, 3),
--- a/tests/decisions/test_reading_turns.py
+++ b/tests/decisions/test_reading_turns.py
@@ -12,76 +12,78 @@
 from clementinepass.decisions import reading_turns
 
 #: Seconds for which a play goes on after the reads began.
-_PLAYED = 40
+_SIMULATED_SECONDS = 40
 #: Seconds after which all have had a turn.
-_SETTLED = 2 * reading_turns.MAX_WAIT_SECONDS
+_SETTLED_SECONDS = 2 * reading_turns.MAX_WAIT_SECONDS
 
 
-def ends(begun: list[float], rng: random.Random) -> list[float]:
+def simulate_reads(first_ends: list[float], rng: random.Random) -> list[float]:
     """Return when reads end of entries that began at some moments.
 
     Each knows when the others' reads end, as of a heartbeat message ago.
     """
-    number = len(begun)
-    by_entry = dict(enumerate(begun))
-    told = dict(by_entry)
-    found = []
+    entry_count = len(first_ends)
+    end_by_entry = dict(enumerate(first_ends))
+    announced_end_by_entry = dict(end_by_entry)
+    ended_at = []
     now: float = 0
-    while now < _PLAYED:
-        entry = min(by_entry, key=by_entry.__getitem__)
-        now = by_entry[entry]
-        found.append(now)
-        others = [
+    while now < _SIMULATED_SECONDS:
+        entry = min(end_by_entry, key=end_by_entry.__getitem__)
+        now = end_by_entry[entry]
+        ended_at.append(now)
+        remaining_waits = [
             end - now
-            for other, end in told.items()
-            if other != entry and end > now
+            for other_entry, end in announced_end_by_entry.items()
+            if other_entry != entry and end > now
         ]
         wait = reading_turns.wait_after_empty_read(
-            reading_turns.Turn(0, number),
-            others,
+            reading_turns.Turn(0, entry_count),
+            remaining_waits,
         )
-        by_entry[entry] = now + wait + rng.uniform(0.005, 0.02)
-        told = {
-            other: end if rng.random() < 0.8 else told[other]
-            for other, end in by_entry.items()
+        end_by_entry[entry] = now + wait + rng.uniform(0.005, 0.02)
+        announced_end_by_entry = {
+            other_entry: end
+            if rng.random() < 0.8
+            else announced_end_by_entry[other_entry]
+            for other_entry, end in end_by_entry.items()
         }
-    return found
+    return ended_at
 
 
-def longest_gap(moments: list[float], since: float) -> float:
+def longest_gap(times: list[float], since: float) -> float:
     """Return the longest time between two moments, from some time on."""
-    later = [one for one in sorted(moments) if one >= since]
+    later = [time for time in sorted(times) if time >= since]
     pairs = zip(later, later[1:], strict=False)
-    return max(after - before for before, after in pairs)
+    return max(following - preceding for preceding, following in pairs)
 
 
 class ReadingTurnsTest(testtools.TestCase):
     """However the reads began, soon one ends each step."""
 
-    def test_after_news(self) -> None:
+    def test_after_change(self) -> None:
         """All begin at the same moment, and end one after the other."""
         waits = [
-            reading_turns.wait_after_change(reading_turns.Turn(before, 9))
-            for before in range(9)
+            reading_turns.wait_after_change(reading_turns.Turn(position, 9))
+            for position in range(9)
         ]
         self.assertEqual(
             [
-                round(reading_turns.STEP_SECONDS * (one + 1), 3)
-                for one in range(9)
+                round(reading_turns.STEP_SECONDS * (position + 1), 3)
+                for position in range(9)
             ],
-            [round(one, 3) for one in waits],
+            [round(wait, 3) for wait in waits],
         )
 
-    def test_many(self) -> None:
+    def test_many_entries(self) -> None:
         """Where there are more than fit, turns are closer."""
         waits = [
-            reading_turns.wait_after_change(reading_turns.Turn(before, 50))
-            for before in range(50)
+            reading_turns.wait_after_change(reading_turns.Turn(position, 50))
+            for position in range(50)
         ]
         self.assertThat(max(waits), matchers.LessThan(8.001))
         self.assertEqual(50, len(set(waits)))
 
-    def test_alone(self) -> None:
+    def test_single_entry(self) -> None:
         """One that is alone ends its read each step."""
         turn = reading_turns.Turn(0, 1)
         self.assertEqual(
@@ -106,21 +108,27 @@
         ),
         strategies.randoms(use_true_random=False),
     )
-    def test_any_begin(self, begun: list[float], rng: random.Random) -> None:
+    def test_any_start(
+        self, first_ends: list[float], rng: random.Random
+    ) -> None:
         """Entries began in any order, or all at once, or were replaced."""
-        found = ends(begun, rng)
+        ended_at = simulate_reads(first_ends, rng)
         self.assertThat(
-            longest_gap(found, _SETTLED),
+            longest_gap(ended_at, _SETTLED_SECONDS),
             matchers.LessThan(2 * reading_turns.STEP_SECONDS),
         )
 
     @given(strategies.integers(2, 40))
-    def test_no_more_reads(self, number: int) -> None:
+    def test_read_rate(self, entry_count: int) -> None:
         """There is one read a step, or as many as if each waited longest."""
-        found = ends([0.0] * number, random.Random(number))
-        calls = sum(one >= _SETTLED for one in found) / (_PLAYED - _SETTLED)
-        each = max(
+        ended_at = simulate_reads(
+            [0.0] * entry_count, random.Random(entry_count)
+        )
+        read_rate = sum(end >= _SETTLED_SECONDS for end in ended_at) / (
+            _SIMULATED_SECONDS - _SETTLED_SECONDS
+        )
+        expected_rate = max(
             1 / reading_turns.STEP_SECONDS,
-            number / reading_turns.MAX_WAIT_SECONDS,
+            entry_count / reading_turns.MAX_WAIT_SECONDS,
         )
-        self.assertThat(calls, matchers.LessThan(1.5 * each))
+        self.assertThat(read_rate, matchers.LessThan(1.5 * expected_rate))
--- a/tests/decisions/test_start_reading.py
+++ b/tests/decisions/test_start_reading.py
@@ -13,38 +13,40 @@
 #: Processes of one region, and those of them that may read before the first
 #: one has told the others, 0.1 s after it began.
 PROCESSES = 100
-TOLD_AFTER = 0.1
-MOST_EARLY = 12
+RECORDS_SENT_AFTER = 0.1
+MAX_EARLY_READS = 12
 
 
-class DelayTest(testtools.TestCase):
+class ReadDelayTest(testtools.TestCase):
     """Seeds read at once, the others only where no seed tells them."""
 
     def test_seed(self) -> None:
         """A seed waits for nobody."""
-        found = start_reading.read_delay(SEEDS[1], SEEDS, random.Random(1))
-        self.assertEqual(0, found)
+        delay = start_reading.read_delay(SEEDS[1], SEEDS, random.Random(1))
+        self.assertEqual(0, delay)
 
-    def test_nobody_to_ask(self) -> None:
+    def test_no_other_seed(self) -> None:
         """Without seeds, or alone, there is nobody to wait for."""
         for seeds in ((), ('10.0.0.9',)):
-            found = start_reading.read_delay(
+            delay = start_reading.read_delay(
                 '10.0.0.9', seeds, random.Random(1)
             )
-            self.assertEqual(0, found)
+            self.assertEqual(0, delay)
 
-    def test_seeds_gone(self) -> None:
+    def test_seeds_unreachable(self) -> None:
         """Seeds may be down: few read before the first of them can tell."""
         rng = random.Random(2)
         delays = sorted(
             start_reading.read_delay('10.0.0.9', SEEDS, rng)
             for _ in range(PROCESSES)
         )
-        early = [one for one in delays if one < delays[0] + TOLD_AFTER]
-        self.assertLessEqual(len(early), MOST_EARLY)
+        early_delays = [
+            delay for delay in delays if delay < delays[0] + RECORDS_SENT_AFTER
+        ]
+        self.assertLessEqual(len(early_delays), MAX_EARLY_READS)
         self.assertLess(delays[-1], 2)
 
-    def test_near_first(self) -> None:
+    def test_same_region_first(self) -> None:
         """A peer of another region is asked where no near one answers."""
         self.assertTrue(
             start_reading.may_request(is_same_region=True, uptime_seconds=0)
@@ -64,7 +66,7 @@
     told, and to answer took more processor time than the seeds had.
     """
 
-    def asked(self, seconds: float) -> list[tuple[float, str]]:
+    def requests(self, seconds: float) -> list[tuple[float, str]]:
         """Return when which seed is asked by one process."""
         polling = start_reading.SeedPolling(SEEDS[0], SEEDS, random.Random(3))
         found = []
@@ -74,18 +76,24 @@
             now += polling.next_pause()
         return found
 
-    def test_all_at_first(self) -> None:
+    def test_all_seeds_first(self) -> None:
         """The first to know can tell at once."""
-        first = [seed for at, seed in self.asked(0.01)]
+        first = [seed for sent_at, seed in self.requests(0.01)]
         self.assertEqual(sorted(SEEDS[1:]), sorted(first))
 
-    def test_few_after_that(self) -> None:
+    def test_backoff(self) -> None:
         """A seed hears from each process about once a second."""
-        asked = self.asked(10)
+        requests = self.requests(10)
         for seed in SEEDS[1:]:
-            times = [at for at, each in asked if each == seed]
+            times = [
+                sent_at
+                for sent_at, requested_seed in requests
+                if requested_seed == seed
+            ]
             self.assertLess(len(times), 16)
-            gaps = [later - at for at, later in itertools.pairwise(times)]
+            gaps = [
+                later - sent_at for sent_at, later in itertools.pairwise(times)
+            ]
             self.assertLessEqual(max(gaps), 0.9)
 
     def test_no_seeds(self) -> None:
