--- a/tests/decisions/test_departure.py
+++ b/tests/decisions/test_departure.py
@@ -1,4 +1,4 @@
-"""Tests of what an entry that leaves takes, and when it ends."""
+"""Tests of which requests a draining entry accepts, and when it exits."""
 
 from __future__ import annotations
 
@@ -13,34 +13,35 @@
 
 
 class DepartureTest(testtools.TestCase):
-    """Callers' answers were cut off while all entries were replaced in turn.
+    """All entries are replaced in turn while callers send requests.
 
-    A stream came 3.5 s after SIGTERM, by a list that its caller had kept, and
-    lasted four seconds; the entry ended after 7.4. Others found no entry at
-    all, since each stayed that long with nothing to do.
+    A stream that arrived 3.5 s after SIGTERM, by a list that its caller had
+    kept, lasted four seconds and was cut off when the entry exited after 7.4 s.
+    Other callers found no entry at all, since each entry stayed that long while
+    idle.
     """
 
     def setUp(self) -> None:
-        """Begin to leave at second 100."""
+        """Start a drain at second 100."""
         super().setUp()
-        self.accepting_seconds = departure.accepting_seconds(
+        self.acceptance_seconds = departure.accepting_seconds(
             GRACE, (LONGEST_TIMEOUT, 1)
         )
-        self.policy = departure.list_policy(self.accepting_seconds, MAX_TTL)
+        self.policy = departure.list_policy(self.acceptance_seconds, MAX_TTL)
         self.plan = departure.plan_drain(100, GRACE, self.policy, NO_LIST)
 
     def test_accepts_requests_due_before_end(self) -> None:
-        """A request is taken whose answer is due before the entry's end."""
+        """A request is accepted if its answer is due before the entry's end."""
         self.assertTrue(self.plan.accepts(self.plan.last_answer_at))
         self.assertFalse(self.plan.accepts(self.plan.last_answer_at + 0.001))
         self.assertLess(self.plan.last_answer_at, self.plan.end_at)
         self.assertLess(self.plan.end_at, 100 + GRACE)
 
     def test_lists_expire_while_accepting(self) -> None:
-        """Who keeps a list longest comes while any request is taken.
+        """Callers that keep a list longest arrive while requests are accepted.
 
-        Also by a list that another told half a second after SIGTERM, as the
-        word of it was late.
+        This includes a list that another entry gave out half a second after
+        SIGTERM, as the announcement of the drain was late.
         """
         latest_arrival = (
             100 + 0.5 + departure.max_kept_seconds(self.policy.ttl_seconds)
@@ -48,7 +49,7 @@
         self.assertTrue(self.plan.accepts(latest_arrival + LONGEST_TIMEOUT))
 
     def test_stays_until_lists_expire(self) -> None:
-        """It stays until the last list that names it is given up."""
+        """The entry stays until the last list that names it expires."""
         listed_until = 100 + max(self.policy.listed_seconds, 0.5)
         kept_seconds = departure.max_kept_seconds(self.policy.ttl_seconds)
         self.assertGreaterEqual(
@@ -62,12 +63,12 @@
         )
 
     def test_listed_while_accepting(self) -> None:
-        """Who keeps a list as told comes while requests are taken."""
+        """Callers that heed a list's TTL arrive while requests are accepted."""
         latest_arrival = self.policy.listed_seconds + self.policy.ttl_seconds
-        self.assertLessEqual(latest_arrival, self.accepting_seconds)
+        self.assertLessEqual(latest_arrival, self.acceptance_seconds)
 
     def test_exits_when_idle_and_unlisted(self) -> None:
-        """It stays while lists name it, and while requests are in progress."""
+        """The entry stays while lists name it or requests are in progress."""
         lists_end = self.plan.lists_expire_at
         self.assertFalse(self.plan.may_end(lists_end - 0.1, 0))
         self.assertTrue(self.plan.may_end(lists_end, 0))
@@ -75,33 +76,35 @@
         self.assertTrue(self.plan.may_end(self.plan.end_at, 1))
 
     def test_timeout_longer_than_grace(self) -> None:
-        """A route that allows more than the grace decides for no other."""
+        """A route with a timeout beyond the grace period does not count."""
         long_timeout = 2 * GRACE
-        accepting_seconds = departure.accepting_seconds(
+        acceptance_seconds = departure.accepting_seconds(
             GRACE, (long_timeout, LONGEST_TIMEOUT)
         )
-        self.assertEqual(self.accepting_seconds, accepting_seconds)
+        self.assertEqual(self.acceptance_seconds, acceptance_seconds)
         self.assertEqual(0, departure.accepting_seconds(GRACE, (long_timeout,)))
         self.assertFalse(self.plan.accepts(100 + long_timeout))
 
     def test_ttl_bounds(self) -> None:
-        """A list is kept no longer than the platform allows, nor for ever."""
+        """The TTL has a minimum and a maximum, and the platform's limit."""
         self.assertEqual(0.2, departure.list_policy(60, 0.2).ttl_seconds)
         self.assertLess(departure.list_policy(60, MAX_TTL).ttl_seconds, 2)
         self.assertGreater(departure.list_policy(0, MAX_TTL).ttl_seconds, 0)
 
     def test_long_grace(self) -> None:
-        """Five minutes of grace are no reason to be named for minutes."""
-        accepting_seconds = departure.accepting_seconds(300, (LONGEST_TIMEOUT,))
-        policy = departure.list_policy(accepting_seconds, MAX_TTL)
+        """A long grace period does not keep the entry listed for minutes."""
+        acceptance_seconds = departure.accepting_seconds(
+            300, (LONGEST_TIMEOUT,)
+        )
+        policy = departure.list_policy(acceptance_seconds, MAX_TTL)
         self.assertLess(policy.listed_seconds, 5)
 
     def test_no_grace(self) -> None:
-        """A grace of nothing ends at once, and cuts whatever is there."""
+        """Without a grace period the entry exits and cuts off requests."""
         plan = departure.plan_drain(100, 0, self.policy, NO_LIST)
         self.assertTrue(plan.may_end(100, 1))
         self.assertFalse(plan.accepts(100.5))
 
     def test_retry_after(self) -> None:
-        """At once where another is ready; else when this one may be back."""
+        """A caller retries sooner if another entry is ready."""
         self.assertLess(departure.retry_after(1), departure.retry_after(0))
--- a/tests/decisions/test_direct_decisions.py
+++ b/tests/decisions/test_direct_decisions.py
@@ -20,11 +20,11 @@
 
 
 class WindowBudgetTest(testtools.TestCase):
-    """Repeats of all entries together stay within the bound."""
+    """Retries of all entries together stay within the limit."""
 
     @given(st.integers(1, 12), st.integers(0, 40))
     def test_total_retries_bounded(self, entries: int, requests: int) -> None:
-        """However many entries repeat whatever they may."""
+        """The limit holds when every entry retries as often as it may."""
         retries = 0
         for _ in range(entries):
             budget = window_budget.WindowBudget(0.2, 100, 10)
@@ -35,7 +35,7 @@
         self.assertLessEqual(retries, 0.2 * requests * entries + 100)
 
     def test_budget_returns_after_window(self) -> None:
-        """What left the window no longer counts."""
+        """Requests that have left the window no longer count."""
         budget = window_budget.WindowBudget(0, 10, 10)
         acquired = sum(budget.try_acquire(0, 1) for _ in range(20))
         self.assertFalse(budget.try_acquire(5, 1))
@@ -44,10 +44,10 @@
 
 
 class NextTryTest(testtools.TestCase):
-    """What must not run twice isn't sent twice."""
+    """A request that must not run twice is not sent twice."""
 
     def test_each_rule(self) -> None:
-        """Each rule alone forbids another attempt."""
+        """Each rule on its own forbids another attempt."""
         allowed = next_try.AttemptHistory(
             1, 1, 2, is_repeatable=True, seconds_left=1
         )
@@ -76,14 +76,14 @@
 
 
 class EndpointChoiceTest(testtools.TestCase):
-    """Requests go where they start soonest."""
+    """Requests go to the endpoint where they start soonest."""
 
     def setUp(self) -> None:
         super().setUp()
         self.rng = random.Random(7)
 
     def choose(self, *candidates: endpoint_choice.Candidate) -> str:
-        """Return the choice that is always made."""
+        """Return the endpoint that is chosen in every one of 50 trials."""
         chosen = {
             choice.endpoint_id
             for _ in range(50)
@@ -93,22 +93,23 @@
         return chosen.pop()
 
     def test_free_slot_in_other_domain(self) -> None:
-        """A free slot far away is better than a place in a queue."""
+        """A free slot in another domain is better than a place in a queue."""
         near = endpoint_choice.Candidate('near', 17, 16, is_same_domain=True)
         far = endpoint_choice.Candidate('far', 12, 16, is_same_domain=False)
         self.assertEqual('far', self.choose(near, far))
 
     def test_same_domain_on_equal_load(self) -> None:
-        """Bytes between failure domains have a price."""
+        """Traffic between failure domains has a price."""
         near = endpoint_choice.Candidate('near', 5, 16, is_same_domain=True)
         far = endpoint_choice.Candidate('far', 5, 16, is_same_domain=False)
         self.assertEqual('near', self.choose(near, far))
 
     def test_congested_link(self) -> None:
-        """Requests reached an engine when their callers had left.
+        """An endpoint with a congested link is avoided unless others are full.
 
-        Its link was narrowed to a tenth, and they waited there behind pieces
-        of weights. By its count of requests it was the emptiest.
+        With a link narrowed to a tenth, requests waited behind pieces of
+        weights and reached the engine after their callers had left. By its
+        number of requests the engine was the emptiest one.
         """
         slow = endpoint_choice.Candidate(
             'slow',
@@ -123,7 +124,7 @@
         self.assertEqual('slow', self.choose(slow, full))
 
     def test_newest_weights(self) -> None:
-        """An engine that is yet to load cuts what runs when it does."""
+        """An engine that has yet to load cuts off its running requests then."""
         old = endpoint_choice.Candidate(
             'old', 2, 16, is_same_domain=True, has_old_version=True
         )
@@ -131,11 +132,11 @@
         self.assertEqual('new', self.choose(old, new))
 
     def test_no_candidates(self) -> None:
-        """Without an endpoint there is no choice."""
+        """Without candidates there is no choice."""
         self.assertIsNone(endpoint_choice.choose((), self.rng))
 
     def test_equal_load_is_spread(self) -> None:
-        """Entries with the same counts don't all choose the same one."""
+        """Entries with the same counts do not all choose the same endpoint."""
         candidates = [
             endpoint_choice.Candidate(str(number), 3, 16, is_same_domain=True)
             for number in range(4)
@@ -153,37 +154,37 @@
 
 
 class FirstEventTest(testtools.TestCase):
-    """What would start too late is refused."""
+    """Requests that would start too late are rejected."""
 
     def setUp(self) -> None:
         super().setUp()
         self.rate = first_event.service_rate(30600, 964, 119, 0.00673, 16)
 
     def is_sent(self, queue_depth: float, elapsed: float = 0) -> bool:
-        """Tell whether a usual request is sent to such a queue."""
+        """Return whether a typical request is sent to a queue of this depth."""
         request = first_event.PendingRequest(
             queue_depth, 16, 964, 0.406, elapsed
         )
         return first_event.meets_target(request, self.rate)
 
     def test_service_rate(self) -> None:
-        """An engine with these figures ends twelve answers a second."""
+        """An engine with these figures finishes twelve answers a second."""
         self.assertAlmostEqual(12.3, self.rate.requests_per_second, 1)
 
     def test_queue_limit(self) -> None:
-        """Three may wait for a quarter of a second, five may not."""
+        """Three requests may wait for a quarter of a second, five may not."""
         self.assertTrue(self.is_sent(0))
         self.assertTrue(self.is_sent(3))
         self.assertFalse(self.is_sent(5))
 
     def test_free_slot_is_always_taken(self) -> None:
-        """Late or not, a request that runs at once holds up nobody."""
+        """A request that runs at once is sent even if late: it delays none."""
         self.assertTrue(self.is_sent(0, elapsed=3))
         self.assertTrue(self.is_sent(1, elapsed=3))
         self.assertFalse(self.is_sent(2, elapsed=3))
 
     def test_unknown_service_rate(self) -> None:
-        """A plain service has a third of its slots waiting at most."""
+        """At a plain service up to a third of its slots may wait."""
         unknown_rate = first_event.service_rate(0, 0, 0, 0, 6)
         request = first_event.PendingRequest(2, 6, 0, 0.4, 0)
         self.assertTrue(first_event.meets_target(request, unknown_rate))
@@ -194,22 +195,22 @@
         )
 
     def test_retry_after(self) -> None:
-        """Callers come back when the queue is shorter, within bounds."""
+        """Callers retry when the queue is shorter, within bounds."""
         self.assertEqual(0.25, first_event.retry_after(0, self.rate))
         self.assertAlmostEqual(0.81, first_event.retry_after(10, self.rate), 1)
         self.assertEqual(2, first_event.retry_after(500, self.rate))
 
 
 class DesiredVersionsTest(testtools.TestCase):
-    """Each version has its own bound.
+    """Each version has its own deadline.
 
-    A user named version 2 and, four seconds later, version 3. Requests began
-    on version 1 ten seconds after version 2 was named: the clock of the newer
-    version had taken the place of the older one's.
+    With a single clock that restarts for a newer version, requests still
+    started on version 1 ten seconds after version 2 had been named, as version
+    3 was named four seconds after it.
     """
 
     def test_two_deadlines(self) -> None:
-        """Naming a version doesn't put off the bound of the one before."""
+        """A newer version does not postpone the deadline of an older one."""
         versions = desired_versions.DesiredVersions(8)
         versions.record(2, 100)
         versions.record(3, 104)
@@ -218,7 +219,7 @@
         self.assertEqual(3, versions.oldest_allowed(112))
 
     def test_earlier_time_is_kept(self) -> None:
-        """Whoever was restarted heard of the version later."""
+        """A process that was restarted learns of the version later."""
         versions = desired_versions.DesiredVersions(8)
         self.assertTrue(versions.record(2, 100))
         self.assertFalse(versions.record(2, 95))
@@ -226,18 +227,19 @@
         self.assertEqual(2, versions.oldest_allowed(103))
 
     def test_older_version_is_not_newest(self) -> None:
-        """A version told of after a newer one doesn't take its place."""
+        """A version that is recorded after a newer one does not replace it."""
         versions = desired_versions.DesiredVersions(8)
         versions.record(3, 100)
         self.assertFalse(versions.record(2, 99))
         self.assertEqual(3, versions.newest)
 
     def test_guess_is_replaced(self) -> None:
-        """A restarted entry guessed when a version was named.
+        """A restarted entry guesses when a version was named.
 
-        It held that it had just been, and sent requests to older weights for
-        seconds after the bound. Others knew the time; theirs goes before a
-        guess, earlier or later, and a guess never before theirs.
+        It assumed that this had just happened, and sent requests to older
+        weights for seconds after the deadline. Other entries knew the time: it
+        replaces a guess, whether earlier or later, and is never replaced by
+        one.
         """
         versions = desired_versions.DesiredVersions(8)
         self.assertTrue(versions.record(2, 95, is_guess=True))
@@ -249,35 +251,36 @@
 
 
 class SupersedingTest(testtools.TestCase):
-    """The shorter gap is chosen."""
+    """The option with the shorter gap without a usable version is chosen."""
 
     def test_finishes_current(self) -> None:
-        """Four seconds apart: both are in time one after the other."""
+        """Versions four seconds apart can be fetched one after the other."""
         current = superseding.Transfer(2.3, 4)
         newer = superseding.Transfer(5.6, 8)
         self.assertTrue(superseding.should_finish_first(current, newer))
 
     def test_drops_current(self) -> None:
-        """Two seconds apart: the first would make the second late."""
+        """Two seconds apart, the first version would make the second late."""
         current = superseding.Transfer(3.5, 6)
         newer = superseding.Transfer(5.6, 8)
         self.assertFalse(superseding.should_finish_first(current, newer))
 
     def test_no_gap_keeps_pieces(self) -> None:
-        """Both are in time one after the other: nothing in hand is dropped.
+        """If both versions arrive in time, no fetched pieces are dropped.
 
-        The origin was gone half a second after the second was named, and
-        neither was whole anywhere until it came back.
+        The origin became unreachable half a second after the second version was
+        named, and neither version was complete anywhere until it was back.
         """
         current = superseding.Transfer(1, 7)
         newer = superseding.Transfer(5.6, 8)
         self.assertTrue(superseding.should_finish_first(current, newer))
 
     def test_agents_agree(self) -> None:
-        """Two seconds apart, with links that just carry two versions in time.
+        """Agents decide alike on links that just carry two versions in time.
 
-        Agents with many pieces finished the first and those with few dropped
-        it, so that pieces of neither came through.
+        The versions are two seconds apart. When agents with many pieces
+        finished the first version and those with few dropped it, neither
+        version was complete.
         """
         newer = superseding.Transfer(4.8, 8)
         for remaining_seconds in (2.6, 3.2, 4.4):
@@ -285,7 +288,7 @@
             self.assertFalse(superseding.should_finish_first(current, newer))
 
     def test_decision_stands(self) -> None:
-        """Pieces that came late don't have the first dropped half way."""
+        """Late pieces do not make an agent drop the version half way."""
         current = superseding.Transfer(2.8, 5)
         newer = superseding.Transfer(4.4, 7.1)
         self.assertFalse(superseding.should_finish_first(current, newer))
@@ -294,7 +297,7 @@
         )
 
     def test_expired_version_is_dropped(self) -> None:
-        """A version that would be whole after its own bound is dropped."""
+        """A version is dropped if it would be complete after its deadline."""
         current = superseding.Transfer(3, 0.5)
         newer = superseding.Transfer(4.4, 2.5)
         self.assertFalse(
@@ -314,7 +317,7 @@
         ]
 
     def test_turns_spread_over_time(self) -> None:
-        """Turns are spread over the time left, the last in good time."""
+        """Turns are spread over the time left, the last one early enough."""
         delays = [
             load_turns.delay(engine, self.engines, 3) for engine in self.engines
         ]
@@ -323,7 +326,7 @@
         self.assertEqual(9, len(set(delays)))
 
     def test_domains_alternate(self) -> None:
-        """No domain is out as a whole."""
+        """Consecutive turns are in different domains."""
         ordered = sorted(
             self.engines,
             key=lambda engine: load_turns.delay(engine, self.engines, 3),
@@ -334,20 +337,20 @@
         )
 
     def test_no_time_left(self) -> None:
-        """Then all load at once: nobody may serve the old version."""
+        """All load at once when the old version may not be used any more."""
         for engine in self.engines:
             self.assertEqual(0, load_turns.delay(engine, self.engines, 0.5))
 
     def test_single_engine(self) -> None:
-        """An engine alone has nobody to wait for."""
+        """A single engine does not wait."""
         self.assertEqual(0, load_turns.delay(self.engines[0], [], 5))
 
 
 class SampleTest(testtools.TestCase):
-    """Which engines are compared where loads are reported."""
+    """Entries compare a sample of the engines with known loads."""
 
     def test_sample_sizes(self) -> None:
-        """All entries sent to the engine that was emptiest when last told."""
+        """If all engines were compared, entries would choose the same one."""
         rng = random.Random(1)
         cases = (
             (list('abcdef'), list('xyz'), 2, 1),
--- a/tests/decisions/test_load_reports.py
+++ b/tests/decisions/test_load_reports.py
@@ -1,4 +1,4 @@
-"""Plays of placing by what entries know of the load of engines."""
+"""Simulations of endpoint selection by what entries know of engines' loads."""
 
 from __future__ import annotations
 
@@ -8,7 +8,7 @@
 
 from benchmarks import load_reports
 
-#: A load that twelve engines can just carry, and one with room to spare.
+#: A load that twelve engines can just carry, and one with spare capacity.
 FULL = load_reports.Setting(
     entries=20,
     engines=12,
@@ -26,7 +26,7 @@
     setting: load_reports.Setting,
     make: load_reports.Make,
 ) -> load_reports.Outcome:
-    """Play a load with several seeds."""
+    """Return the mean outcome of a simulation with several seeds."""
     outcomes = [
         load_reports.play(setting._replace(seed=seed), make) for seed in SEEDS
     ]
@@ -36,15 +36,15 @@
 
 
 class LoadReportsTest(testtools.TestCase):
-    """Engines that are nearly full, and entries that must not queue on one.
+    """Entries must not queue on a single engine when engines are nearly full.
 
-    Entries went by counts of one another that were a second old and more: all
-    sent to the engine that had been emptiest, four in five requests came late
-    there, and hardly any was refused.
+    Entries that went by one another's counts, which were a second old or more,
+    all sent to the engine that had been emptiest. Four in five requests came
+    late there, and hardly any was rejected.
     """
 
     def test_full_engines(self) -> None:
-        """Four in five are in time, and the rest is refused rather than late."""
+        """Four in five are in time; others are rejected rather than late."""
         with_counts = mean_outcome(FULL, load_reports.ToldCounts)
         with_reports = mean_outcome(FULL, load_reports.Reports)
         self.assertLess(with_counts.in_time, 0.4)
@@ -52,7 +52,7 @@
         self.assertLess(with_reports.late, 0.1)
 
     def test_spare_capacity(self) -> None:
-        """Hardly any request is late or refused where there is room."""
+        """Hardly any request is late or rejected if there is spare capacity."""
         outcome = mean_outcome(SPARE, load_reports.Reports)
         self.assertGreater(outcome.in_time, 0.95)
 
--- a/tests/decisions/test_manifest_round.py
+++ b/tests/decisions/test_manifest_round.py
@@ -1,4 +1,4 @@
-"""Tests of whom agents ask for the manifest of a version."""
+"""Tests of the sources that agents ask for the manifest of a version."""
 
 from __future__ import annotations
 
@@ -8,7 +8,7 @@
 
 
 def make_agents(count: int) -> list[piece_chains.Agent]:
-    """Return agents of three regions."""
+    """Return agents in three regions."""
     return [
         piece_chains.Agent(
             f'region-{number % 3}',
@@ -35,26 +35,26 @@
 
 
 class RoundTest(testtools.TestCase):
-    """What a round costs, and how fast the manifest spreads."""
+    """The requests of a round, and the rounds until all have the manifest."""
 
     def test_first_round(self) -> None:
-        """At first the agents before are asked, and the origin by some."""
+        """Agents ask the preceding agents, and some of them ask the origin."""
         for count, max_origin_requests in ((10, 10), (150, 22), (300, 22)):
             origin_requests = 0
             for plan in plans_by_ip(count).values():
-                sources = manifest_round.choose_sources(plan, 0)
-                origin_requests += piece_chains.ORIGIN in sources
+                chosen = manifest_round.choose_sources(plan, 0)
+                origin_requests += piece_chains.ORIGIN in chosen
                 self.assertEqual(
                     {*plan.sources, piece_chains.ORIGIN},
-                    {*sources, piece_chains.ORIGIN},
+                    {*chosen, piece_chains.ORIGIN},
                 )
             self.assertLessEqual(origin_requests, max_origin_requests)
 
     def test_stale_holders(self) -> None:
-        """All machines lost their power, and the list still names holders.
+        """The list still names holders after a power loss of all instances.
 
-        Each agent asked those that had held the version, which had lost it
-        too and let it wait for a second. Service was back a second later.
+        Agents that asked only those that had held the version, which had lost
+        it as well, waited for a second, and service was back a second later.
         """
         holders = [peer._replace(has_version=True) for peer in make_agents(13)]
         for agent in holders:
@@ -71,16 +71,16 @@
             )
 
     def test_request_count_bounded(self) -> None:
-        """An agent asks no more where there are more of them."""
+        """An agent sends no more requests if there are more agents."""
         for count in (3, 10, 40, 300):
             for plan in plans_by_ip(count).values():
                 for failed_rounds in range(5):
-                    sources = manifest_round.choose_sources(plan, failed_rounds)
-                    self.assertLessEqual(len(sources), len(plan.sources) + 3)
-                    self.assertEqual(len(sources), len(set(sources)))
+                    chosen = manifest_round.choose_sources(plan, failed_rounds)
+                    self.assertLessEqual(len(chosen), len(plan.sources) + 3)
+                    self.assertEqual(len(chosen), len(set(chosen)))
 
     def test_heads_ask_origin(self) -> None:
-        """Whoever gets a stripe from the origin asks it in each round."""
+        """An agent that fetches a stripe from the origin always asks it."""
         head_plans = []
         for plan in plans_by_ip(40).values():
             if piece_chains.ORIGIN in plan.sources:
@@ -93,10 +93,10 @@
         self.assertEqual(2, len(head_plans))
 
     def test_origin_reachable_again(self) -> None:
-        """The origin is back after a while in which nobody had anything.
+        """The origin is reachable again, and no agent has the manifest yet.
 
-        All agents have the manifest after a few rounds, and the origin isn't
-        asked by all of them at once.
+        All agents have the manifest after a few rounds, and not all of them ask
+        the origin at once.
         """
         for count, max_rounds, max_origin_requests in (
             (14, 2, 11),
@@ -114,15 +114,15 @@
                     if ip not in holders
                 }
                 origin_requests = sum(
-                    piece_chains.ORIGIN in sources
-                    for sources in sources_by_ip.values()
+                    piece_chains.ORIGIN in chosen
+                    for chosen in sources_by_ip.values()
                 )
                 self.assertLessEqual(origin_requests, max_origin_requests)
                 answering = {piece_chains.ORIGIN, *holders}
                 holders.update(
                     ip
-                    for ip, sources in sources_by_ip.items()
-                    if not answering.isdisjoint(sources)
+                    for ip, chosen in sources_by_ip.items()
+                    if not answering.isdisjoint(chosen)
                 )
                 failed_rounds += 1
             self.assertLessEqual(failed_rounds - 7, max_rounds)
--- a/tests/decisions/test_piece_chains.py
+++ b/tests/decisions/test_piece_chains.py
@@ -1,4 +1,4 @@
-"""Tests of from whom agents get pieces."""
+"""Tests of the sources from which agents fetch pieces."""
 
 from __future__ import annotations
 
@@ -10,7 +10,7 @@
 
 
 def make_agents(**counts_by_region: int) -> list[piece_chains.Agent]:
-    """Return agents of regions, so many in each."""
+    """Return agents, as many in each region as given."""
     return [
         piece_chains.Agent(region, f'{region}-1', f'10.{index}.0.{number}')
         for index, (region, count) in enumerate(counts_by_region.items())
@@ -37,21 +37,21 @@
 
 
 class StripedTest(testtools.TestCase):
-    """While nobody has the version, its pieces come in stripes."""
+    """While no agent has the version, its pieces are spread in stripes."""
 
     def test_every_piece_in_one_group(self) -> None:
-        """Each piece is asked for in one place."""
+        """Each piece belongs to exactly one group."""
         for plan in plans_by_ip(
             make_agents(north=4, south=3, west=3), 'north'
         ).values():
             for number in range(64):
-                groups = [
+                matching = [
                     group for group in plan.groups if group.contains(number)
                 ]
-                self.assertEqual(1, len(groups))
+                self.assertEqual(1, len(matching))
 
     def test_fetch_order(self) -> None:
-        """All are asked for, lane by lane."""
+        """All pieces are requested, group by group."""
         for plan in plans_by_ip(
             make_agents(north=4, south=3, west=3), 'north'
         ).values():
@@ -61,10 +61,10 @@
             self.assertTrue(first.contains(ordered[0]))
 
     def test_fallbacks_of_heads(self) -> None:
-        """Only heads have others to turn to, those of their region.
+        """Only heads have fallbacks, which are agents of their own region.
 
-        An agent in the middle brought nothing, all behind it looked
-        elsewhere, and met at the same few.
+        When an agent in the middle delivered nothing, all agents behind it
+        turned to other sources and converged on the same few.
         """
         peers = make_agents(north=4, south=3, west=3)
         region_by_ip = {peer.ip: peer.region for peer in peers}
@@ -75,7 +75,7 @@
                 self.assertEqual(region_by_ip[ip], region_by_ip[fallback_ip])
 
     def test_single_agent(self) -> None:
-        """A single agent gets all from the origin."""
+        """A single agent fetches everything from the origin."""
         (plan,) = plans_by_ip(make_agents(north=1), 'north').values()
         self.assertEqual((piece_chains.ORIGIN,), plan.sources)
 
@@ -83,8 +83,8 @@
 class FewHoldersTest(testtools.TestCase):
     """All but two engines lost their weights at once.
 
-    Eight agents asked the two that still had them. Each of those two sent
-    four copies one after the other, and the last was ready after 17 seconds.
+    Eight agents asked the two that still had them. Each of the two sent four
+    copies one after the other, and the last agent was ready after 17 seconds.
     """
 
     def test_chains_behind_holders(self) -> None:
@@ -103,15 +103,15 @@
 
 
 class AddedEnginesTest(testtools.TestCase):
-    """Added engines ask those that have the version.
+    """Agents of added engines ask those that have the version.
 
     Two engines were added in a region with three that had the version. Each
-    took the first of them, since it didn't know of the other yet, and both
-    were ready after ten seconds, where one alone takes five and a half.
+    agent chose the first of these, as it did not know of the other one yet, and
+    both were ready after ten seconds, where a single one takes five and a half.
     """
 
     def test_asks_two_holders(self) -> None:
-        """An agent that knows nobody else still asks two."""
+        """An agent that knows of no other new agent still asks two holders."""
         holders = [
             peer._replace(has_version=True)
             for peer in make_agents(north=3, south=2)
@@ -125,10 +125,10 @@
         self.assertLessEqual(set(plan.sources), region_ips)
 
     def test_holders_are_shared_out(self) -> None:
-        """Five that were added at once don't know of one another yet.
+        """Five agents that were added at once do not know of one another yet.
 
-        All turned to the same two holders, and had an eighth of the version
-        after two seconds, when the list told them of the others.
+        When all of them turned to the same two holders, they had an eighth of
+        the version after two seconds, when the list named the others.
         """
         holders = [
             peer._replace(has_version=True) for peer in make_agents(north=8)
@@ -144,7 +144,7 @@
         self.assertLessEqual(max(requests_by_holder.values()), 2)
 
     def test_holders_in_other_region(self) -> None:
-        """Without one in the region, those of others are asked."""
+        """Without a holder in the region, one of another region is asked."""
         holders = [
             peer._replace(has_version=True) for peer in make_agents(south=2)
         ]
--- a/tests/decisions/test_piece_stripes.py
+++ b/tests/decisions/test_piece_stripes.py
@@ -1,4 +1,4 @@
-"""Tests of how pieces that nobody has are spread."""
+"""Tests of how pieces that no agent has yet are spread."""
 
 from __future__ import annotations
 
@@ -8,7 +8,7 @@
 
 from clementinepass.decisions import piece_stripes
 
-#: Agents of each region, the origin's first.
+#: Number of agents in each region, the origin's first.
 COUNTS = ((4, 3, 3), (3, 3, 3), (1, 1, 1), (9, 0, 0), (2, 7, 5), (20, 1, 1))
 STRIPES = (2, 3, 5)
 
@@ -18,7 +18,7 @@
     stripes: int,
     excluded_ips: frozenset[str] = frozenset(),
 ) -> piece_stripes.Fleet:
-    """Return agents of regions, so many in each; the first has the origin."""
+    """Return a fleet with the origin in the first of the regions."""
     agents = [
         piece_stripes.Agent(f'region-{index}', f'10.{index}.0.{number}')
         for index, count in enumerate(counts)
@@ -45,13 +45,13 @@
 
 
 class StripesTest(testtools.TestCase):
-    """What the origin sends, what links carry and what borders are crossed."""
+    """The copies that the origin and links carry, and border crossings."""
 
     def test_origin_sends_once(self) -> None:
         """Each stripe is read from the origin by one agent.
 
-        With two chains it sent two copies, and one of them was paid for
-        nothing.
+        With two chains the origin sent two copies, and one of them was paid for
+        needlessly.
         """
         for fleet in all_fleets():
             stripes_from_origin = [
@@ -69,9 +69,9 @@
     def test_origin_serves_several_heads(self) -> None:
         """As many agents read from the origin as its link can fill.
 
-        The origin was gone 2.5 s after a version was named. It had sent each
-        of two agents nine pieces in ten of a half, and nobody had the
-        version for nine seconds.
+        The origin became unreachable 2.5 s after a version was named. It had
+        sent nine in ten pieces of one half to each of two agents, and no agent
+        had the version for nine seconds.
         """
         for fleet in all_fleets():
             heads = {
@@ -100,9 +100,9 @@
                     )
 
     def test_uplinks_are_balanced(self) -> None:
-        """An agent sends little more than a copy, where regions are alike.
+        """An agent sends little more than one copy if regions are alike.
 
-        One that sent two had its followers wait twice as long.
+        The followers of an agent that sent two copies waited twice as long.
         """
         for counts in ((3, 3, 3), (6, 6, 6), (9, 0, 0), (12, 12, 12)):
             for stripes in (2, 3):
@@ -116,8 +116,8 @@
     def test_border_crossings(self) -> None:
         """Each piece enters each other region once.
 
-        Where the origin's region has fewer agents than there are stripes,
-        some enter it once, too.
+        If the origin's region has fewer agents than there are stripes, some
+        stripes enter it once, too.
         """
         for fleet in all_fleets():
             entry_counts: collections.Counter[tuple[str, int]] = (
@@ -132,7 +132,7 @@
             self.assertEqual({1}, set(entry_counts.values()), fleet)
 
     def test_entering_first(self) -> None:
-        """A head asks for what it brings in before anything else."""
+        """A head requests the stripes that enter at it before anything else."""
         for fleet in all_fleets():
             for layout in layouts_by_ip(fleet).values():
                 enters = [source.enters_region for source in layout.sources]
@@ -146,9 +146,9 @@
     ) -> bool:
         for _ in range(len(layouts) + 1):
             (source,) = [
-                layout
-                for layout in found[ip].sources
-                if layout.stripe == stripe
+                stripe_source
+                for stripe_source in layouts[ip].sources
+                if stripe_source.stripe == stripe
             ]
             if source.ip is None:
                 return True
@@ -168,10 +168,10 @@
 
 
 class ExcludedTest(testtools.TestCase):
-    """An agent stands still, and those beside it take its part over."""
+    """An agent stalls, and the agents beside it take over its part."""
 
     def test_excluded_head(self) -> None:
-        """The next in the ring gets its stripe from the origin."""
+        """The next agent in the ring gets the stripe from the origin."""
         fleet = make_fleet((3, 3, 3), 3, frozenset({'10.0.0.1'}))
         found = piece_stripes.compute_layout(
             piece_stripes.Agent('region-0', '10.0.0.2'),
@@ -183,7 +183,7 @@
         self.assertEqual({1, 2}, from_origin)
 
     def test_other_agents_keep_sources(self) -> None:
-        """Whoever isn't beside it changes nothing."""
+        """Agents that are not beside the excluded one keep their sources."""
         before = make_fleet((6, 6, 6), 2)
         after = before._replace(excluded_ips=frozenset({'10.0.0.4'}))
         agent = piece_stripes.Agent('region-0', '10.0.0.1')
@@ -193,7 +193,7 @@
         )
 
     def test_excluded_region(self) -> None:
-        """Where a whole region brings nothing, the one before it does."""
+        """If a whole region delivers nothing, the one before it forwards."""
         excluded_ips = frozenset({'10.1.0.0', '10.1.0.1', '10.1.0.2'})
         fleet = make_fleet((3, 3, 2), 3, excluded_ips)
         for number in range(2):
@@ -203,10 +203,10 @@
 
 
 class CountStripesTest(testtools.TestCase):
-    """How many stripes there are."""
+    """The number of stripes."""
 
     def test_counts(self) -> None:
-        """As many as the origin's link fills, and never a single one."""
+        """There are as many as the origin's link fills, and at least two."""
         for origin, link, expected in (
             (9.9, 3.8, 3),
             (7.3, 3.65, 2),
--- a/tests/decisions/test_reading_turns.py
+++ b/tests/decisions/test_reading_turns.py
@@ -11,16 +11,18 @@
 
 from clementinepass.decisions import reading_turns
 
-#: Seconds for which a play goes on after the reads began.
+#: Seconds that are simulated from the start of the reads.
 _SIMULATED_SECONDS = 40
-#: Seconds after which all have had a turn.
+#: Seconds after which every entry has had a turn.
 _SETTLED_SECONDS = 2 * reading_turns.MAX_WAIT_SECONDS
 
 
 def simulate_reads(first_ends: list[float], rng: random.Random) -> list[float]:
-    """Return when reads end of entries that began at some moments.
+    """Return when the reads of entries end, which have started at any time.
 
-    Each knows when the others' reads end, as of a heartbeat message ago.
+    Each entry knows the ends of the others' reads as of a recent heartbeat.
+
+    :param first_ends: when the first read of each entry ends.
     """
     entry_count = len(first_ends)
     end_by_entry = dict(enumerate(first_ends))
@@ -51,31 +53,31 @@
 
 
 def longest_gap(times: list[float], since: float) -> float:
-    """Return the longest time between two moments, from some time on."""
+    """Return the longest time between two successive times from a start."""
     later = [time for time in sorted(times) if time >= since]
     pairs = zip(later, later[1:], strict=False)
     return max(following - preceding for preceding, following in pairs)
 
 
 class ReadingTurnsTest(testtools.TestCase):
-    """However the reads began, soon one ends each step."""
+    """However the reads start, one soon ends per step."""
 
     def test_after_change(self) -> None:
-        """All begin at the same moment, and end one after the other."""
+        """All reads start at the same moment and end one after the other."""
         waits = [
             reading_turns.wait_after_change(reading_turns.Turn(position, 9))
             for position in range(9)
         ]
         self.assertEqual(
             [
-                round(reading_turns.STEP_SECONDS * (position + 1), 3)
-                for position in range(9)
+                round(reading_turns.STEP_SECONDS * (index + 1), 3)
+                for index in range(9)
             ],
             [round(wait, 3) for wait in waits],
         )
 
     def test_many_entries(self) -> None:
-        """Where there are more than fit, turns are closer."""
+        """With more entries than steps fit, turns are closer together."""
         waits = [
             reading_turns.wait_after_change(reading_turns.Turn(position, 50))
             for position in range(50)
@@ -84,7 +86,7 @@
         self.assertEqual(50, len(set(waits)))
 
     def test_single_entry(self) -> None:
-        """One that is alone ends its read each step."""
+        """The reads of a single entry end once per step."""
         turn = reading_turns.Turn(0, 1)
         self.assertEqual(
             reading_turns.STEP_SECONDS,
@@ -92,7 +94,7 @@
         )
 
     def test_free_turn(self) -> None:
-        """The turn of an entry that is gone is taken by the next."""
+        """The turn of an entry that is gone is taken by the next read."""
         turn = reading_turns.Turn(0, 5)
         step = reading_turns.STEP_SECONDS
         taken = reading_turns.wait_after_empty_read(
@@ -111,7 +113,7 @@
     def test_any_start(
         self, first_ends: list[float], rng: random.Random
     ) -> None:
-        """Entries began in any order, or all at once, or were replaced."""
+        """Entries start in any order, or all at once, or are replaced."""
         ended_at = simulate_reads(first_ends, rng)
         self.assertThat(
             longest_gap(ended_at, _SETTLED_SECONDS),
@@ -120,7 +122,7 @@
 
     @given(strategies.integers(2, 40))
     def test_read_rate(self, entry_count: int) -> None:
-        """There is one read a step, or as many as if each waited longest."""
+        """There is one read per step, or as many as if each waits longest."""
         ended_at = simulate_reads(
             [0.0] * entry_count, random.Random(entry_count)
         )
--- a/tests/decisions/test_region_readers.py
+++ b/tests/decisions/test_region_readers.py
@@ -1,4 +1,4 @@
-"""Tests of who reads the store in a region."""
+"""Tests of which entries of a region read the store."""
 
 from __future__ import annotations
 
@@ -8,7 +8,7 @@
 
 
 def readers(ips: list[str]) -> list[str]:
-    """Return who reads, where all know one another."""
+    """Return the readers if all entries know of one another."""
     return [
         ip
         for ip in ips
@@ -19,22 +19,22 @@
 
 
 class RegionReadersTest(testtools.TestCase):
-    """A few read for all, and none is left without a reader."""
+    """A few entries read for all, and no entry is left without a reader."""
 
     def test_few_entries(self) -> None:
-        """Where there are three or fewer, each reads."""
+        """With three entries or fewer, each reads."""
         self.assertEqual(['a'], readers(['a']))
         self.assertEqual(['a', 'b', 'c'], readers(['a', 'b', 'c']))
 
     def test_many_entries(self) -> None:
-        """Where there are more, two read."""
+        """With more entries, two read."""
         self.assertEqual(['a', 'b'], readers(['d', 'a', 'c', 'b', 'e']))
 
     def test_reader_gone(self) -> None:
-        """The next takes the place of one that is heard no more."""
+        """The next entry replaces one that is no longer heard from."""
         self.assertTrue(region_readers.is_reader('c', ['b', 'd', 'e']))
         self.assertFalse(region_readers.is_reader('d', ['b', 'c', 'e']))
 
     def test_no_peers(self) -> None:
-        """One that hears of nobody reads."""
+        """An entry that hears from no other reads."""
         self.assertTrue(region_readers.is_reader('z', []))
--- a/tests/decisions/test_start_reading.py
+++ b/tests/decisions/test_start_reading.py
@@ -10,23 +10,23 @@
 from clementinepass.decisions import start_reading
 
 SEEDS = ('10.0.0.1', '10.1.0.1', '10.2.0.1')
-#: Processes of one region, and those of them that may read before the first
-#: one has told the others, 0.1 s after it began.
+#: Processes of one region, and how many of them may read before the first one
+#: has sent the records to the others, 0.1 s after it began.
 PROCESSES = 100
 RECORDS_SENT_AFTER = 0.1
 MAX_EARLY_READS = 12
 
 
 class ReadDelayTest(testtools.TestCase):
-    """Seeds read at once, the others only where no seed tells them."""
+    """Seeds read at once, other processes only if no seed answers."""
 
     def test_seed(self) -> None:
-        """A seed waits for nobody."""
+        """A seed reads at once."""
         delay = start_reading.read_delay(SEEDS[1], SEEDS, random.Random(1))
         self.assertEqual(0, delay)
 
     def test_no_other_seed(self) -> None:
-        """Without seeds, or alone, there is nobody to wait for."""
+        """Without another seed there is no process to wait for."""
         for seeds in ((), ('10.0.0.9',)):
             delay = start_reading.read_delay(
                 '10.0.0.9', seeds, random.Random(1)
@@ -34,7 +34,7 @@
             self.assertEqual(0, delay)
 
     def test_seeds_unreachable(self) -> None:
-        """Seeds may be down: few read before the first of them can tell."""
+        """If all seeds are down, few processes read before the first ends."""
         rng = random.Random(2)
         delays = sorted(
             start_reading.read_delay('10.0.0.9', SEEDS, rng)
@@ -47,7 +47,7 @@
         self.assertLess(delays[-1], 2)
 
     def test_same_region_first(self) -> None:
-        """A peer of another region is asked where no near one answers."""
+        """A peer of another region is asked later than one of the same one."""
         self.assertTrue(
             start_reading.may_request(is_same_region=True, uptime_seconds=0)
         )
@@ -62,12 +62,12 @@
 class SeedPollingTest(testtools.TestCase):
     """All processes start together and ask the seeds.
 
-    300 of them asked three seeds each, ten times a second, until they were
-    told, and to answer took more processor time than the seeds had.
+    When 300 of them asked three seeds each, ten times a second until they had
+    the records, answering took more processor time than the seeds had.
     """
 
     def requests(self, seconds: float) -> list[tuple[float, str]]:
-        """Return when which seed is asked by one process."""
+        """Return when one process asks which seed."""
         polling = start_reading.SeedPolling(SEEDS[0], SEEDS, random.Random(3))
         found = []
         now: float = 0
@@ -77,12 +77,12 @@
         return found
 
     def test_all_seeds_first(self) -> None:
-        """The first to know can tell at once."""
+        """The first seed that has the records can answer at once."""
         first = [seed for sent_at, seed in self.requests(0.01)]
         self.assertEqual(sorted(SEEDS[1:]), sorted(first))
 
     def test_backoff(self) -> None:
-        """A seed hears from each process about once a second."""
+        """A seed is asked by each process about once a second."""
         requests = self.requests(10)
         for seed in SEEDS[1:]:
             times = [
@@ -97,7 +97,7 @@
             self.assertLessEqual(max(gaps), 0.9)
 
     def test_no_seeds(self) -> None:
-        """There is nobody to ask where there are no others."""
+        """Without other seeds there is no seed to ask."""
         polling = start_reading.SeedPolling('10.0.0.9', (), random.Random(3))
         self.assertEqual([], polling.next_seeds())
         self.assertEqual([], polling.next_seeds())
--- a/tests/decisions/test_timely_start.py
+++ b/tests/decisions/test_timely_start.py
@@ -1,4 +1,4 @@
-"""Tests for foreseeing when requests begin."""
+"""Tests of the estimate of when requests start."""
 
 from __future__ import annotations
 
@@ -18,25 +18,25 @@
 
 
 class FilterTimelyTest(testtools.TestCase):
-    """A request goes where its weights are allowed when it begins."""
+    """A request goes to weights that are still usable when it starts."""
 
     def timely_ids(self, *candidates: endpoint_choice.Candidate) -> list[str]:
-        """Return the endpoints that are left."""
+        """Return the IDs of the endpoints that are not left out."""
         timely = timely_start.filter_timely(REQUEST, candidates, RATE)
         return [candidate.endpoint_id for candidate in timely]
 
     def test_free_slot(self) -> None:
-        """A request that begins at once may use what is left of the time."""
+        """A request that starts at once may use the time that is left."""
         self.assertEqual(['old'], self.timely_ids(OLD))
         late = OLD._replace(usable_seconds=0.05)
         self.assertEqual([], self.timely_ids(late))
 
     def test_queue_past_deadline(self) -> None:
-        """A request began on old weights after their bound.
+        """A request that would start after the deadline is sent elsewhere.
 
-        Engines crashed, and what they ran was sent on in time, 0.45 seconds
-        before the last moment, to an engine with eight waiting. It began
-        there 0.7 seconds later.
+        When engines crashed, their requests were sent on in time, 0.45 seconds
+        before the deadline, to an engine with eight waiting, and started there
+        0.7 seconds later on the old weights.
         """
         queued = OLD._replace(load=23)
         self.assertAlmostEqual(
@@ -48,24 +48,24 @@
         self.assertEqual(['new'], self.timely_ids(queued, new))
 
     def test_unread_prompts(self) -> None:
-        """Requests were sent to an engine with free slots and began late.
+        """An engine first reads the prompts of requests that were sent before.
 
-        Twelve others had been sent on to it in the same moment, and it read
-        their prompts first.
+        A request was sent to an engine with free slots and started late, as
+        twelve others had been sent on to it at the same moment.
         """
         busy = OLD._replace(load=14, unstarted=12)
         self.assertEqual([], self.timely_ids(busy))
         self.assertEqual(['old'], self.timely_ids(OLD._replace(unstarted=2)))
 
     def test_no_deadline(self) -> None:
-        """A queue at an engine with the newest weights is no matter here."""
+        """A queue at an engine with the newest weights does not matter here."""
         full = endpoint_choice.Candidate(
             'full', 60, 16, is_same_domain=True, unstarted=44
         )
         self.assertEqual(['full'], self.timely_ids(full))
 
     def test_unknown_rate(self) -> None:
-        """Where the pace isn't known, only the way there counts."""
+        """With an unknown service rate only the base latency counts."""
         unknown_rate = first_event.service_rate(0, 0, 0, 0, 6)
         self.assertEqual(
             [OLD],
