--- a/clementinepass/decisions/desired_versions.py
+++ b/clementinepass/decisions/desired_versions.py
@@ -2,8 +2,8 @@
 
 The operator may change the desired version faster than versions spread. Each
 version therefore has a deadline of its own, counted from when it became the
-desired one: a new version that is named while the previous one spreads must not
-postpone the deadline of the previous one.
+desired one: a newer version must not postpone the deadline of the one before,
+which is still spreading.
 """
 
 from __future__ import annotations
@@ -45,9 +45,10 @@
         """Record when a version became the desired one.
 
         The earlier of two times for one version is kept, since a process that
-        learned of the version late cannot know when it was named. A process
-        that started after that has to guess the time. Its guess gives way to a
-        time that was observed, and is ignored where such a time is known.
+        learned of the version late cannot know the time. A process that started
+        after the version became desired has to guess the time. The guess is
+        replaced by a known time, and is ignored if one has been recorded
+        already.
 
         :param since: monotonic seconds at which the version became the desired
             one.
--- a/clementinepass/decisions/dissemination.py
+++ b/clementinepass/decisions/dissemination.py
@@ -1,9 +1,9 @@
 """Choose the recipients of a heartbeat and the members that it reports.
 
 In a cluster with more members than a message is sent to, a member receives
-messages of any other member only now and then. With 150 members each took 45 in
-100 of the others for gone although all were alive, and callers were sent to the
-remaining ones.
+messages of any other member only now and then. With 150 members each considered
+45 in 100 of the others as gone although all were alive, and callers were sent
+to the remaining ones.
 
 Each message therefore carries digests of random members that its sender heard
 from recently; a digest says no more than that the member is alive. An
--- a/clementinepass/decisions/endpoint_choice.py
+++ b/clementinepass/decisions/endpoint_choice.py
@@ -1,4 +1,4 @@
-"""Choose the endpoint that a request is sent to directly.
+"""Choose the endpoint to which an entry sends a request directly.
 
 Entries choose by one another's request counts, which are some hundred
 milliseconds old, among engines that run a fixed number of requests at once. A
@@ -15,15 +15,15 @@
     import random
     from collections.abc import Sequence
 
-#: Running requests by which an endpoint in the entry's failure domain may be
-#: ahead and still be preferred. Traffic between domains has a price, but more
-#: than two requests cost the caller more, as each step of the engine gets
-#: slower.
+#: Running requests by which an endpoint in the entry's failure domain may
+#: exceed another one and still be preferred. Traffic between domains has a
+#: price, but more than two requests cost the caller more, as each step of the
+#: engine gets slower.
 _OTHER_DOMAIN_PENALTY = 1.5
-#: Running requests by which an endpoint with the newest weights may be ahead
-#: and still be preferred. An endpoint with older weights cuts off its running
-#: requests when its turn to load comes, and a stream that is cut off twice
-#: cannot be resumed.
+#: Running requests by which an endpoint with the newest weights may exceed
+#: another one and still be preferred. An endpoint with older weights cuts off
+#: its running requests when its turn to load comes, and a stream that is cut
+#: off twice cannot be resumed.
 _OLD_VERSION_PENALTY = 5.0
 #: The same for an endpoint whose link is not congested. On a link that is
 #: narrowed to a tenth a prompt waits for a second behind pieces of weights and
@@ -36,9 +36,8 @@
 #: emptiest. Choosing between two spreads the requests.
 _SAME_DOMAIN_SAMPLE = 2
 _OTHER_DOMAIN_SAMPLE = 1
-#: Requests by which the counts of other entries are uncertain. Without this
-#: jitter all entries send to the endpoint that was emptiest in the same
-#: message.
+#: Uncertainty of the counts of other entries, in requests. Without this jitter
+#: all entries send to the endpoint that was emptiest in the same message.
 _LOAD_JITTER = 1.0
 
 
--- a/clementinepass/decisions/first_event.py
+++ b/clementinepass/decisions/first_event.py
@@ -11,22 +11,21 @@
 
 import typing
 
-#: Fraction of the latency target that the estimate for a request may reach for
-#: the request to be sent. The estimate is one of means, and other entries send
-#: to the same endpoint until the next report: with the whole target, half of
-#: the requests that are sent are late.
+#: Fraction of the latency target up to which a request is sent. The estimate is
+#: based on means, and other entries send to the same endpoint until the next
+#: report: with the whole target, half of the requests that are sent are late.
 _TARGET_FRACTION = 0.85
 #: Seconds to an endpoint and back, and until the first event of an empty engine
 #: apart from reading the prompt.
 BASE_LATENCY_SECONDS = 0.06
 #: Requests per slot that may wait at an endpoint of unknown service rate.
 _UNKNOWN_RATE_QUEUE_FRACTION = 0.35
-#: Shortest time in seconds after which a rejected caller may retry. In it an
-#: engine finishes three answers.
+#: Shortest time in seconds after which a rejected caller may retry. An engine
+#: finishes three answers in it.
 _MIN_RETRY_AFTER = 0.25
-#: Longest such time. Callers honour up to a third of the six seconds that they
-#: have, and conditions in which no endpoint serves, such as the loading of new
-#: weights, last for seconds.
+#: Longest such time. Callers wait for up to a third of the six seconds that
+#: they have, and conditions in which no endpoint serves, such as the loading of
+#: new weights, last for seconds.
 MAX_RETRY_AFTER = 2.0
 
 
@@ -43,7 +42,7 @@
 
 
 class PendingRequest(typing.NamedTuple):
-    """A request for which the best endpoint has been chosen.
+    """A request and the endpoint at which it would start soonest.
 
     :param queue_depth: requests that would wait there, this one included.
     :param slots: requests that the endpoint runs at once.
@@ -81,7 +80,11 @@
 
 
 def meets_target(request: PendingRequest, rate: ServiceRate) -> bool:
-    """Return whether to send a request to the best endpoint."""
+    """Return whether to send a request to the endpoint.
+
+    With a known service rate a request that waits behind no other is always
+    sent.
+    """
     if not rate.requests_per_second:
         return (
             request.queue_depth <= request.slots * _UNKNOWN_RATE_QUEUE_FRACTION
--- a/clementinepass/decisions/load_turns.py
+++ b/clementinepass/decisions/load_turns.py
@@ -14,9 +14,9 @@
 if typing.TYPE_CHECKING:
     from collections.abc import Iterable
 
-#: Seconds before that deadline at which the last engine begins its turn. It
-#: finishes its running requests and loads while the first engines already serve
-#: the new version.
+#: Seconds before older versions may not be used any more at which the last
+#: engine begins its turn. It finishes its running requests and loads while the
+#: first engines already serve the new version.
 _LAST_LOAD_SECONDS = 1.0
 
 
@@ -27,7 +27,7 @@
     domain: str
 
 
-def delay(
+def turn_delay(
     local_engine: LoadingEngine,
     engines: Iterable[LoadingEngine],
     seconds_left: float,
@@ -47,7 +47,7 @@
 def _interleave_domains(
     engines: Iterable[LoadingEngine],
 ) -> list[LoadingEngine]:
-    """Return engines with consecutive ones in different domains."""
+    """Return engines ordered so that failure domains alternate."""
     by_domain: dict[str, list[LoadingEngine]] = {}
     for engine in sorted(engines):
         by_domain.setdefault(engine.domain, []).append(engine)
--- a/clementinepass/decisions/manifest_round.py
+++ b/clementinepass/decisions/manifest_round.py
@@ -27,7 +27,7 @@
 #: KB, which takes the origin's link 8 ms, and 150 agents that request it at
 #: once would delay the first pieces by a second. With this value 22 of 300
 #: agents ask the origin in one round.
-_ORIGIN_EACH_ROUND = 4
+_EVERY_ROUND_AGENTS = 4
 
 
 def choose_sources(
@@ -42,7 +42,7 @@
         *plan.sources,
         *(_extra_agents(plan, failed_rounds) if failed_rounds else ()),
     ]
-    origin_interval = 1 + plan.position // _ORIGIN_EACH_ROUND
+    origin_interval = 1 + plan.position // _EVERY_ROUND_AGENTS
     if not (failed_rounds + plan.position) % origin_interval:
         chosen.append(piece_chains.ORIGIN)
     return tuple(dict.fromkeys(chosen))
--- a/clementinepass/decisions/piece_stripes.py
+++ b/clementinepass/decisions/piece_stripes.py
@@ -172,7 +172,7 @@
         """
         return self._first_usable(self._planned_head(stripe), 1)
 
-    def feeder(self, stripe: int) -> int | None:
+    def forwarder(self, stripe: int) -> int | None:
         """Return the position of the agent that forwards a stripe."""
         head = self._planned_head(stripe)
         next_head = (stripe + 1) * len(self.agents) // self._stripe_count
@@ -240,11 +240,11 @@
                 stripe, ring.agents[predecessor].ip, enters_region=False
             )
     return Source(
-        stripe, _preceding_feeder(stripe, ring, rings), enters_region=True
+        stripe, _preceding_forwarder(stripe, ring, rings), enters_region=True
     )
 
 
-def _preceding_feeder(
+def _preceding_forwarder(
     stripe: int,
     ring: _Ring,
     rings: list[_Ring],
@@ -257,9 +257,9 @@
     start = rings.index(origin_ring)
     ordered = rings[start:] + rings[:start]
     for preceding in reversed(ordered[: ordered.index(ring)]):
-        feeder = preceding.feeder(stripe)
-        if feeder is not None:
-            return preceding.agents[feeder].ip
+        forwarder = preceding.forwarder(stripe)
+        if forwarder is not None:
+            return preceding.agents[forwarder].ip
     return None
 
 
--- a/clementinepass/direct/agent.py
+++ b/clementinepass/direct/agent.py
@@ -353,7 +353,7 @@
         turn = self._turn_by_version.get(version)
         if turn is None:
             time_left = self._seconds_to_load(engine, version)
-            turn = now + load_turns.delay(
+            turn = now + load_turns.turn_delay(
                 load_turns.LoadingEngine(
                     self._local_node.endpoint, self._local_node.domain
                 ),
--- a/tests/decisions/test_direct_decisions.py
+++ b/tests/decisions/test_direct_decisions.py
@@ -319,7 +319,8 @@
     def test_turns_spread_over_time(self) -> None:
         """Turns are spread over the time left, the last one early enough."""
         delays = [
-            load_turns.delay(engine, self.engines, 3) for engine in self.engines
+            load_turns.turn_delay(engine, self.engines, 3)
+            for engine in self.engines
         ]
         self.assertEqual(0, min(delays))
         self.assertAlmostEqual(2, max(delays))
@@ -329,7 +330,7 @@
         """Consecutive turns are in different domains."""
         ordered = sorted(
             self.engines,
-            key=lambda engine: load_turns.delay(engine, self.engines, 3),
+            key=lambda engine: load_turns.turn_delay(engine, self.engines, 3),
         )
         self.assertEqual(
             ['1', '2', '3'] * 3,
@@ -339,11 +340,13 @@
     def test_no_time_left(self) -> None:
         """All load at once when the old version may not be used any more."""
         for engine in self.engines:
-            self.assertEqual(0, load_turns.delay(engine, self.engines, 0.5))
+            self.assertEqual(
+                0, load_turns.turn_delay(engine, self.engines, 0.5)
+            )
 
     def test_single_engine(self) -> None:
         """A single engine does not wait."""
-        self.assertEqual(0, load_turns.delay(self.engines[0], [], 5))
+        self.assertEqual(0, load_turns.turn_delay(self.engines[0], [], 5))
 
 
 class SampleTest(testtools.TestCase):
