--- a/tests/decisions/test_piece_stripes.py
+++ b/tests/decisions/test_piece_stripes.py
@@ -193,7 +193,7 @@
         )
 
     def test_excluded_region(self) -> None:
-        """If a whole region delivers nothing, the one before it forwards."""
+        """If a whole region is excluded, the one before it forwards."""
         excluded_ips = frozenset({'10.1.0.0', '10.1.0.1', '10.1.0.2'})
         fleet = make_fleet((3, 3, 2), 3, excluded_ips)
         for number in range(2):
--- a/tests/decisions/test_reading_turns.py
+++ b/tests/decisions/test_reading_turns.py
@@ -53,7 +53,7 @@
 
 
 def longest_gap(times: list[float], since: float) -> float:
-    """Return the longest time between two successive times from a start."""
+    """Return the longest gap between successive times after a start."""
     later = [time for time in sorted(times) if time >= since]
     pairs = zip(later, later[1:], strict=False)
     return max(following - preceding for preceding, following in pairs)
