--- a/clementinepass/direct/agent.py
+++ b/clementinepass/direct/agent.py
@@ -364,7 +364,7 @@
         turn_at = self._turn_at_by_version.get(version)
         if turn_at is None:
             time_left = self._seconds_to_load(engine, version)
-            turn_at = now + load_turns.delay(
+            turn_at = now + load_turns.turn_delay(
                 load_turns.LoadingEngine(
                     self._local_node.endpoint, self._local_node.domain
                 ),
