--- a/clementinepass/decisions/admission.py
+++ b/clementinepass/decisions/admission.py
@@ -28,8 +28,8 @@
 if typing.TYPE_CHECKING:
     import random
 
-#: Outdated entries that the expiry heap may hold, beyond one for each waiting
-#: ticket, before they are removed.
+#: The expiry heap is rebuilt without its outdated entries when these exceed the
+#: number of waiting tickets by more than this.
 _MAX_OUTDATED_ENTRIES = 1000
 
 
--- a/clementinepass/decisions/departure.py
+++ b/clementinepass/decisions/departure.py
@@ -23,9 +23,9 @@
 _USABLE_GRACE_FRACTION = 0.92
 #: Some callers keep a list for up to this multiple of its time to live.
 _MAX_KEPT_FACTOR = 3
-#: Seconds after SIGTERM in which other entries may still list this one: two
-#: heartbeats, as the announcement that it drains may be lost once, plus the
-#: time of an answer that was already on its way.
+#: Seconds after SIGTERM in which other entries may still list this one: the time
+#: until the second heartbeat, as the first one that announces the drain may be
+#: lost, plus the time of an answer that was already on its way.
 _ANNOUNCE_SECONDS = 0.5
 #: Time to live, in seconds, of a list that callers are given. Below the minimum
 #: nearly every request would fetch a list, as callers send two or three
@@ -35,7 +35,7 @@
 #: Longest time in seconds for which a draining entry is listed while no entry
 #: is ready. By then an entry that began to drain earlier is back.
 _MAX_LISTED_SECONDS = 2.0
-#: Seconds after the last answers that are left for sending them.
+#: Seconds from the time of the last answers to the exit, for sending them.
 _FLUSH_SECONDS = 0.1
 #: Seconds after which an entry that exited is back, for callers that find no
 #: other: 0.7 s from the end of a process until it is ready again, plus part of
@@ -128,9 +128,9 @@
     """Return for how long after SIGTERM requests are accepted.
 
     The slowest route whose timeout fits into the grace period decides. When a
-    route with a longer timeout decided, no request was ever accepted: while all
-    entries drained, each of them listed only itself, even if it accepted
-    nothing any more.
+    route with a longer timeout decided, the result was 0, so that entries did
+    not list other draining entries: while all entries drained, each of them
+    listed only itself, even if it accepted nothing any more.
 
     :param grace_seconds: time from SIGTERM to SIGKILL.
     :param timeouts: seconds until the final answer, by route.
--- a/clementinepass/decisions/ejection.py
+++ b/clementinepass/decisions/ejection.py
@@ -32,10 +32,10 @@
     min_samples: int = 5
     #: Number of latest samples kept. Eight cover one batch of a small engine.
     max_samples: int = 8
-    #: Seconds for which an endpoint must be slow without interruption. A queue
-    #: of long prompts makes a healthy endpoint slow for a moment; ejecting it
-    #: would move the queue to the next endpoint, which is then ejected as
-    #: well.
+    #: Seconds for which an endpoint must be slow without interruption before it
+    #: is ejected. A queue of long prompts makes a healthy endpoint slow for a
+    #: moment; ejecting it would move the queue to the next endpoint, which is
+    #: then ejected as well.
     min_slow_seconds: float = 3
     #: Consecutive failures after which an endpoint is ejected. A single
     #: failure can be accidental.
@@ -103,7 +103,7 @@
         self.was_ejected_for_failures = False
 
     def add_sample(self, seconds: float) -> None:
-        """Add the time to first token of a successful request."""
+        """Add a time to first token and reset the count of failures."""
         self.consecutive_failures = 0
         self.samples.append(seconds)
 
@@ -202,8 +202,8 @@
     def retain(self, endpoint_ids: typing.Collection[str]) -> None:
         """Keep the records of exactly these endpoints.
 
-        Endpoints without samples count towards the number of which a fraction
-        may be ejected.
+        Endpoints without samples are included in the number to which
+        :attr:`Limits.max_ejected_fraction` applies.
         """
         self._records_by_id = {
             endpoint_id: self._get_record(endpoint_id)
--- a/clementinepass/decisions/endpoint_choice.py
+++ b/clementinepass/decisions/endpoint_choice.py
@@ -25,10 +25,11 @@
 #: its running requests when its turn to load comes, and a stream that is cut
 #: off twice cannot be resumed.
 _OLD_VERSION_PENALTY = 5.0
-#: The same for an endpoint whose link is not congested. On a link that is
-#: narrowed to a tenth a prompt waits for a second behind pieces of weights and
-#: reaches the engine after its caller has left, and events are late, too. Any
-#: other endpoint is better unless it has a long queue.
+#: Running requests by which an endpoint whose link is not congested may exceed
+#: one whose link is, and still be preferred. On a link that is narrowed to a
+#: tenth a prompt waits for a second behind pieces of weights and reaches the
+#: engine after its caller has left, and events are late, too. Any other
+#: endpoint is better unless it has a long queue.
 _CONGESTION_PENALTY = 12.0
 #: Engines sampled from the entry's failure domain and from the other ones. The
 #: reported loads are some hundred milliseconds old and the same at all entries:
@@ -37,14 +38,15 @@
 _SAME_DOMAIN_SAMPLE = 2
 _OTHER_DOMAIN_SAMPLE = 1
 #: Uncertainty of the counts of other entries, in requests. Without this jitter
-#: all entries send to the endpoint that was emptiest in the same message.
+#: all entries send to the endpoint that was emptiest in the last message, which
+#: is the same for all of them.
 _LOAD_JITTER = 1.0
 
 
 class Candidate(typing.NamedTuple):
     """An endpoint that could take the request.
 
-    :param load: requests there, of this entry and of the others.
+    :param load: requests there, of this entry and of other entries.
     :param slots: requests that it runs at once.
     :param is_same_domain: whether it is in the entry's failure domain.
     :param has_old_version: whether other endpoints have a newer version of the
@@ -88,7 +90,11 @@
 
 
 class Choice(typing.NamedTuple):
-    """The chosen endpoint, and the number of requests that wait there."""
+    """The chosen endpoint.
+
+    :param queue_depth: requests that would wait there, this one included.
+    :param slots: requests that it runs at once.
+    """
 
     endpoint_id: str
     queue_depth: float
@@ -98,7 +104,11 @@
 def choose(
     candidates: Sequence[Candidate], rng: random.Random
 ) -> Choice | None:
-    """Return the endpoint where a request starts soonest."""
+    """Return the endpoint with the lowest cost, ``None`` without candidates.
+
+    The cost is the expected wait, with penalties for another failure domain, an
+    old version of the weights and a congested link.
+    """
     if not candidates:
         return None
     best = min(candidates, key=lambda candidate: _cost(candidate, rng))
--- a/clementinepass/decisions/first_event.py
+++ b/clementinepass/decisions/first_event.py
@@ -11,9 +11,10 @@
 
 import typing
 
-#: Fraction of the latency target up to which a request is sent. The estimate is
-#: based on means, and other entries send to the same endpoint until the next
-#: report: with the whole target, half of the requests that are sent are late.
+#: A request is sent if its estimated latency is at most this fraction of the
+#: latency target. The estimate is based on means, and other entries send to the
+#: same endpoint until its next report: with the whole target as the limit, half
+#: of the requests that are sent are late.
 _TARGET_FRACTION = 0.85
 #: Seconds to an endpoint and back, and until the first event of an empty engine
 #: apart from reading the prompt.
@@ -21,11 +22,12 @@
 #: Requests per slot that may wait at an endpoint of unknown service rate.
 _UNKNOWN_RATE_QUEUE_FRACTION = 0.35
 #: Shortest time in seconds after which a rejected caller may retry. An engine
-#: finishes three answers in it.
+#: finishes three answers in this time.
 _MIN_RETRY_AFTER = 0.25
-#: Longest such time. Callers wait for up to a third of the six seconds that
-#: they have, and conditions in which no endpoint serves, such as the loading of
-#: new weights, last for seconds.
+#: Longest time in seconds after which a rejected caller may retry. Callers have
+#: six seconds for a request and wait for up to a third of them before a retry,
+#: and conditions in which no endpoint serves, such as the loading of new
+#: weights, last for seconds.
 MAX_RETRY_AFTER = 2.0
 
 
--- a/clementinepass/decisions/manifest_round.py
+++ b/clementinepass/decisions/manifest_round.py
@@ -10,8 +10,8 @@
 agents before this one in the chain, the origin, and two other agents in
 rotation, so that the number of requests does not grow with the number of
 agents. The first round omits the two others. It does not omit the origin: after
-a power loss the list still named engines that had had the version, and all
-agents asked those and waited for a second in vain.
+a power loss the list of endpoints still named engines that had had the version,
+and all agents asked those and waited for a second in vain.
 """
 
 from __future__ import annotations
@@ -53,7 +53,7 @@
 ) -> list[str]:
     """Return the other agents to ask in this round.
 
-    Each agent starts at another position of the list.
+    Agents start at different positions of the list of all agents.
     """
     agents = list(dict.fromkeys(plan.all_peer_ips))
     start = plan.position + failed_rounds * _EXTRA_AGENTS
--- a/clementinepass/decisions/next_try.py
+++ b/clementinepass/decisions/next_try.py
@@ -1,4 +1,8 @@
-"""Decision whether a request without an answer is retried."""
+"""Decision whether a request without an answer is retried on the direct path.
+
+For requests after admission control see
+:mod:`clementinepass.decisions.retry_budget`.
+"""
 
 from __future__ import annotations
 
--- a/clementinepass/decisions/piece_chains.py
+++ b/clementinepass/decisions/piece_chains.py
@@ -1,11 +1,12 @@
 """Choose the sources from which an agent fetches the pieces of a version.
 
-All agents want all pieces of a new version at once. Their links need five and a
-half of the eight seconds that there are for one copy, and carry the engines'
-prompts and events as well. An agent that fetches pieces from several others at
-once delays its engine's prompts behind them, by a third of a second with six
-pieces on their way. An agent that sends to several others finishes after
-several times as long, and the origin after many times as long.
+All agents want all pieces of a new version at once. A link needs five and a
+half seconds for one copy, of the eight seconds until older versions may not be
+used any more, and carries the engine's prompts and events as well. An agent
+that fetches pieces from several others at once delays its engine's prompts
+behind them, by a third of a second with six pieces on their way. An agent that
+sends to several others finishes after several times as long, and the origin
+after many times as long.
 
 While no engine has the version, its pieces are spread in stripes
 (:mod:`clementinepass.decisions.piece_stripes`). Engines that have it already
@@ -78,7 +79,7 @@
 
     :param sources: IP numbers of agents, and the origin.
     :param enters_region: whether no other agent of the region is to have the
-        pieces before this one.
+        pieces before the fetching agent.
     """
 
     sources: tuple[str, ...]
@@ -94,12 +95,13 @@
 class FetchPlan(typing.NamedTuple):
     """The sources of all pieces, in the order in which to ask them.
 
-    :param position: approximate number of agents that pieces pass before this
-        one.
-    :param fallback_ips: agents of which the first that answers is asked, too,
-        while the sources deliver nothing. Only agents at which pieces enter a
-        region have them.
-    :param all_peer_ips: all other agents, those of the same region first.
+    :param position: approximate number of agents that pieces pass before the
+        fetching agent.
+    :param fallback_ips: IP numbers of agents of which the first that answers is
+        asked, too, while the sources deliver nothing. Empty unless the agent is
+        the first one of a chain or the head of a stripe.
+    :param all_peer_ips: IP numbers of all other agents, those of the same
+        region first.
     :param has_spare_bandwidth: whether the pieces from the origin leave
         bandwidth on the agent's link.
     """
@@ -156,7 +158,7 @@
 
 
 def all_peer_ips(context: PlanInput) -> list[str]:
-    """Return all other agents, those of the same region first."""
+    """Return the IP numbers of all peers, those of the same region first."""
     region_peers = [
         peer.ip
         for peer in context.peers
@@ -169,9 +171,9 @@
 
 
 def _rotated_holders(local_agent: Agent, peers: Sequence[Agent]) -> list[str]:
-    """Return the agents that have the version.
+    """Return the IP numbers of the agents that have the version.
 
-    The list starts at another agent in each region.
+    The order starts at different agents in different regions.
     """
     holders = sorted(peer.ip for peer in peers if peer.has_version)
     return _rotated(holders, zlib.crc32(local_agent.region.encode()))
@@ -188,7 +190,7 @@
     There is one chain for each holder. The first agent after a holder asks two
     holders, since such agents do not know of one another at once: when two of
     them chose the same single holder, each finished after ten seconds. Not all
-    agents can ask holders: two of them took 17 seconds to serve eight agents.
+    agents can ask holders: two holders took 17 seconds to serve eight agents.
 
     :param region_peers: usable agents of the same region.
     :param holders: IP numbers of the agents that head the chains.
@@ -238,8 +240,8 @@
         ),
     )
     groups = _piece_groups(layout)
-    # An agent that is not a head waits for the agents before it. When all of
-    # these looked for other sources, they converged on the same few agents.
+    # An agent that is not a head waits for the agents before it. When all
+    # waiting agents looked for other sources, they converged on the same few.
     is_head = any(group.enters_region for group in groups)
     fallback_ips = _fallback_ips(context) if is_head else ()
     return FetchPlan(
--- a/clementinepass/decisions/piece_stripes.py
+++ b/clementinepass/decisions/piece_stripes.py
@@ -34,7 +34,8 @@
 #: Smallest number of stripes: with a single one the origin's link would wait
 #: for the link of a single agent.
 MIN_STRIPES = 2
-#: Fraction of an agent's link from which on the link counts as filled.
+#: Fraction of the bandwidth of an agent's link from which on the link counts as
+#: filled.
 _FILLED_FRACTION = 0.8
 #: Largest number of stripes. Each stripe is another source that an agent may
 #: fetch pieces from.
@@ -80,7 +81,7 @@
 
     :param stripe_count: number of stripes.
     :param position: number of agents before this one, region by region, divided
-        by the number of stripes.
+        by the number of stripes and rounded up.
     """
 
     sources: tuple[Source, ...]
@@ -173,7 +174,11 @@
         return self._first_usable(self._planned_head(stripe), 1)
 
     def forwarder(self, stripe: int) -> int | None:
-        """Return the position of the agent that forwards a stripe."""
+        """Return the position of the agent that sends a stripe to the next region.
+
+        This is the last usable agent before the planned head of the next
+        stripe, or the head of this one if there is none.
+        """
         head = self._planned_head(stripe)
         next_head = (stripe + 1) * len(self.agents) // self._stripe_count
         for position in reversed(range(head, next_head)):
@@ -266,9 +271,9 @@
 def _origin_ring_index(stripe: int, rings: list[_Ring]) -> int:
     """Return the index of the ring that fetches a stripe from the origin.
 
-    This is the origin's region. If it has fewer agents than there are stripes,
-    the other stripes go to the next regions, so that the origin sends them at
-    once, too.
+    This is the ring of the origin's region. If it has fewer agents than there
+    are stripes, the other stripes go to the next regions, so that the origin
+    sends them at once, too.
     """
     agent_count = 0
     for index, ring in enumerate(rings):
--- a/clementinepass/decisions/queueing.py
+++ b/clementinepass/decisions/queueing.py
@@ -110,7 +110,7 @@
 
     @property
     def is_within_share(self) -> bool:
-        """Tell whether one more request stays within the team's share."""
+        """Return whether one more request stays within the team's share."""
         return self.in_flight < self.share
 
     @property
@@ -372,8 +372,8 @@
         self._waiting_count += 1
         if team_queue.waiting_count == 1:
             self._waiting_weight += team_queue.weight
-            # A team that was idle starts at the present virtual time, so
-            # that it gains no credit while it was idle.
+            # A team that was idle starts at the present virtual time, as it
+            # would otherwise have gained credit while it was idle.
             team_queue.start_tag_within = max(
                 team_queue.start_tag_within, self._within_tier.virtual_time
             )
--- a/clementinepass/decisions/reading_turns.py
+++ b/clementinepass/decisions/reading_turns.py
@@ -23,12 +23,11 @@
 
 #: Seconds between the ends of two reads, over all entries. Together with the
 #: time until a read is overdue, one new read and two heartbeats this stays
-#: within the 3 s after a disturbance in which no bound holds, even if the entry
-#: whose turn it was is gone.
+#: within the 3 s after a disturbance in which no time limit applies, even if the
+#: entry whose turn it was is gone.
 STEP_SECONDS = 0.7
 #: Longest time in seconds for which a read waits. An entry that receives no
-#: changes from others notices a stalled read only after this
-#: time.
+#: changes from others notices a stalled read only after this time.
 MAX_WAIT_SECONDS = 8.0
 #: Steps without the end of a read after which a turn counts as free.
 _FREE_TURN_STEPS = 1.5
--- a/clementinepass/decisions/selection.py
+++ b/clementinepass/decisions/selection.py
@@ -1,4 +1,7 @@
-"""Selection of the endpoint for a request.
+"""Selection of the endpoint for a request after admission control.
+
+For requests that entries send directly, without admission control, see
+:mod:`clementinepass.decisions.endpoint_choice`.
 
 :class:`CostSelector` compares the expected costs of a few sampled endpoints.
 :class:`RoundRobinSelector` and :class:`LeastInFlightSelector` are baselines
--- a/clementinepass/decisions/superseding.py
+++ b/clementinepass/decisions/superseding.py
@@ -1,10 +1,11 @@
 """Decide whether a version that is being fetched gives way to a newer one.
 
-The operator may change the desired version within seconds, while each version
-takes most of its time on the link. Dropping the first version for the second
-discards the pieces fetched so far, and until the second is complete requests
-may no longer start on the version before the first. Finishing the first may
-make the second late.
+The operator may change the desired version again after a few seconds, while the
+transfer of each version takes most of the time until its deadline. Dropping the
+first version for the second discards the pieces fetched so far. From the
+deadline of the first until the second is complete there is then no usable
+version, as requests may no longer start on the version before the first.
+Finishing the first may make the second late.
 """
 
 from __future__ import annotations
--- a/clementinepass/decisions/timely_start.py
+++ b/clementinepass/decisions/timely_start.py
@@ -20,9 +20,9 @@
 
 
 class Request(typing.NamedTuple):
-    """What a request needs from an engine before its first token.
+    """The prompts that an engine reads until a request starts.
 
-    :param prompt_tokens: tokens of its prompt.
+    :param prompt_tokens: tokens of the request's prompt.
     :param mean_prompt_tokens: mean prompt tokens of the requests before it.
     """
 
--- a/tests/decisions/test_direct_decisions.py
+++ b/tests/decisions/test_direct_decisions.py
@@ -99,7 +99,7 @@
         self.assertEqual('far', self.choose(near, far))
 
     def test_same_domain_on_equal_load(self) -> None:
-        """Traffic between failure domains has a price."""
+        """At equal load the same domain is chosen, as traffic has a price."""
         near = endpoint_choice.Candidate('near', 5, 16, is_same_domain=True)
         far = endpoint_choice.Candidate('far', 5, 16, is_same_domain=False)
         self.assertEqual('near', self.choose(near, far))
@@ -124,7 +124,10 @@
         self.assertEqual('slow', self.choose(slow, full))
 
     def test_newest_weights(self) -> None:
-        """An engine that has yet to load cuts off its running requests then."""
+        """An engine with the newest weights is preferred to one with old ones.
+
+        An engine that has yet to load them cuts off its running requests then.
+        """
         old = endpoint_choice.Candidate(
             'old', 2, 16, is_same_domain=True, has_old_version=True
         )
@@ -184,7 +187,7 @@
         self.assertFalse(self.is_sent(2, elapsed=3))
 
     def test_unknown_service_rate(self) -> None:
-        """At a plain service up to a third of its slots may wait."""
+        """At a plain service a third as many requests as slots may wait."""
         unknown_rate = first_event.service_rate(0, 0, 0, 0, 6)
         request = first_event.PendingRequest(2, 6, 0, 0.4, 0)
         self.assertTrue(first_event.meets_target(request, unknown_rate))
@@ -205,8 +208,8 @@
     """Each version has its own deadline.
 
     With a single clock that restarts for a newer version, requests still
-    started on version 1 ten seconds after version 2 had been named, as version
-    3 was named four seconds after it.
+    started on version 1 ten seconds after version 2 had become the desired one,
+    as version 3 had become it four seconds later.
     """
 
     def test_two_deadlines(self) -> None:
@@ -219,7 +222,7 @@
         self.assertEqual(3, versions.oldest_allowed(112))
 
     def test_earlier_time_is_kept(self) -> None:
-        """A process that was restarted learns of the version later."""
+        """The earlier time is kept: a restarted process learns of it late."""
         versions = desired_versions.DesiredVersions(8)
         self.assertTrue(versions.record(2, 100))
         self.assertFalse(versions.record(2, 95))
@@ -234,12 +237,12 @@
         self.assertEqual(3, versions.newest)
 
     def test_guess_is_replaced(self) -> None:
-        """A restarted entry guesses when a version was named.
+        """A restarted entry guesses when a version became the desired one.
 
-        It assumed that this had just happened, and sent requests to older
-        weights for seconds after the deadline. Other entries knew the time: it
-        replaces a guess, whether earlier or later, and is never replaced by
-        one.
+        The entry assumed that this had just happened, and sent requests to
+        older weights for seconds after the deadline. Other entries knew the
+        time: a known time replaces a guess, whether it is earlier or later, and
+        a guess never replaces a known time.
         """
         versions = desired_versions.DesiredVersions(8)
         self.assertTrue(versions.record(2, 95, is_guess=True))
@@ -268,8 +271,9 @@
     def test_no_gap_keeps_pieces(self) -> None:
         """If both versions arrive in time, no fetched pieces are dropped.
 
-        The origin became unreachable half a second after the second version was
-        named, and neither version was complete anywhere until it was back.
+        The origin became unreachable half a second after the second version
+        had become the desired one, and neither version was complete anywhere
+        until the origin was back.
         """
         current = superseding.Transfer(1, 7)
         newer = superseding.Transfer(5.6, 8)
@@ -327,7 +331,11 @@
         self.assertEqual(9, len(set(delays)))
 
     def test_domains_alternate(self) -> None:
-        """Consecutive turns are in different domains."""
+        """Consecutive turns are in different domains.
+
+        Otherwise all engines of a failure domain would load at the same time,
+        and none of them would serve.
+        """
         ordered = sorted(
             self.engines,
             key=lambda engine: load_turns.turn_delay(engine, self.engines, 3),
@@ -353,7 +361,10 @@
     """Entries compare a sample of the engines with known loads."""
 
     def test_sample_sizes(self) -> None:
-        """If all engines were compared, entries would choose the same one."""
+        """Few engines are compared, mostly of the same domain.
+
+        If all engines were compared, all entries would choose the same one.
+        """
         rng = random.Random(1)
         cases = (
             (list('abcdef'), list('xyz'), 2, 1),
--- a/tests/decisions/test_load_reports.py
+++ b/tests/decisions/test_load_reports.py
@@ -36,7 +36,7 @@
 
 
 class LoadReportsTest(testtools.TestCase):
-    """Entries must not queue on a single engine when engines are nearly full.
+    """Entries must not all send to one engine when engines are nearly full.
 
     Entries that went by one another's counts, which were a second old or more,
     all sent to the engine that had been emptiest. Four in five requests came
--- a/tests/decisions/test_piece_stripes.py
+++ b/tests/decisions/test_piece_stripes.py
@@ -50,8 +50,8 @@
     def test_origin_sends_once(self) -> None:
         """Each stripe is read from the origin by one agent.
 
-        With two chains the origin sent two copies, and one of them was paid for
-        needlessly.
+        When the pieces were spread in two chains, the origin sent two copies,
+        and one of them was paid for needlessly.
         """
         for fleet in all_fleets():
             stripes_from_origin = [
@@ -69,9 +69,9 @@
     def test_origin_serves_several_heads(self) -> None:
         """As many agents read from the origin as its link can fill.
 
-        The origin became unreachable 2.5 s after a version was named. It had
-        sent nine in ten pieces of one half to each of two agents, and no agent
-        had the version for nine seconds.
+        The origin became unreachable 2.5 s after a version had become the
+        desired one. It had sent nine in ten pieces of one half to each of two
+        agents, and no agent had the version for nine seconds.
         """
         for fleet in all_fleets():
             heads = {
--- a/tests/decisions/test_reading_turns.py
+++ b/tests/decisions/test_reading_turns.py
@@ -122,7 +122,7 @@
 
     @given(strategies.integers(2, 40))
     def test_read_rate(self, entry_count: int) -> None:
-        """There is one read per step, or as many as if each waits longest."""
+        """There is one read per step, or one per entry and longest wait."""
         ended_at = simulate_reads(
             [0.0] * entry_count, random.Random(entry_count)
         )
--- a/tests/decisions/test_start_reading.py
+++ b/tests/decisions/test_start_reading.py
@@ -47,7 +47,7 @@
         self.assertLess(delays[-1], 2)
 
     def test_same_region_first(self) -> None:
-        """A peer of another region is asked later than one of the same one."""
+        """Peers of the same region are asked at once, other peers later."""
         self.assertTrue(
             start_reading.may_request(is_same_region=True, uptime_seconds=0)
         )
