--- a/clementinepass/decisions/load_turns.py
+++ b/clementinepass/decisions/load_turns.py
@@ -54,7 +54,10 @@
     ranked: list[tuple[int, LoadingEngine]] = []
     for domain_engines in by_domain.values():
         ranked.extend(enumerate(domain_engines))
-    return [peer for _, peer in sorted(ranked, key=_position_and_domain)]
+    return [
+        loading_engine
+        for _, loading_engine in sorted(ranked, key=_position_and_domain)
+    ]
 
 
 def _position_and_domain(ranked: tuple[int, LoadingEngine]) -> tuple[int, str]:
