--- a/clementinepass/decisions/departure.py
+++ b/clementinepass/decisions/departure.py
@@ -23,9 +23,9 @@
 _USABLE_GRACE_FRACTION = 0.92
 #: Some callers keep a list for up to this multiple of its time to live.
 _MAX_KEPT_FACTOR = 3
-#: Seconds after SIGTERM in which other entries may still list this one: the time
-#: until the second heartbeat, as the first one that announces the drain may be
-#: lost, plus the time of an answer that was already on its way.
+#: Seconds after SIGTERM in which other entries may still list this one: the
+#: time until the second heartbeat, as the first one that announces the drain
+#: may be lost, plus the time of an answer that was already on its way.
 _ANNOUNCE_SECONDS = 0.5
 #: Time to live, in seconds, of a list that callers are given. Below the minimum
 #: nearly every request would fetch a list, as callers send two or three
--- a/clementinepass/decisions/manifest_round.py
+++ b/clementinepass/decisions/manifest_round.py
@@ -53,7 +53,7 @@
 ) -> list[str]:
     """Return the other agents to ask in this round.
 
-    Agents start at different positions of the list of all agents.
+    Where an agent starts in the list depends on its position in its chain.
     """
     agents = list(dict.fromkeys(plan.all_peer_ips))
     start = plan.position + failed_rounds * _EXTRA_AGENTS
--- a/clementinepass/decisions/piece_chains.py
+++ b/clementinepass/decisions/piece_chains.py
@@ -173,7 +173,7 @@
 def _rotated_holders(local_agent: Agent, peers: Sequence[Agent]) -> list[str]:
     """Return the IP numbers of the agents that have the version.
 
-    The order starts at different agents in different regions.
+    The agent at which the order starts depends on the local agent's region.
     """
     holders = sorted(peer.ip for peer in peers if peer.has_version)
     return _rotated(holders, zlib.crc32(local_agent.region.encode()))
--- a/clementinepass/decisions/piece_stripes.py
+++ b/clementinepass/decisions/piece_stripes.py
@@ -174,10 +174,11 @@
         return self._first_usable(self._planned_head(stripe), 1)
 
     def forwarder(self, stripe: int) -> int | None:
-        """Return the position of the agent that sends a stripe to the next region.
+        """Return the position of the agent that forwards a stripe.
 
-        This is the last usable agent before the planned head of the next
-        stripe, or the head of this one if there is none.
+        The agent sends the stripe to the next region. It is the last usable one
+        before the planned head of the next stripe; if there is none, the head
+        of the stripe.
         """
         head = self._planned_head(stripe)
         next_head = (stripe + 1) * len(self.agents) // self._stripe_count
--- a/clementinepass/decisions/reading_turns.py
+++ b/clementinepass/decisions/reading_turns.py
@@ -23,8 +23,8 @@
 
 #: Seconds between the ends of two reads, over all entries. Together with the
 #: time until a read is overdue, one new read and two heartbeats this stays
-#: within the 3 s after a disturbance in which no time limit applies, even if the
-#: entry whose turn it was is gone.
+#: within the 3 s after a disturbance in which no time limit applies, even if
+#: the entry whose turn it was is gone.
 STEP_SECONDS = 0.7
 #: Longest time in seconds for which a read waits. An entry that receives no
 #: changes from others notices a stalled read only after this time.
--- a/tests/decisions/test_direct_decisions.py
+++ b/tests/decisions/test_direct_decisions.py
@@ -333,7 +333,7 @@
     def test_domains_alternate(self) -> None:
         """Consecutive turns are in different domains.
 
-        Otherwise all engines of a failure domain would load at the same time,
+        Otherwise the turns of all engines of a failure domain could overlap,
         and none of them would serve.
         """
         ordered = sorted(
