--- a/clementinepass/direct/neighbours.py
+++ b/clementinepass/direct/neighbours.py
@@ -49,10 +49,10 @@
 
     def engine(self) -> routing.Engine | None:
         """Return the configuration of the service's engines, if it is known."""
-        current = self._cluster.routing
-        if current is None:
+        active_routing = self._cluster.routing
+        if active_routing is None:
             return None
-        service = current.services_by_name.get(self._local_node.service)
+        service = active_routing.services_by_name.get(self._local_node.service)
         return None if service is None else service.engine
 
     def service_endpoints(self) -> list[endpoints.Endpoint]:
@@ -63,8 +63,8 @@
     def plan_input(self, version: int) -> piece_chains.PlanInput:
         """Return the input for choosing the sources of pieces."""
         engine = self.engine()
-        current = self._cluster.routing
-        origin = None if current is None else current.origin
+        active_routing = self._cluster.routing
+        origin = None if active_routing is None else active_routing.origin
         origin_mbps = 0 if origin is None else origin.link_mbps
         peers = [
             piece_chains.Agent(
@@ -110,9 +110,9 @@
         return peer_source.PeerSource(ip, self._local_node.first_port)
 
     def _origin_source(self) -> weights.Source | None:
-        current = self._cluster.routing
-        service = None if current is None else current.origin
-        if service is None:
+        active_routing = self._cluster.routing
+        origin = None if active_routing is None else active_routing.origin
+        if origin is None:
             return None
         # Cached by address because a new configuration may change it.
-        return self._cached_source(service.origin, self._make_origin_source)
+        return self._cached_source(origin.origin, self._make_origin_source)
--- a/clementinepass/direct/peer_source.py
+++ b/clementinepass/direct/peer_source.py
@@ -35,7 +35,7 @@
 
     @property
     def last_received_at(self) -> float:
-        """Return the monotonic seconds at which its last byte arrived."""
+        """Return when the agent last sent a byte, in monotonic seconds."""
         return self._pool.heard
 
     async def manifest(
@@ -106,9 +106,9 @@
             == b'1',
         )
 
-    def _decode(self, found: bytes, kind: typing.Any) -> typing.Any:
+    def _decode(self, body: bytes, body_type: typing.Any) -> typing.Any:
         try:
-            return msgspec.json.decode(found, type=kind)
+            return msgspec.json.decode(body, type=body_type)
         except msgspec.MsgspecError as error:
             raise errors.MalformedMessageError(
                 str(error),
--- a/clementinepass/direct/weights.py
+++ b/clementinepass/direct/weights.py
@@ -10,7 +10,7 @@
 
 
 class EngineReport(typing.NamedTuple):
-    """The current state of an engine, as it reports it.
+    """The state of an engine at the time of the report.
 
     :param weights: the layers that are loaded.
     :param is_busy: whether an order is in progress.
@@ -126,7 +126,7 @@
 
     @property
     def last_received_at(self) -> float:
-        """Return the monotonic seconds at which its last byte arrived."""
+        """Return when the source last sent a byte, in monotonic seconds."""
 
     async def available_pieces(
         self,
--- a/tests/direct/test_fetching.py
+++ b/tests/direct/test_fetching.py
@@ -31,7 +31,7 @@
 
     def __init__(self) -> None:
         self.remaining = CHUNKS * 10
-        self.sent: list[int] = []
+        self.sent_numbers: list[int] = []
         #: IP addresses of the agents that received a piece, in order.
         self.requesters: list[str] = []
 
@@ -54,7 +54,7 @@
         if self.remaining <= 0:
             raise errors.PeerUnavailableError('gone', step='piece', peer='o')
         self.remaining -= 1
-        self.sent.append(number)
+        self.sent_numbers.append(number)
         await asyncio.sleep(PIECE_SECONDS)
         return weights.Piece(PAYLOADS[number], seconds=PIECE_SECONDS)
 
@@ -72,16 +72,16 @@
         #: Whether the agent's machine is suspended.
         self.is_suspended = False
         #: How many pieces the agent has sent.
-        self.sent = 0
+        self.sent_count = 0
         #: IP addresses of the agents that requested a piece from it.
         self.requested_by: set[str] = set()
 
     def plan_input(self, model: str, version: int) -> piece_chains.PlanInput:
         """Return all other agents as peers."""
-        others = [
+        peers = [
             agent.peer for agent in self._network.agents if agent is not self
         ]
-        return piece_chains.PlanInput(self.peer, others, 'north')
+        return piece_chains.PlanInput(self.peer, peers, 'north')
 
     def source(self, ip: str) -> typing.Any:
         """Return the link to the origin or to another agent."""
@@ -100,7 +100,7 @@
     def __init__(self, client: _Agent, origin: _Origin) -> None:
         self._client = client
         self._origin = origin
-        self._turn = asyncio.Lock()
+        self._lock = asyncio.Lock()
 
     @property
     def last_received_at(self) -> float:
@@ -118,7 +118,7 @@
         number: int,
     ) -> weights.Piece:
         """Return a piece at the rate of the slower link."""
-        async with self._turn:
+        async with self._lock:
             piece = await self._origin.piece(model, version, number)
             await asyncio.sleep(self._client.piece_seconds - PIECE_SECONDS)
         seconds = self._client.piece_seconds
@@ -132,7 +132,7 @@
     def __init__(self, client: _Agent, server: _Agent) -> None:
         self._client = client
         self._server = server
-        self._turn = asyncio.Lock()
+        self._lock = asyncio.Lock()
         self.last_received_at: float = 0
 
     async def available_pieces(
@@ -167,9 +167,9 @@
         )
         seconds = max(self._client.piece_seconds, self._server.piece_seconds)
         if payload is not None:
-            async with self._turn:
+            async with self._lock:
                 await asyncio.sleep(seconds)
-            self._server.sent += 1
+            self._server.sent_count += 1
         self._record_receipt()
         return weights.Piece(
             payload,
@@ -289,12 +289,14 @@
 
         async def scenario() -> None:
             await network.wait_until_all_have(30)
-            network.origin.sent.clear()
+            network.origin.sent_numbers.clear()
             network.origin.remaining = CHUNKS * 10
             await network.wait_until_all_have(CHUNKS)
 
         run_scenario(network, scenario)
-        self.assertLessEqual(len(network.origin.sent), 2 * (CHUNKS - 30))
+        self.assertLessEqual(
+            len(network.origin.sent_numbers), 2 * (CHUNKS - 30)
+        )
 
 
 class BreakInChainTest(testtools.TestCase):
@@ -353,8 +355,8 @@
             await network.wait_until_all_have(CHUNKS)
 
         run_scenario(network, scenario)
-        self.assertLess(slow.sent, CHUNKS // 4)
-        self.assertGreater(fast.sent, CHUNKS // 2)
+        self.assertLess(slow.sent_count, CHUNKS // 4)
+        self.assertGreater(fast.sent_count, CHUNKS // 2)
 
 
 class HolderAppearsTest(testtools.TestCase):
