--- a/clementinepass/direct/neighbours.py
+++ b/clementinepass/direct/neighbours.py
@@ -111,8 +111,12 @@
 
     def _origin_source(self) -> weights.Source | None:
         active_routing = self._cluster.routing
-        origin = None if active_routing is None else active_routing.origin
-        if origin is None:
+        origin_service = (
+            None if active_routing is None else active_routing.origin
+        )
+        if origin_service is None:
             return None
         # Cached by address because a new configuration may change it.
-        return self._cached_source(origin.origin, self._make_origin_source)
+        return self._cached_source(
+            origin_service.origin, self._make_origin_source
+        )
