--- a/clementinepass/direct/agent.py
+++ b/clementinepass/direct/agent.py
@@ -60,7 +60,7 @@
     store: records.Store
     engine: weights.Engine
     origin: Callable[[str], weights.Source]
-    readers: intake.Readers
+    readers: intake.Decoders
 
 
 class Agent:
@@ -82,7 +82,7 @@
         self._rng = rng
         self.cluster = cluster_state.ClusterState(own)
         taking = intake.Intake(self.cluster, boundary.readers)
-        self._followers = taking.followers(boundary.store, rng)
+        self._followers = taking.create_followers(boundary.store, rng)
         self._neighbours = neighbours.Neighbours(
             own,
             self.cluster,
@@ -148,7 +148,7 @@
     def pieces_of(self, model: str, version: int) -> pieces.Pieces | None:
         """Return the pieces of a version that are here or on their way."""
         now = asyncio.get_running_loop().time()
-        self.cluster.named(model, version, now)
+        self.cluster.add_desired_version(model, version, now)
         return self._loading.pieces_of(model, version)
 
     def has_loaded(self, version: int) -> bool:
@@ -209,10 +209,10 @@
             elif loop.time() - alone_since >= _ALONE_SECONDS:
                 await self._read_store()
                 alone_since = loop.time()
-            self.cluster.forget(loop.time())
+            self.cluster.remove_expired(loop.time())
             pause = _IDLE_SECONDS
-            if self.peers.is_new:
-                pause = min(self.peers.ask(), pause)
+            if self.peers.is_bootstrapping:
+                pause = min(self.peers.poll_seeds(), pause)
             await asyncio.sleep(pause)
 
     async def _tell_of_link(self) -> None:
@@ -225,9 +225,9 @@
         store = self._boundary.store
         try:
             for topic, own in self._followers.items():
-                own.take(await store.newest(topic))
+                own.apply(await store.newest(topic))
             page = await store.newest(records.Topic.ENTRIES)
-            self.peers.met(page.ips)
+            self.peers.contact(page.ips)
         except errors.ClementinepassError as error:
             logger.info('store not read: {}', error)
 
@@ -327,10 +327,10 @@
         """
         now = asyncio.get_running_loop().time()
         held = self._aims.held
-        left = self.cluster.seconds_left(engine.model, version) or 0
+        left = self.cluster.seconds_until_required(engine.model, version) or 0
         if held is None:
             return left
-        bound = self.cluster.begin_bound(engine, held.version)
+        bound = self.cluster.version_bound(engine, held.version)
         return max(min(left, bound - now), 0)
 
     def _turn_has_come(self, engine: routing.Engine, version: int) -> bool:
--- a/clementinepass/direct/aims.py
+++ b/clementinepass/direct/aims.py
@@ -88,7 +88,7 @@
         engine = self._neighbours.engine()
         if engine is None:
             return '', 0
-        named = self._cluster.wanted_version(engine.model)
+        named = self._cluster.desired_version(engine.model)
         is_next = bool(self._fetching) and named > self._fetching
         known = ready.pieces_of(engine.model, named)
         return engine.model, named if is_next and known is None else 0
@@ -100,7 +100,7 @@
             return False
         endpoints = self._neighbours.of_service()
         held = max((one.weights.version for one in endpoints), default=0)
-        named = self._cluster.wanted_version(engine.model)
+        named = self._cluster.desired_version(engine.model)
         return 0 < version <= max(held, named)
 
     def _aimed_at(
@@ -112,7 +112,7 @@
 
         Where none was named, whatever other engines have.
         """
-        named = self._cluster.wanted_version(engine.model)
+        named = self._cluster.desired_version(engine.model)
         if not named:
             endpoints = self._neighbours.of_service()
             held = [peer.weights.version for peer in endpoints]
@@ -133,7 +133,7 @@
         begun = ready.pieces_of(engine.model, current)
         if begun is None or not begun.missing or current >= newest:
             return False
-        left = self._cluster.seconds_left(engine.model, current)
+        left = self._cluster.seconds_until_required(engine.model, current)
         if left is None:
             return False
         finishes = superseding.finish_first(
@@ -143,7 +143,7 @@
             ),
             superseding.Transfer(
                 self._seconds(engine, engine.chunks),
-                self._cluster.seconds_left(engine.model, newest) or 0,
+                self._cluster.seconds_until_required(engine.model, newest) or 0,
             ),
             is_decided=self._postponed == newest,
         )
--- a/clementinepass/direct/attempt.py
+++ b/clementinepass/direct/attempt.py
@@ -123,7 +123,7 @@
         except channel.ChannelBrokenError as error:
             attempt.refused()
             now = asyncio.get_running_loop().time()
-            self._cluster.failed(endpoint, now)
+            self._cluster.record_failure(endpoint, now)
             self._log.attempt_failed(admitted, endpoint, error)
             return serving.Tried.NOT_RUN
         admitted.channel = used
@@ -297,7 +297,7 @@
         engine = admitted.service.engine
         if engine is None:
             return math.inf
-        return self._cluster.begin_by(engine, endpoint.weights.version)
+        return self._cluster.start_deadline(engine, endpoint.weights.version)
 
     def _sending(
         self,
@@ -368,7 +368,7 @@
             self._cluster.ejector.observe(endpoint.listing.id, seconds, now)
         elif tried is not serving.Tried.NOT_RUN and not endpoint.loading:
             # An engine that takes up new weights cuts what still runs.
-            self._cluster.failed(endpoint, now)
+            self._cluster.record_failure(endpoint, now)
 
 
 def _urgency(admitted: serving.Serving) -> int:
--- a/clementinepass/direct/bootstrap.py
+++ b/clementinepass/direct/bootstrap.py
@@ -10,9 +10,9 @@
     from clementinepass.direct import heartbeats
 
 #: Seconds for which one message is sent to all that ask.
-_KEPT_SECONDS = 0.1
+_MESSAGE_LIFETIME_SECONDS = 0.1
 #: Processes remembered that asked before anything was known here.
-_MOST_WAITING = 4096
+_MAX_WAITING = 4096
 
 
 class Bootstrap:
@@ -38,7 +38,7 @@
         #: The IP numbers of those that asked too early, in order.
         self._waiting: dict[str, None] = {}
 
-    def heard(
+    def handle_heartbeat(
         self,
         heartbeat: heartbeats.Heartbeat,
         ip: str,
@@ -57,21 +57,21 @@
         there = heartbeat.operator_offset, heartbeat.endpoints_offset
         pairs = list(zip(there, offsets, strict=True))
         if any(here and not offset for offset, here in pairs):
-            self._send(self._composed(now), ip)
+            self._send(self._current_message(now), ip)
         if all(offsets) or all(there):
             self._waiting.pop(ip, None)
-        elif len(self._waiting) < _MOST_WAITING:
+        elif len(self._waiting) < _MAX_WAITING:
             self._waiting[ip] = None
 
-    def tell_waiting(self, now: float) -> None:
+    def reply_to_waiting(self, now: float) -> None:
         """Answer those that asked before all was known here."""
         waiting = self._waiting
         self._waiting = {}
         for ip in waiting:
-            self._send(self._composed(now), ip)
+            self._send(self._current_message(now), ip)
 
-    def _composed(self, now: float) -> bytes:
-        if now - self._composed_at >= _KEPT_SECONDS:
+    def _current_message(self, now: float) -> bytes:
+        if now - self._composed_at >= _MESSAGE_LIFETIME_SECONDS:
             self._message = self._compose()
             self._composed_at = now
         return self._message
--- a/clementinepass/direct/catching_up.py
+++ b/clementinepass/direct/catching_up.py
@@ -29,113 +29,113 @@
 
 #: Seconds for which a peer may be ahead in reading the store before its
 #: records are fetched from it: the store itself tells within milliseconds.
-_BEHIND_SECONDS = 0.25
+_FETCH_DELAY_SECONDS = 0.25
 #: The same for an entry that others of its region tell of the store, until a
 #: peer of another region is asked. Those others have it within milliseconds and
 #: say so at once; what crosses to a region is to cross once.
-_RELYING_SECONDS = 1.0
+_OTHER_REGION_DELAY_SECONDS = 1.0
 #: The same for an agent, whose link is narrow: a configuration takes as long
 #: as two pieces of weights, and an agent needs little of it.
-_AGENT_BEHIND_SECONDS = 4.0
+_AGENT_FETCH_DELAY_SECONDS = 4.0
 #: Seconds for records from a peer; one that doesn't answer keeps others from
 #: being asked. An agent's narrow link takes longer.
-_FETCH_SECONDS = 0.8
-_AGENT_FETCH_SECONDS = 3.0
+_FETCH_TIMEOUT_SECONDS = 0.8
+_AGENT_FETCH_TIMEOUT_SECONDS = 3.0
 #: Bytes of records that are taken from a peer at a time.
-_LONGEST_RECORDS = 16 * 1024 * 1024
+_MAX_RECORDS_BYTES = 16 * 1024 * 1024
 #: Where peers ask for records, followed by the topic.
-PATH = b'/records/'
+PATH_PREFIX = b'/records/'
 
 
-class CatchingUp:
+class PeerCatchUp:
     """Watch how far peers have read, and ask one that has read further.
 
-    :param own: who this process is.
+    :param local_node: who this process is.
     :param followers: what is followed, by topic.
-    :param known: the state of the cluster.
+    :param cluster: the state of the cluster.
     """
 
     __slots__ = (
-        '_ahead_by_topic',
-        '_behind_since',
-        '_begun',
+        '_peer_offset_by_topic',
+        '_behind_since_by_topic',
+        '_first_received_at',
         '_cluster',
-        '_fetch_seconds',
-        '_fetching_by_topic',
+        '_fetch_timeout_seconds',
+        '_fetch_task_by_topic',
         '_followers',
-        '_own',
-        '_patience_by_topic',
-        '_revision_behind_since',
+        '_local_node',
+        '_fetch_delay_by_topic',
+        '_configuration_behind_since',
     )
 
     def __init__(
         self,
-        own: node.Node,
+        local_node: node.Node,
         followers: dict[records.Topic, follower.Follower],
-        known: cluster_state.ClusterState,
+        cluster: cluster_state.ClusterState,
     ) -> None:
-        self._own = own
+        self._local_node = local_node
         self._followers = followers
-        self._cluster = known
-        is_entry = bool(own.callers)
-        self._fetch_seconds = (
-            _FETCH_SECONDS if is_entry else _AGENT_FETCH_SECONDS
+        self._cluster = cluster
+        is_entry = bool(local_node.callers)
+        self._fetch_timeout_seconds = (
+            _FETCH_TIMEOUT_SECONDS if is_entry else _AGENT_FETCH_TIMEOUT_SECONDS
         )
-        self._patience_by_topic = {
+        self._fetch_delay_by_topic = {
             records.Topic.OPERATOR: (
-                _BEHIND_SECONDS if is_entry else _AGENT_BEHIND_SECONDS
+                _FETCH_DELAY_SECONDS if is_entry else _AGENT_FETCH_DELAY_SECONDS
             ),
-            records.Topic.ENDPOINTS: _BEHIND_SECONDS,
+            records.Topic.ENDPOINTS: _FETCH_DELAY_SECONDS,
         }
         #: The furthest that a peer was heard to have read, and since when
         #: this process hasn't.
-        self._ahead_by_topic: dict[records.Topic, int] = {}
-        self._behind_since: dict[records.Topic, float] = {}
+        self._peer_offset_by_topic: dict[records.Topic, int] = {}
+        self._behind_since_by_topic: dict[records.Topic, float] = {}
         #: When this process first heard of a peer; ``None`` before.
-        self._begun: float | None = None
+        self._first_received_at: float | None = None
         #: Since when a peer has had a newer configuration in force.
-        self._revision_behind_since: float | None = None
-        self._fetching_by_topic: dict[records.Topic, asyncio.Task[None]] = {}
+        self._configuration_behind_since: float | None = None
+        self._fetch_task_by_topic: dict[records.Topic, asyncio.Task[None]] = {}
 
-    def heard(
+    def handle_heartbeat(
         self, heartbeat: heartbeats.Heartbeat, ip: str, now: float
     ) -> None:
         """Compare what a peer knows with what this process does."""
-        if not self._may_ask(heartbeat, now):
+        if not self._may_fetch(heartbeat, now):
             return
-        is_near = heartbeat.sender is not None and self._is_near(
+        is_near = heartbeat.sender is not None and self._is_same_region(
             heartbeat.sender
         )
         for topic, offset in (
             (records.Topic.OPERATOR, heartbeat.operator_offset),
             (records.Topic.ENDPOINTS, heartbeat.endpoints_offset),
         ):
-            self._compare(topic, offset, ip, now, is_near=is_near)
-        self._compare_configuration(heartbeat.configuration, ip, now)
+            self._compare_offset(topic, offset, ip, now, is_near=is_near)
+        self._compare_configuration(heartbeat.configuration_version, ip, now)
 
-    def _may_ask(self, heartbeat: heartbeats.Heartbeat, now: float) -> bool:
+    def _may_fetch(self, heartbeat: heartbeats.Heartbeat, now: float) -> bool:
         """Tell whether to take first records from a peer as far as that."""
-        if all(one.started for one in self._followers.values()):
+        if all(one.is_initialized for one in self._followers.values()):
             return True
-        if self._begun is None:
-            self._begun = now
+        if self._first_received_at is None:
+            self._first_received_at = now
         sender = heartbeat.sender
         return start_reading.may_ask(
             # An agent's link is narrow, and its heartbeats have no sender.
-            is_near=sender is not None and self._is_near(sender),
-            since_start=now - self._begun,
+            is_near=sender is not None and self._is_same_region(sender),
+            since_start=now - self._first_received_at,
         )
 
-    def _is_near(self, member: members.Member) -> bool:
-        return member.region == self._own.region
+    def _is_same_region(self, member: members.Member) -> bool:
+        return member.region == self._local_node.region
 
-    def _patience(self, own: follower.Follower, *, is_near: bool) -> float:
+    def _fetch_delay(self, own: follower.Follower, *, is_near: bool) -> float:
         """Return for how long a peer is ahead before it is asked."""
         if own.is_reading:
-            return self._patience_by_topic[own.topic]
-        return 0 if is_near else _RELYING_SECONDS
+            return self._fetch_delay_by_topic[own.topic]
+        return 0 if is_near else _OTHER_REGION_DELAY_SECONDS
 
-    def _compare(
+    def _compare_offset(
         self,
         topic: records.Topic,
         offset: int,
@@ -156,20 +156,20 @@
         own = self._followers.get(topic)
         if own is None or not offset:
             return
-        read = own.known.next_offset
-        ahead = max(offset, self._ahead_by_topic.get(topic, 0))
-        self._ahead_by_topic[topic] = ahead
-        if own.started and ahead <= read:
-            self._behind_since.pop(topic, None)
-        if own.started and offset <= read:
+        read = own.state.next_offset
+        ahead = max(offset, self._peer_offset_by_topic.get(topic, 0))
+        self._peer_offset_by_topic[topic] = ahead
+        if own.is_initialized and ahead <= read:
+            self._behind_since_by_topic.pop(topic, None)
+        if own.is_initialized and offset <= read:
             return
-        since = self._behind_since.setdefault(topic, now)
-        patience = self._patience(own, is_near=is_near)
-        if own.started and now - since < patience:
+        since = self._behind_since_by_topic.setdefault(topic, now)
+        patience = self._fetch_delay(own, is_near=is_near)
+        if own.is_initialized and now - since < patience:
             return
-        if topic not in self._fetching_by_topic:
-            self._behind_since[topic] = now
-            self._begin(own, ip, whole=False)
+        if topic not in self._fetch_task_by_topic:
+            self._behind_since_by_topic[topic] = now
+            self._start_fetch(own, ip, from_start=False)
 
     def _compare_configuration(self, version: int, ip: str, now: float) -> None:
         """Fetch the operator's records anew where a peer has newer ones.
@@ -181,56 +181,60 @@
         current = self._cluster.routing
         if current is None or version <= current.version:
             if current is not None and version == current.version:
-                self._revision_behind_since = None
+                self._configuration_behind_since = None
             return
         own = self._followers[records.Topic.OPERATOR]
-        if self._revision_behind_since is None:
-            self._revision_behind_since = now
-        behind = now - self._revision_behind_since
-        patience = 2 * self._patience(own, is_near=False)
-        if behind >= patience and own.topic not in self._fetching_by_topic:
-            self._revision_behind_since = now
+        if self._configuration_behind_since is None:
+            self._configuration_behind_since = now
+        behind = now - self._configuration_behind_since
+        patience = 2 * self._fetch_delay(own, is_near=False)
+        if behind >= patience and own.topic not in self._fetch_task_by_topic:
+            self._configuration_behind_since = now
             logger.bind(
                 peer=ip,
                 there=version,
                 here=current.version,
-                offset=own.known.next_offset,
+                offset=own.state.next_offset,
             ).warning('a peer has a newer configuration')
-            self._begin(own, ip, whole=True)
+            self._start_fetch(own, ip, from_start=True)
 
-    def _begin(self, own: follower.Follower, ip: str, *, whole: bool) -> None:
-        task = asyncio.create_task(self._fetch(own, ip, whole=whole))
-        self._fetching_by_topic[own.topic] = task
+    def _start_fetch(
+        self, own: follower.Follower, ip: str, *, from_start: bool
+    ) -> None:
+        task = asyncio.create_task(self._fetch(own, ip, from_start=from_start))
+        self._fetch_task_by_topic[own.topic] = task
 
     async def _fetch(
         self,
         own: follower.Follower,
         ip: str,
         *,
-        whole: bool,
+        from_start: bool,
     ) -> None:
-        offset = 0 if whole else own.known.next_offset
+        offset = 0 if from_start else own.state.next_offset
         request = messages.request_bytes(
             b'GET',
-            b'%b?%d' % (PATH + own.topic.value.encode(), offset),
+            b'%b?%d' % (PATH_PREFIX + own.topic.value.encode(), offset),
             [(b'Host', ip.encode()), (b'Accept-Encoding', b'deflate')],
             b'',
         )
-        peers = pool.Pool(ip, self._own.first_port)
+        peers = pool.Pool(ip, self._local_node.first_port)
         try:
-            fetched = await pool.fetch(peers, request, self._fetch_seconds)
-            page = wire_heartbeats.read_records(_decompressed(fetched, ip), ip)
+            fetched = await pool.fetch(
+                peers, request, self._fetch_timeout_seconds
+            )
+            page = wire_heartbeats.read_records(_decompress(fetched, ip), ip)
         except errors.ClementinepassError as error:
             logger.bind(peer=ip).info('records not fetched: {}', error)
             return
         finally:
             peers.close()
-            self._fetching_by_topic.pop(own.topic, None)
+            self._fetch_task_by_topic.pop(own.topic, None)
         if not page.next_offset:
             # It has started anew since it said how far it had read.
             logger.bind(peer=ip).info('records not fetched: it has none')
             return
-        news = own.take_anew(page) if whole else own.take(page, ip)
+        news = own.reapply(page) if from_start else own.apply(page, ip)
         logger.bind(
             peer=ip,
             topic=own.topic.value,
@@ -239,7 +243,7 @@
         ).info('records taken from a peer')
 
 
-def _decompressed(fetched: pool.Fetched, peer: str) -> bytes:
+def _decompress(fetched: pool.Fetched, peer: str) -> bytes:
     """Return the body of an answer as it was before it was compressed.
 
     :raises MalformedMessageError: it can't be.
@@ -248,7 +252,7 @@
         return fetched.body
     reader = zlib.decompressobj()
     try:
-        body = reader.decompress(fetched.body, _LONGEST_RECORDS)
+        body = reader.decompress(fetched.body, _MAX_RECORDS_BYTES)
     except zlib.error as error:
         raise errors.MalformedMessageError(
             str(error),
--- a/clementinepass/direct/cluster_state.py
+++ b/clementinepass/direct/cluster_state.py
@@ -18,16 +18,16 @@
 
 #: Seconds before the bound on older versions from which only the newest gets
 #: requests: one sent may wait that long at an engine before it begins.
-_VERSION_MARGIN = 0.6
+_VERSION_MARGIN_SECONDS = 0.6
 #: Seconds after the time from which an older version gets no more requests,
 #: and well before its bound, at which those that have not begun are given up.
-_BEGIN_SLACK = 0.35
+_START_SLACK_SECONDS = 0.35
 #: Seconds for which an agent's word counts that its link is slow. It says so
 #: each second while pieces come slowly.
-_CONGESTION_LIFETIME = 2.5
+_CONGESTION_LIFETIME_SECONDS = 2.5
 #: Seconds of the time for which a process counts as just started that are not
 #: used: its own start, and a request that waits at an engine.
-_START_MARGIN = 1.0
+_STARTUP_MARGIN_SECONDS = 1.0
 
 
 class ClusterState:
@@ -39,14 +39,14 @@
 
     __slots__ = (
         '_clock',
-        '_named_by_model',
-        '_own',
+        '_desired_by_model',
+        '_local_node',
         'ejector',
-        'on_named',
+        'on_desired_version',
         'endpoints',
         'loads',
         'routing',
-        'store_contact',
+        'last_store_contact',
     )
 
     def __init__(
@@ -54,21 +54,21 @@
         own: node.Node,
         clock: Callable[[], float] = time.monotonic,
     ) -> None:
-        self._own = own
+        self._local_node = own
         self._clock = clock
         #: Called when a version was named, to tell others at once.
-        self.on_named: Callable[[], None] | None = None
+        self.on_desired_version: Callable[[], None] | None = None
         #: Returns the monotonic seconds at which the store last answered a
         #: read of what the operator wrote; 0 before the first.
-        self.store_contact: Callable[[], float] = float
+        self.last_store_contact: Callable[[], float] = float
         #: The configuration in force; ``None`` until one is known.
         self.routing: routing.Routing | None = None
         self.endpoints = endpoints.Endpoints()
         self.loads = endpoint_loads.EndpointLoads()
         self.ejector = ejection.Ejector()
-        self._named_by_model: dict[str, named_versions.NamedVersions] = {}
+        self._desired_by_model: dict[str, named_versions.NamedVersions] = {}
 
-    def configured(self, newer: routing.Routing) -> bool:
+    def apply_configuration(self, newer: routing.Routing) -> bool:
         """Take a configuration, unless a newer one is in force."""
         current = self.routing
         if current is not None and newer.version <= current.version:
@@ -81,17 +81,17 @@
         return True
 
     @property
-    def configuration(self) -> int:
+    def configuration_version(self) -> int:
         """Return the version of the configuration in force; 0 for none."""
         return 0 if self.routing is None else self.routing.version
 
     @property
     def store_age(self) -> float | None:
         """Return how old the store's last word on the operator is, in s."""
-        contact = self.store_contact()
+        contact = self.last_store_contact()
         return round(self._clock() - contact, 3) if contact else None
 
-    def named(
+    def add_desired_version(
         self,
         model: str,
         version: int,
@@ -104,11 +104,11 @@
         :param guessed: whether the time is a guess, since whoever tells it
             began after the naming.
         """
-        known = self._named_by_model.get(model)
+        known = self._desired_by_model.get(model)
         if known is None:
-            bound = self._own.duties.version - _VERSION_MARGIN
+            bound = self._local_node.duties.version - _VERSION_MARGIN_SECONDS
             known = named_versions.NamedVersions(bound)
-            self._named_by_model[model] = known
+            self._desired_by_model[model] = known
         if not known.named(version, since, guessed=guessed):
             return False
         logger.bind(
@@ -117,70 +117,74 @@
             ago=round(self._clock() - since, 3),
             guessed=guessed,
         ).info('version named')
-        if self.on_named is not None:
-            self.on_named()
+        if self.on_desired_version is not None:
+            self.on_desired_version()
         return True
 
-    def found_named(self, model: str, version: int, now: float) -> None:
+    def add_earlier_desired_version(
+        self, model: str, version: int, now: float
+    ) -> None:
         """Take it that a version was named before this process began.
 
         When isn't known, unless peers tell it. Engines that work on older
         versions are used for as long as a process that has just started
         isn't held to the bound, and no longer.
         """
-        duties = self._own.duties
-        grace = max(duties.settling - _START_MARGIN, 0)
-        since = now + grace + _VERSION_MARGIN - duties.version
-        self.named(model, version, since, guessed=True)
-
-    def versions(self, now: float) -> tuple[heartbeats.NamedVersion, ...]:
+        duties = self._local_node.duties
+        grace = max(duties.settling - _STARTUP_MARGIN_SECONDS, 0)
+        since = now + grace + _VERSION_MARGIN_SECONDS - duties.version
+        self.add_desired_version(model, version, since, guessed=True)
+
+    def desired_versions(
+        self, now: float
+    ) -> tuple[heartbeats.DesiredVersion, ...]:
         """Return the named versions, to tell others."""
         return tuple(
-            heartbeats.NamedVersion(
+            heartbeats.DesiredVersion(
                 model,
                 version,
                 max(now - since, 0),
                 version in named.guessed,
             )
-            for model, named in self._named_by_model.items()
+            for model, named in self._desired_by_model.items()
             for version, since in named.since_by_version.items()
         )
 
-    def wanted_version(self, model: str) -> int:
+    def desired_version(self, model: str) -> int:
         """Return the newest version named of a model; 0 for none."""
-        named = self._named_by_model.get(model)
+        named = self._desired_by_model.get(model)
         return 0 if named is None else named.newest
 
-    def seconds_left(self, model: str, version: int) -> float | None:
+    def seconds_until_required(self, model: str, version: int) -> float | None:
         """Return the time until requests begin on no older version.
 
         ``None`` for a version that was not named.
         """
-        named = self._named_by_model.get(model)
+        named = self._desired_by_model.get(model)
         if named is None or version not in named.since_by_version:
             return None
         passed = self._clock() - named.since_by_version[version]
-        return self._own.duties.version - passed
+        return self._local_node.duties.version - passed
 
     def required_version(self, engine: routing.Engine, now: float) -> int:
         """Return the oldest version on which requests may begin."""
-        named = self._named_by_model.get(engine.model)
+        named = self._desired_by_model.get(engine.model)
         return 0 if named is None else named.oldest_allowed(now)
 
-    def begin_by(self, engine: routing.Engine, version: int) -> float:
+    def start_deadline(self, engine: routing.Engine, version: int) -> float:
         """Return the time by which a request must begin on a version."""
-        return self._usable_until(engine, version) + _BEGIN_SLACK
+        return self._usable_until(engine, version) + _START_SLACK_SECONDS
 
-    def begin_bound(self, engine: routing.Engine, version: int) -> float:
+    def version_bound(self, engine: routing.Engine, version: int) -> float:
         """Return the time of the bound from which none begins on a version."""
-        return self._usable_until(engine, version) + _VERSION_MARGIN
+        return self._usable_until(engine, version) + _VERSION_MARGIN_SECONDS
 
     def _usable_until(self, engine: routing.Engine, version: int) -> float:
         """Return the time until which a version gets requests."""
-        named = self._named_by_model.get(engine.model)
+        named = self._desired_by_model.get(engine.model)
         return math.inf if named is None else named.usable_until(version)
 
-    def listed(self, listing: endpoints.Listing) -> bool:
+    def update_listing(self, listing: endpoints.Listing) -> bool:
         """Take an endpoint's word; tell whether it changed anything.
 
         Failure: an endpoint crashed and came back under its id. What had
@@ -194,31 +198,35 @@
             self.loads.forget_endpoint(listing.id)
         return changed
 
-    def failed(self, endpoint: endpoints.Endpoint, now: float) -> None:
+    def record_failure(self, endpoint: endpoints.Endpoint, now: float) -> None:
         """Note a failure, unless it is of a start that is over."""
         if self.endpoints.get(endpoint.listing.id) is endpoint:
             self.ejector.failed(endpoint.listing.id, now)
 
-    def heard_held(self, held: heartbeats.Held, now: float) -> None:
+    def update_engine_status(
+        self, held: heartbeats.EngineStatus, now: float
+    ) -> None:
         """Take an agent's word on its engine and its link."""
         host = held.address.rpartition(':')[0]
         for endpoint in self.endpoints.at_host(host):
             if endpoint.listing.address != held.address:
                 continue
-            self._note_congestion(endpoint, held, now)
+            self._update_congestion(endpoint, held, now)
             if _is_current(endpoint, held.started):
-                self._note_weights(endpoint, held)
+                self._update_weights(endpoint, held)
 
-    def heard_load(self, ip: str, load: heartbeats.Load, now: float) -> None:
+    def update_engine_load(
+        self, ip: str, load: heartbeats.EngineLoad, now: float
+    ) -> None:
         """Take an agent's word on the load of the engine beside it."""
         for endpoint in self.endpoints.at_host(ip):
             if endpoint.weights.version and _is_current(endpoint, load.started):
                 endpoint.reported.tell(load.active, load.queued, now)
 
-    def _note_weights(
+    def _update_weights(
         self,
         endpoint: endpoints.Endpoint,
-        held: heartbeats.Held,
+        held: heartbeats.EngineStatus,
     ) -> None:
         """Take what an engine holds."""
         endpoint.weights_started = held.started or endpoint.weights_started
@@ -232,15 +240,15 @@
             layers=held.end - held.first,
         ).info('engine holds weights')
 
-    def _note_congestion(
+    def _update_congestion(
         self,
         endpoint: endpoints.Endpoint,
-        held: heartbeats.Held,
+        held: heartbeats.EngineStatus,
         now: float,
     ) -> None:
         was_congested = endpoint.congested_until > now
         endpoint.congested_until = (
-            now + _CONGESTION_LIFETIME if held.congested else now
+            now + _CONGESTION_LIFETIME_SECONDS if held.congested else now
         )
         if held.congested != was_congested:
             logger.bind(
@@ -265,18 +273,18 @@
         now: float,
     ) -> list[endpoints.Endpoint]:
         """Return the endpoints that could run a request of a service."""
-        found = self._of_service(service, now)
+        found = self._usable_endpoints(service, now)
         engine = service.engine
         if engine is None:
             return found
         version = self.required_version(engine, now)
         return [each for each in found if each.holds(engine, version)]
 
-    def loading(self, service: routing.Service, now: float) -> bool:
+    def is_loading(self, service: routing.Service, now: float) -> bool:
         """Tell whether some engine of a service takes up weights now."""
-        return any(one.loading for one in self._of_service(service, now))
+        return any(one.loading for one in self._usable_endpoints(service, now))
 
-    def _of_service(
+    def _usable_endpoints(
         self,
         service: routing.Service,
         now: float,
@@ -291,7 +299,7 @@
             return []
         return self.endpoints.of_service(service.name, now)
 
-    def forget(self, now: float) -> list[endpoints.Endpoint]:
+    def remove_expired(self, now: float) -> list[endpoints.Endpoint]:
         """Drop what is long gone; return the endpoints dropped."""
         self.loads.forget(now)
         dropped = self.endpoints.forget(now)
--- a/clementinepass/direct/entry.py
+++ b/clementinepass/direct/entry.py
@@ -44,7 +44,7 @@
     store: records.Store
     dialect: calls.Dialect
     spelling: directory.Spelling
-    readers: intake.Readers
+    readers: intake.Decoders
 
 
 class Entry:
@@ -65,22 +65,22 @@
         self._boundary = boundary
         self.cluster = cluster_state.ClusterState(own)
         taking = intake.Intake(self.cluster, boundary.readers)
-        self._followers = taking.followers(boundary.store, rng)
+        self._followers = taking.create_followers(boundary.store, rng)
         patience = start_reading.delay(own.ip, own.seeds, rng)
         for follow in self._followers.values():
-            follow.patience = patience
+            follow.peer_wait_seconds = patience
         self.peers = gossip.Peers(own, self._followers, self.cluster, rng)
         for topic, follow in self._followers.items():
-            follow.turns = self.peers.turns_by_topic[topic]
-            follow.tell_relying = self.peers.tell_relying
-            follow.tell_all = self.peers.speak
-        self._subscribing = subscribing.Subscribing(
+            follow.schedule = self.peers.read_turns_by_topic[topic]
+            follow.on_changes = self.peers.update_dependents
+            follow.on_missed_changes = self.peers.send_heartbeat
+        self._subscribing = subscribing.LoadSubscriptions(
             own,
             self.cluster,
             self.peers.subscribe,
         )
         # Agents have eight seconds for five seconds' work.
-        self.cluster.on_named = self._tell_of_version
+        self.cluster.on_desired_version = self._tell_of_version
         log = request_log.RequestLog(registry)
         #: The cluster state, as metrics.
         self.gauges = gauges.Gauges(
@@ -139,7 +139,7 @@
         what comes.
         """
         named = self._departure.lists.named_seconds
-        lately = self.peers.members.leaving_lately(now, named)
+        lately = self.peers.members.recently_draining(now, named)
         found = [member.callers for member in lately]
         if not found or self._departure.is_named(now):
             found.append(self._own.callers)
@@ -190,13 +190,13 @@
 
     async def _become_ready(self) -> None:
         """Be ready once configuration and endpoints are known."""
-        while not all(one.started for one in self._followers.values()) or (
-            self.cluster.routing is None
-        ):
+        while not all(
+            one.is_initialized for one in self._followers.values()
+        ) or (self.cluster.routing is None):
             await asyncio.sleep(0.02)
         if self.peers.phase is members.Phase.STARTING:
             self.peers.phase = members.Phase.READY
-            self.peers.speak()
+            self.peers.send_heartbeat()
             logger.bind(
                 node=self._own.name,
                 seconds=uptime.seconds(),
@@ -209,7 +209,7 @@
         while True:
             try:
                 page = await store.newest(records.Topic.ENTRIES)
-                self.peers.met(page.ips)
+                self.peers.contact(page.ips)
                 if not any(one.key == self._own.ip for one in page.records):
                     await store.put(records.Topic.ENTRIES, self._own.ip, b'1')
                 break
@@ -223,16 +223,16 @@
         while True:
             await asyncio.sleep(_TIDY_SECONDS)
             now = loop.time()
-            for endpoint in self.cluster.forget(now):
+            for endpoint in self.cluster.remove_expired(now):
                 self._sender.forget(endpoint.listing.id)
-            self.peers.members.forget(now)
+            self.peers.members.remove_expired(now)
 
     def _tell_of_version(self) -> None:
-        self.peers.speak(whole=True)
+        self.peers.send_heartbeat(full=True)
 
     def _entries(self) -> int:
         now = asyncio.get_running_loop().time()
-        return 1 + self.peers.members.lately(now, _COUNTED_SECONDS)
+        return 1 + self.peers.members.count_seen_within(now, _COUNTED_SECONDS)
 
     def _others_ready(self) -> int:
         now = asyncio.get_running_loop().time()
--- a/clementinepass/direct/gauges.py
+++ b/clementinepass/direct/gauges.py
@@ -67,6 +67,6 @@
         self._endpoints.set({}, usable)
         self._members.set({}, len(self._peers.members.alive(now)))
         for topic, own in self._followers.items():
-            if own.contact:
-                age = round(now - own.contact, 3)
+            if own.last_contact:
+                age = round(now - own.last_contact, 3)
                 self._age.set({'topic': topic.value}, age)
--- a/clementinepass/direct/gossip.py
+++ b/clementinepass/direct/gossip.py
@@ -36,49 +36,55 @@
 _HEARTBEAT_SECONDS = 0.4
 #: Of so many heartbeats one carries all members and versions. New members are
 #: heard of within two seconds, and most heartbeats stay short.
-_WHOLE_EACH = 5
+_HEARTBEATS_PER_FULL = 5
 #: Seconds since a member was heard of in which its word is passed on. An older
 #: one would keep nobody from being taken for gone.
 _FRESH_SECONDS = 1.0
 #: Members that are asked, for each heartbeat that tells of them, who they are.
-_MOST_ASKED = 2
+_MAX_INTRODUCTIONS = 2
 _NOT_FOUND = 404
 
 
 class Peers:
     """The other processes: who they are, and what they say.
 
-    :param own: who this process is.
-    :param known: the state of the cluster.
-    :param others: answers peers' requests that aren't for records.
+    :param local_node: who this process is.
+    :param cluster: the state of the cluster.
+    :param fallback_handler: answers peers' requests that aren't for records.
     """
 
     def __init__(
         self,
-        own: node.Node,
+        local_node: node.Node,
         followers: dict[records.Topic, follower.Follower],
-        known: cluster_state.ClusterState,
+        cluster: cluster_state.ClusterState,
         rng: random.Random,
-        others: connection.Handler | None = None,
+        fallback_handler: connection.Handler | None = None,
     ) -> None:
-        self._own = own
+        self._local_node = local_node
         self._followers = followers
-        self._cluster = known
+        self._cluster = cluster
         self._rng = rng
-        self._others = others
+        self._fallback_handler = fallback_handler
         self._boot = time.time_ns()
         self._sequence = 0
         self._transport: asyncio.DatagramTransport | None = None
         self._front = front.Front(self._serve)
         self._record_server = record_server.RecordServer(followers)
-        self._bootstrap = bootstrap.Bootstrap(self._whole_message, self._send)
-        self._polling = start_reading.SeedPolling(own.ip, own.seeds, rng)
-        self._catching_up = catching_up.CatchingUp(own, followers, known)
+        self._bootstrap = bootstrap.Bootstrap(
+            self._compose_full_message, self._send
+        )
+        self._polling = start_reading.SeedPolling(
+            local_node.ip, local_node.seeds, rng
+        )
+        self._catching_up = catching_up.PeerCatchUp(
+            local_node, followers, cluster
+        )
         #: The entries.
-        self.members = members.Members(own.ip)
+        self.members = members.Members(local_node.ip)
         #: Who reads the store, and when reads end, by topic.
-        self.turns_by_topic = {
-            topic: turns.Turns(own, self.members)
+        self.read_turns_by_topic = {
+            topic: turns.ReadTurns(local_node, self.members)
             for topic in (records.Topic.OPERATOR, records.Topic.ENDPOINTS)
         }
         #: Who uses the engine beside this process.
@@ -86,57 +92,59 @@
         #: What this process says of itself.
         self.phase = members.Phase.STARTING
         #: What an agent read of its engine.
-        self.held: tuple[heartbeats.Held, ...] = ()
+        self.engine_statuses: tuple[heartbeats.EngineStatus, ...] = ()
 
     async def listen(self) -> None:
         """Listen on the system's own ports."""
         loop = asyncio.get_running_loop()
         opened = await loop.create_datagram_endpoint(
             lambda: _Datagrams(self),
-            local_addr=(self._own.ip, self._own.first_port),
+            local_addr=(self._local_node.ip, self._local_node.first_port),
         )
         self._transport = opened[0]
-        await self._front.listen(self._own.ip, self._own.first_port)
+        await self._front.listen(
+            self._local_node.ip, self._local_node.first_port
+        )
 
     @property
-    def is_new(self) -> bool:
+    def is_bootstrapping(self) -> bool:
         """Tell whether this process doesn't know yet what is in the store."""
-        return not all(one.started for one in self._followers.values())
+        return not all(one.is_initialized for one in self._followers.values())
 
     async def run(self) -> None:
         """Speak for ever."""
         while True:
-            self.speak()
-            is_new = self.is_new
+            self.send_heartbeat()
+            is_new = self.is_bootstrapping
             seconds = self._polling.pause() if is_new else _HEARTBEAT_SECONDS
             await asyncio.sleep(seconds * self._rng.uniform(0.9, 1.1))
 
-    def ask(self) -> float:
+    def poll_seeds(self) -> float:
         """Ask seeds what there is; return the seconds until the next time."""
-        self.tell(self._polling.due())
+        self.send_to(self._polling.due())
         return self._polling.pause()
 
-    def speak(self, *, whole: bool = False) -> None:
+    def send_heartbeat(self, *, full: bool = False) -> None:
         """Send one heartbeat to some of the others.
 
-        :param whole: whether to send all that there is to tell, also to the
+        :param full: whether to send all that there is to tell, also to the
             agents near.
         """
         self._sequence += 1
-        is_whole = whole or self._sequence % _WHOLE_EACH == 1
-        ips = self._targets(whole=is_whole)
-        if whole:
-            ips.extend(ip for ip in self._near_agents() if ip not in ips)
+        is_whole = full or self._sequence % _HEARTBEATS_PER_FULL == 1
+        ips = self._targets(full=is_whole)
+        if full:
+            ips.extend(ip for ip in self._nearby_agents() if ip not in ips)
         payload = wire_heartbeats.write_heartbeat(
-            self._own_heartbeat(whole=is_whole),
+            self._compose_heartbeat(full=is_whole),
         )
         for ip in ips:
             self._send(payload, ip)
 
-    def tell(self, ips: list[str]) -> None:
+    def send_to(self, ips: list[str]) -> None:
         """Send one heartbeat to given processes."""
         payload = wire_heartbeats.write_heartbeat(
-            self._own_heartbeat(whole=False)
+            self._compose_heartbeat(full=False)
         )
         for ip in ips:
             self._send(payload, ip)
@@ -144,12 +152,12 @@
     def subscribe(self, ips: Iterable[str]) -> None:
         """Ask agents to be told of their engines' load for a while."""
         payload = wire_heartbeats.write_heartbeat(
-            self._own_heartbeat(whole=False, wants_load=True),
+            self._compose_heartbeat(full=False, wants_load=True),
         )
         for ip in ips:
             self._send(payload, ip)
 
-    def report(self, ips: list[str], load: heartbeats.Load) -> None:
+    def report_load(self, ips: list[str], load: heartbeats.EngineLoad) -> None:
         """Tell entries the load of the engine beside this agent."""
         payload = wire_heartbeats.write_heartbeat(
             heartbeats.Heartbeat(load=load),
@@ -157,25 +165,25 @@
         for ip in ips:
             self._send(payload, ip)
 
-    def met(self, ips: Iterable[str]) -> None:
+    def contact(self, ips: Iterable[str]) -> None:
         """Speak to processes that were found in the store."""
-        self.tell([ip for ip in ips if ip != self._own.ip])
+        self.send_to([ip for ip in ips if ip != self._local_node.ip])
 
-    def own_member(self) -> members.Member | None:
+    def local_member(self) -> members.Member | None:
         """Return what this entry says of itself; ``None`` for an agent."""
-        if not self._own.callers:
+        if not self._local_node.callers:
             return None
         return members.Member(
-            self._own.ip,
+            self._local_node.ip,
             self._boot,
             self._sequence,
             self.phase,
-            self._own.callers,
-            self._own.domain,
-            self._own.region,
+            self._local_node.callers,
+            self._local_node.domain,
+            self._local_node.region,
         )
 
-    def heard(self, payload: bytes, ip: str) -> None:
+    def receive(self, payload: bytes, ip: str) -> None:
         """Take a heartbeat."""
         try:
             heartbeat = wire_heartbeats.read_heartbeat(payload, ip)
@@ -184,19 +192,21 @@
             return
         now = asyncio.get_running_loop().time()
         if heartbeat.load is not None:
-            self._cluster.heard_load(ip, heartbeat.load, now)
+            self._cluster.update_engine_load(ip, heartbeat.load, now)
             return
         senders = () if heartbeat.sender is None else (heartbeat.sender,)
-        changed = self.members.heard((*senders, *heartbeat.members), now)
-        by_digest, unknown = self.members.heard_digests(heartbeat.digests, now)
+        changed = self.members.update((*senders, *heartbeat.members), now)
+        by_digest, unknown = self.members.update_from_digests(
+            heartbeat.digests, now
+        )
         for member in (*changed, *by_digest):
             logger.bind(peer=member.ip, phase=member.phase.value).info(
                 'member changed',
             )
-        self._introduce(heartbeat, ip, unknown)
-        self._learn(heartbeat, ip, now)
+        self._exchange_introductions(heartbeat, ip, unknown)
+        self._apply_heartbeat(heartbeat, ip, now)
 
-    def _introduce(
+    def _exchange_introductions(
         self,
         heartbeat: heartbeats.Heartbeat,
         ip: str,
@@ -206,58 +216,62 @@
 
         Such a message tells of nobody else: whoever gets it would ask on.
         """
-        if heartbeat.asks:
+        if heartbeat.wants_introduction:
             self._send(self._introduction(asks=False), ip)
-        for each in unknown[:_MOST_ASKED]:
+        for each in unknown[:_MAX_INTRODUCTIONS]:
             self._send(self._introduction(asks=True), each)
 
     def _introduction(self, *, asks: bool) -> bytes:
         return wire_heartbeats.write_heartbeat(
             heartbeats.Heartbeat(
-                sender=self.own_member(),
-                asks=asks,
+                sender=self.local_member(),
+                wants_introduction=asks,
                 operator_offset=self._offset(records.Topic.OPERATOR),
                 endpoints_offset=self._offset(records.Topic.ENDPOINTS),
             ),
         )
 
-    def _learn(
+    def _apply_heartbeat(
         self, heartbeat: heartbeats.Heartbeat, ip: str, now: float
     ) -> None:
         if heartbeat.wants_load:
-            self.subscribers.renewed(ip, now)
+            self.subscribers.renew(ip, now)
         if heartbeat.sender is not None:
             self._cluster.loads.heard(
                 ip,
                 heartbeat.in_flight_by_endpoint,
                 now,
             )
-            self._learn_turns(heartbeat, ip, now)
-        for named in heartbeat.versions:
-            self._cluster.named(
+            self._update_read_turns(heartbeat, ip, now)
+        for named in heartbeat.desired_versions:
+            self._cluster.add_desired_version(
                 named.model,
                 named.version,
                 now - named.age,
                 guessed=named.guessed,
             )
-        for held in heartbeat.held:
-            self._cluster.heard_held(held, now)
-        self._catching_up.heard(heartbeat, ip, now)
-        self._bootstrap.heard(heartbeat, ip, now, offsets=self._offsets)
+        for held in heartbeat.engine_statuses:
+            self._cluster.update_engine_status(held, now)
+        self._catching_up.handle_heartbeat(heartbeat, ip, now)
+        self._bootstrap.handle_heartbeat(
+            heartbeat, ip, now, offsets=self._offsets
+        )
 
-    def _learn_turns(
+    def _update_read_turns(
         self, heartbeat: heartbeats.Heartbeat, ip: str, now: float
     ) -> None:
         pairs = (
-            (records.Topic.OPERATOR, heartbeat.operator_ends),
-            (records.Topic.ENDPOINTS, heartbeat.endpoints_ends),
+            (records.Topic.OPERATOR, heartbeat.operator_read_ends_in),
+            (records.Topic.ENDPOINTS, heartbeat.endpoints_read_ends_in),
         )
         sender = heartbeat.sender
-        is_near = sender is not None and sender.region == self._own.region
+        is_near = (
+            sender is not None and sender.region == self._local_node.region
+        )
         for topic, seconds in pairs:
-            self.turns_by_topic[topic].heard(ip, seconds, now)
+            self.read_turns_by_topic[topic].update(ip, seconds, now)
             if is_near and seconds and topic in self._followers:
-                self._followers[topic].reader_heard(now)
+                self._followers[topic].record_reader_contact(now)
 
     async def _serve(
         self,
@@ -265,17 +279,17 @@
         reply: replies.Reply,
     ) -> None:
         """Answer a peer's request."""
-        if self._record_server.serves(request):
-            self._record_server.serve(request, reply)
-        elif self._others is None:
+        if self._record_server.handles(request):
+            self._record_server.handle(request, reply)
+        elif self._fallback_handler is None:
             reply.send(_NOT_FOUND, [], b'')
         else:
-            await self._others(request, reply)
+            await self._fallback_handler(request, reply)
 
-    def _own_heartbeat(
+    def _compose_heartbeat(
         self,
         *,
-        whole: bool,
+        full: bool,
         wants_load: bool = False,
     ) -> heartbeats.Heartbeat:
         now = asyncio.get_running_loop().time()
@@ -283,12 +297,12 @@
         is_small = len(alive) <= dissemination.MOST_DIRECT
         drawn = dissemination.digests(
             len(alive),
-            self.members.heard_within(now, _FRESH_SECONDS),
+            self.members.seen_within(now, _FRESH_SECONDS),
             self._rng,
         )
         return heartbeats.Heartbeat(
-            sender=self.own_member(),
-            members=tuple(alive) if whole and is_small else (),
+            sender=self.local_member(),
+            members=tuple(alive) if full and is_small else (),
             digests=tuple(
                 members.Digest(one.ip, one.boot, one.heartbeat, one.phase)
                 for one in drawn
@@ -296,13 +310,19 @@
             in_flight_by_endpoint=self._cluster.in_flight_by_endpoint(now),
             operator_offset=self._offset(records.Topic.OPERATOR),
             endpoints_offset=self._offset(records.Topic.ENDPOINTS),
-            configuration=self._cluster.configuration,
-            operator_ends=self._ends_in(records.Topic.OPERATOR, now),
-            endpoints_ends=self._ends_in(records.Topic.ENDPOINTS, now),
-            versions=(
-                self._cluster.versions(now) if whole or wants_load else ()
+            configuration_version=self._cluster.configuration_version,
+            operator_read_ends_in=self._read_ends_in(
+                records.Topic.OPERATOR, now
+            ),
+            endpoints_read_ends_in=self._read_ends_in(
+                records.Topic.ENDPOINTS, now
+            ),
+            desired_versions=(
+                self._cluster.desired_versions(now)
+                if full or wants_load
+                else ()
             ),
-            held=self.held,
+            engine_statuses=self.engine_statuses,
             wants_load=wants_load,
         )
 
@@ -313,37 +333,39 @@
             self._offset(records.Topic.ENDPOINTS),
         )
 
-    def _whole_message(self) -> bytes:
-        return wire_heartbeats.write_heartbeat(self._own_heartbeat(whole=True))
+    def _compose_full_message(self) -> bytes:
+        return wire_heartbeats.write_heartbeat(
+            self._compose_heartbeat(full=True)
+        )
 
     def _offset(self, topic: records.Topic) -> int:
         own = self._followers.get(topic)
-        return 0 if own is None else own.known.next_offset
+        return 0 if own is None else own.state.next_offset
 
-    def _ends_in(self, topic: records.Topic, now: float) -> float:
+    def _read_ends_in(self, topic: records.Topic, now: float) -> float:
         own = self._followers.get(topic)
-        return 0 if own is None else own.ends_in(now)
+        return 0 if own is None else own.read_ends_in(now)
 
-    def _targets(self, *, whole: bool) -> list[str]:
+    def _targets(self, *, full: bool) -> list[str]:
         """Return whom this heartbeat goes to."""
-        near, far = self.members.addresses(self._own.domain)
+        near, far = self.members.split_by_domain(self._local_node.domain)
         others: set[str] = set()
-        if self.is_new:
+        if self.is_bootstrapping:
             others.update(self._polling.due())
-        elif whole or not (near or far):
-            others.update(self._own.seeds, self._near_agents())
+        elif full or not (near or far):
+            others.update(self._local_node.seeds, self._nearby_agents())
         far.extend(others.difference(near, far))
         drawn = dissemination.targets(near, far, self._rng)
-        return [*drawn, *self._relying().difference(drawn)]
+        return [*drawn, *self._dependents().difference(drawn)]
 
-    def tell_relying(self) -> None:
+    def update_dependents(self) -> None:
         """Speak at once to those that are told of the store from here."""
-        self.tell(list(self._relying()))
-        if not self.is_new:
+        self.send_to(list(self._dependents()))
+        if not self.is_bootstrapping:
             now = asyncio.get_running_loop().time()
-            self._bootstrap.tell_waiting(now)
+            self._bootstrap.reply_to_waiting(now)
 
-    def _relying(self) -> set[str]:
+    def _dependents(self) -> set[str]:
         """Return the entries that rely on this one for what the store has.
 
         They are told with each heartbeat, however many there are: one that
@@ -355,29 +377,29 @@
         return {
             one.ip
             for one in self.members.alive(now)
-            if one.region == self._own.region
+            if one.region == self._local_node.region
         }
 
-    def _near_agents(self) -> list[str]:
+    def _nearby_agents(self) -> list[str]:
         """Return agents of the own failure domain.
 
         An agent learns from them which entries there are, and tells all of
         them when its engine has new weights.
         """
-        if not self._own.callers:
+        if not self._local_node.callers:
             return []
         return [
             endpoint.listing.address.rpartition(':')[0]
             for endpoint in self._cluster.endpoints
-            if endpoint.listing.domain == self._own.domain
+            if endpoint.listing.domain == self._local_node.domain
             and endpoint.gone_at is None
         ]
 
     def _send(self, payload: bytes, ip: str) -> None:
-        if self._transport is None or ip == self._own.ip:
+        if self._transport is None or ip == self._local_node.ip:
             return
         with contextlib.suppress(OSError):
-            self._transport.sendto(payload, (ip, self._own.first_port))
+            self._transport.sendto(payload, (ip, self._local_node.first_port))
 
 
 class _Datagrams(asyncio.DatagramProtocol):
@@ -392,7 +414,7 @@
         address: tuple[str | typing.Any, int],
     ) -> None:
         """Take one datagram."""
-        self._peers.heard(payload, str(address[0]))
+        self._peers.receive(payload, str(address[0]))
 
     def error_received(self, error: Exception) -> None:
         """Pass over a peer that isn't there; its silence says it."""
--- a/clementinepass/direct/leaving.py
+++ b/clementinepass/direct/leaving.py
@@ -56,8 +56,8 @@
         loop.add_signal_handler(signal.SIGINT, self._told.set)
         await self._told.wait()
         plan = self._departure.begin(loop.time())
-        self._peers.phase = members.Phase.LEAVING
-        self._peers.speak()
+        self._peers.phase = members.Phase.DRAINING
+        self._peers.send_heartbeat()
         self._front.leaving = True
         self._path.end_by(plan.last)
         logger.bind(
--- a/clementinepass/direct/members.py
+++ b/clementinepass/direct/members.py
@@ -17,10 +17,10 @@
 #: Seconds without a new heartbeat after which a process is taken for gone.
 #: Six heartbeats: datagrams are lost now and then, and one gone too early
 #: takes callers off an entry that serves.
-SILENCE_SECONDS = 2.4
+SILENCE_TIMEOUT_SECONDS = 2.4
 #: Seconds for which one that is gone is remembered, so that the word of one
 #: who hasn't noticed doesn't bring it back.
-_FORGET_SECONDS = 20.0
+_RETENTION_SECONDS = 20.0
 
 
 class Phase(enum.Enum):
@@ -28,7 +28,7 @@
 
     STARTING = 'starting'
     READY = 'ready'
-    LEAVING = 'leaving'
+    DRAINING = 'leaving'
 
 
 class Member(typing.NamedTuple):
@@ -57,19 +57,19 @@
     phase: Phase
 
 
-class _Seen:
+class _MemberState:
     """The newest word of a member and when it came."""
 
-    __slots__ = ('at', 'leaving_at', 'member')
+    __slots__ = ('last_seen', 'draining_since', 'member')
 
     def __init__(self, member: Member, at: float) -> None:
         self.member = member
-        self.at = at
+        self.last_seen = at
         #: When it first said that it leaves; ``None`` before that. One that is
         #: met as it leaves may have been told long ago.
-        self.leaving_at: float | None = None
-        if member.phase is Phase.LEAVING:
-            self.leaving_at = float('-inf')
+        self.draining_since: float | None = None
+        if member.phase is Phase.DRAINING:
+            self.draining_since = float('-inf')
 
 
 class Members:
@@ -78,17 +78,19 @@
     :param own_ip: the number of this process, which isn't listed.
     """
 
-    __slots__ = ('_own_ip', '_seen_by_ip')
+    __slots__ = ('_local_ip', '_states_by_ip')
 
     def __init__(self, own_ip: str) -> None:
-        self._own_ip = own_ip
-        self._seen_by_ip: dict[str, _Seen] = {}
+        self._local_ip = own_ip
+        self._states_by_ip: dict[str, _MemberState] = {}
 
-    def heard(self, members: Iterable[Member], now: float) -> list[Member]:
+    def update(self, members: Iterable[Member], now: float) -> list[Member]:
         """Take members' words; return those that are new or changed."""
-        return [member for member in members if self._take(member, now)]
+        return [
+            member for member in members if self._update_member(member, now)
+        ]
 
-    def heard_digests(
+    def update_from_digests(
         self,
         digests: Iterable[Digest],
         now: float,
@@ -101,29 +103,29 @@
         changed = []
         unknown = []
         for digest in digests:
-            seen = self._seen_by_ip.get(digest.ip)
+            seen = self._states_by_ip.get(digest.ip)
             if seen is not None:
                 newer = seen.member._replace(
                     boot=digest.boot,
                     heartbeat=digest.heartbeat,
                     phase=digest.phase,
                 )
-                if self._take(newer, now):
+                if self._update_member(newer, now):
                     changed.append(newer)
-            elif digest.ip != self._own_ip:
+            elif digest.ip != self._local_ip:
                 unknown.append(digest.ip)
         return changed, unknown
 
     def alive(self, now: float) -> list[Member]:
         """Return the members that are there."""
-        return self.heard_within(now, SILENCE_SECONDS)
+        return self.seen_within(now, SILENCE_TIMEOUT_SECONDS)
 
-    def heard_within(self, now: float, seconds: float) -> list[Member]:
+    def seen_within(self, now: float, seconds: float) -> list[Member]:
         """Return the members that were heard of within some seconds."""
         return [
             seen.member
-            for seen in self._seen_by_ip.values()
-            if now - seen.at <= seconds
+            for seen in self._states_by_ip.values()
+            if now - seen.last_seen <= seconds
         ]
 
     def ready(self, now: float) -> list[Member]:
@@ -132,56 +134,58 @@
             member for member in self.alive(now) if member.phase is Phase.READY
         ]
 
-    def leaving_lately(self, now: float, seconds: float) -> list[Member]:
+    def recently_draining(self, now: float, seconds: float) -> list[Member]:
         """Return the members that began to leave within some seconds."""
         return [
             seen.member
-            for seen in self._seen_by_ip.values()
-            if seen.leaving_at is not None and now - seen.leaving_at <= seconds
+            for seen in self._states_by_ip.values()
+            if seen.draining_since is not None
+            and now - seen.draining_since <= seconds
         ]
 
-    def lately(self, now: float, seconds: float) -> int:
+    def count_seen_within(self, now: float, seconds: float) -> int:
         """Count the members heard of within some seconds."""
         return sum(
-            now - seen.at <= seconds for seen in self._seen_by_ip.values()
+            now - seen.last_seen <= seconds
+            for seen in self._states_by_ip.values()
         )
 
-    def addresses(self, domain: str) -> tuple[list[str], list[str]]:
+    def split_by_domain(self, domain: str) -> tuple[list[str], list[str]]:
         """Return the IP numbers known, also of those that fell silent.
 
         Those in a failure domain first, then those in others.
         """
         near: list[str] = []
         far: list[str] = []
-        for ip, seen in self._seen_by_ip.items():
+        for ip, seen in self._states_by_ip.items():
             (near if seen.member.domain == domain else far).append(ip)
         return near, far
 
-    def forget(self, now: float) -> list[Member]:
+    def remove_expired(self, now: float) -> list[Member]:
         """Drop members that are long gone; return them."""
         gone = [
             seen.member
-            for seen in self._seen_by_ip.values()
-            if now - seen.at > _FORGET_SECONDS
+            for seen in self._states_by_ip.values()
+            if now - seen.last_seen > _RETENTION_SECONDS
         ]
         for member in gone:
-            del self._seen_by_ip[member.ip]
+            del self._states_by_ip[member.ip]
         return gone
 
-    def _take(self, member: Member, now: float) -> bool:
-        if member.ip == self._own_ip:
+    def _update_member(self, member: Member, now: float) -> bool:
+        if member.ip == self._local_ip:
             return False
-        seen = self._seen_by_ip.get(member.ip)
+        seen = self._states_by_ip.get(member.ip)
         if seen is None:
-            self._seen_by_ip[member.ip] = _Seen(member, now)
+            self._states_by_ip[member.ip] = _MemberState(member, now)
             return True
         known = seen.member
         if (member.boot, member.heartbeat) <= (known.boot, known.heartbeat):
             return False
-        if member.phase is not Phase.LEAVING:
-            seen.leaving_at = None
-        elif seen.leaving_at is None:
-            seen.leaving_at = now
+        if member.phase is not Phase.DRAINING:
+            seen.draining_since = None
+        elif seen.draining_since is None:
+            seen.draining_since = now
         seen.member = member
-        seen.at = now
+        seen.last_seen = now
         return known.boot != member.boot or known.phase is not member.phase
--- a/clementinepass/direct/path.py
+++ b/clementinepass/direct/path.py
@@ -197,7 +197,7 @@
             ending,
             status,
             request_log.Basis(
-                configuration=self._cluster.configuration,
+                configuration=self._cluster.configuration_version,
                 last_in=self._last_in(call, ending),
                 store_age=self._cluster.store_age,
             ),
--- a/clementinepass/direct/placing.py
+++ b/clementinepass/direct/placing.py
@@ -68,7 +68,7 @@
         while endpoint is None and loop.time() < until:
             if self._cluster.candidates(admitted.service, loop.time()):
                 break
-            if not self._cluster.loading(admitted.service, loop.time()):
+            if not self._cluster.is_loading(admitted.service, loop.time()):
                 break
             await asyncio.sleep(_LOOK_SECONDS)
             endpoint = self.place(admitted)
@@ -168,7 +168,9 @@
     ) -> float:
         if engine is None:
             return math.inf
-        begin_by = self._cluster.begin_by(engine, endpoint.weights.version)
+        begin_by = self._cluster.start_deadline(
+            engine, endpoint.weights.version
+        )
         return begin_by - now
 
     def _fits(
--- a/clementinepass/direct/record_server.py
+++ b/clementinepass/direct/record_server.py
@@ -14,14 +14,14 @@
     from clementinepass.http import messages, replies
 
 #: Level of compression that costs least time.
-_FASTEST = 1
+_FASTEST_COMPRESSION = 1
 _OK = 200
 #: Answers kept by topic: those that ask at the same moment know one of a few
 #: offsets, mostly nothing.
-_MOST_KEPT = 4
+_MAX_CACHED_RESPONSES = 4
 
 
-class _Key(typing.NamedTuple):
+class _CacheKey(typing.NamedTuple):
     """What an answer is for, and what was known when it was written."""
 
     topic: records.Topic
@@ -29,13 +29,13 @@
     revision: int
     next_offset: int
 
-    def is_current(self, newest: _Key) -> bool:
+    def is_current(self, newest: _CacheKey) -> bool:
         """Tell whether nothing has changed since."""
         mine = self.revision, self.next_offset
         return mine == (newest.revision, newest.next_offset)
 
 
-class _Answer(typing.NamedTuple):
+class _Response(typing.NamedTuple):
     """Records from an offset on, as they are sent."""
 
     body: bytes
@@ -50,20 +50,20 @@
     each, the last were answered when they had long given up and asked anew.
     """
 
-    __slots__ = ('_answers_by_key', '_followers')
+    __slots__ = ('_responses_by_key', '_followers')
 
     def __init__(
         self,
         followers: dict[records.Topic, follower.Follower],
     ) -> None:
         self._followers = followers
-        self._answers_by_key: dict[_Key, _Answer] = {}
+        self._responses_by_key: dict[_CacheKey, _Response] = {}
 
-    def serves(self, request: messages.Request) -> bool:
+    def handles(self, request: messages.Request) -> bool:
         """Tell whether a request asks for records."""
         return self._topic(request) is not None
 
-    def serve(self, request: messages.Request, reply: replies.Reply) -> None:
+    def handle(self, request: messages.Request, reply: replies.Reply) -> None:
         """Hand over what a topic has from an offset on.
 
         Load: a configuration of 50 KB that a few hand to all of a region. They
@@ -73,7 +73,7 @@
         if topic is None:
             raise KeyError(request.path)
         offset = int(request.target.partition(b'?')[2] or b'0')
-        answer = self._answer(self._followers[topic], offset)
+        answer = self._response(self._followers[topic], offset)
         if b'deflate' in request.headers.tokens(b'accept-encoding'):
             pairs = [(b'Content-Encoding', b'deflate')]
             reply.send(_OK, pairs, answer.compressed)
@@ -82,39 +82,39 @@
 
     def _topic(self, request: messages.Request) -> records.Topic | None:
         for topic in self._followers:
-            if request.path == catching_up.PATH + topic.value.encode():
+            if request.path == catching_up.PATH_PREFIX + topic.value.encode():
                 return topic
         return None
 
-    def _answer(self, own: follower.Follower, offset: int) -> _Answer:
+    def _response(self, own: follower.Follower, offset: int) -> _Response:
         age = own.outage_age(asyncio.get_running_loop().time())
         if age is not None:
             # How old the outage is differs from moment to moment.
-            return _written(own.known.since(offset)._replace(outage_age=age))
-        key = _Key(
+            return _encode(own.state.since(offset)._replace(outage_age=age))
+        key = _CacheKey(
             own.topic,
             offset,
-            own.known.revision,
-            own.known.next_offset,
+            own.state.revision,
+            own.state.next_offset,
         )
-        known = self._answers_by_key.get(key)
+        known = self._responses_by_key.get(key)
         if known is None:
-            known = _written(own.known.since(offset))
-            self._keep(key, known)
+            known = _encode(own.state.since(offset))
+            self._cache_response(key, known)
         return known
 
-    def _keep(self, key: _Key, answer: _Answer) -> None:
+    def _cache_response(self, key: _CacheKey, answer: _Response) -> None:
         """Keep an answer; drop those that are out of date, and the oldest."""
         of_topic = [
-            each for each in self._answers_by_key if each.topic is key.topic
+            each for each in self._responses_by_key if each.topic is key.topic
         ]
         current = [each for each in of_topic if each.is_current(key)]
         for each in of_topic:
-            if each not in current[1 - _MOST_KEPT :]:
-                del self._answers_by_key[each]
-        self._answers_by_key[key] = answer
+            if each not in current[1 - _MAX_CACHED_RESPONSES :]:
+                del self._responses_by_key[each]
+        self._responses_by_key[key] = answer
 
 
-def _written(page: records.Page) -> _Answer:
+def _encode(page: records.Page) -> _Response:
     body = wire_heartbeats.write_records(page)
-    return _Answer(body, zlib.compress(body, _FASTEST))
+    return _Response(body, zlib.compress(body, _FASTEST_COMPRESSION))
--- a/clementinepass/direct/telling.py
+++ b/clementinepass/direct/telling.py
@@ -94,13 +94,13 @@
         now = asyncio.get_running_loop().time()
         due = self._peers.subscribers.due(now)
         if due:
-            load = heartbeats.Load(active, queued, self._started)
-            self._peers.report(due, load)
+            load = heartbeats.EngineLoad(active, queued, self._started)
+            self._peers.report_load(due, load)
 
     def _tell(self) -> None:
         if self._held is None:
             return
-        word = heartbeats.Held(
+        word = heartbeats.EngineStatus(
             self._own.endpoint,
             self._held.version,
             self._held.first,
@@ -108,11 +108,11 @@
             self._congested_at is not None,
             self._started,
         )
-        self._peers.held = (word,)
+        self._peers.engine_statuses = (word,)
         loop = asyncio.get_running_loop()
         for time in range(_TOLD_TIMES):
             loop.call_later(time * _TELL_SECONDS, self._tell_all)
 
     def _tell_all(self) -> None:
         now = asyncio.get_running_loop().time()
-        self._peers.tell([one.ip for one in self._peers.members.alive(now)])
+        self._peers.send_to([one.ip for one in self._peers.members.alive(now)])
--- a/clementinepass/machines.py
+++ b/clementinepass/machines.py
@@ -142,8 +142,8 @@
     await process.run()
 
 
-def _readers() -> intake.Readers:
-    return intake.Readers(operator=operator.read, endpoint=registry.read)
+def _readers() -> intake.Decoders:
+    return intake.Decoders(operator=operator.read, endpoint=registry.read)
 
 
 def _settle() -> None:
--- a/clementinepass/platform/operator.py
+++ b/clementinepass/platform/operator.py
@@ -115,7 +115,7 @@
 
 def read(
     record: records.Record,
-) -> routing.Routing | intake.NamedVersion | None:
+) -> routing.Routing | intake.DesiredVersion | None:
     """Decode a record of the operator; ``None`` for one of no concern.
 
     :raises MalformedMessageError: the record can't be decoded.
@@ -128,7 +128,7 @@
         return _routing(config)
     if record.key.startswith(_VERSION_PREFIX):
         named = decoding.decode(record.payload, _Version, _STEP, peer)
-        return intake.NamedVersion(named.model, named.version)
+        return intake.DesiredVersion(named.model, named.version)
     return None
 
 
--- a/clementinepass/wire/heartbeats.py
+++ b/clementinepass/wire/heartbeats.py
@@ -16,7 +16,7 @@
 _MS = 1000
 _IP_BYTES = 4
 #: Requests that a message can tell of.
-_MOST_COUNTED = 65535
+_MAX_COUNT = 65535
 
 
 def write_heartbeat(heartbeat: heartbeats.Heartbeat) -> bytes:
@@ -38,16 +38,16 @@
     pairs = heartbeat.in_flight_by_endpoint.items()
     for slot, (endpoint, in_flight) in zip(loads, pairs, strict=True):
         slot.endpoint = endpoint
-        slot.inFlight = min(in_flight, _MOST_COUNTED)
+        slot.inFlight = min(in_flight, _MAX_COUNT)
     message.follow.operatorOffset = heartbeat.operator_offset
     message.follow.endpointsOffset = heartbeat.endpoints_offset
-    message.follow.configuration = heartbeat.configuration
-    message.follow.operatorEndsMs = int(heartbeat.operator_ends * _MS)
-    message.follow.endpointsEndsMs = int(heartbeat.endpoints_ends * _MS)
+    message.follow.configuration = heartbeat.configuration_version
+    message.follow.operatorEndsMs = int(heartbeat.operator_read_ends_in * _MS)
+    message.follow.endpointsEndsMs = int(heartbeat.endpoints_read_ends_in * _MS)
     message.wantsLoad = heartbeat.wants_load
-    message.asks = heartbeat.asks
+    message.asks = heartbeat.wants_introduction
     _write_versions(message, heartbeat)
-    _write_held(message, heartbeat)
+    _write_engine_statuses(message, heartbeat)
     return bytes(message.to_bytes_packed())
 
 
@@ -59,8 +59,8 @@
     try:
         message = _SCHEMA.Heartbeat.from_bytes_packed(payload)
         if message._has('load'):
-            return heartbeats.Heartbeat(load=_load(message.load))
-        return _own_heartbeat(message)
+            return heartbeats.Heartbeat(load=_read_load(message.load))
+        return _read_heartbeat_fields(message)
     except (capnp.KjException, IndexError, UnicodeDecodeError) as error:
         raise errors.MalformedMessageError(
             str(error),
@@ -140,17 +140,19 @@
 def _write_versions(
     message: typing.Any, heartbeat: heartbeats.Heartbeat
 ) -> None:
-    slots = message.init('versions', len(heartbeat.versions))
-    for slot, named in zip(slots, heartbeat.versions, strict=True):
+    slots = message.init('versions', len(heartbeat.desired_versions))
+    for slot, named in zip(slots, heartbeat.desired_versions, strict=True):
         slot.model = named.model
         slot.version = named.version
         slot.ageMs = min(int(named.age * _MS), 2**32 - 1)
         slot.guessed = named.guessed
 
 
-def _write_held(message: typing.Any, heartbeat: heartbeats.Heartbeat) -> None:
-    slots = message.init('held', len(heartbeat.held))
-    for slot, held in zip(slots, heartbeat.held, strict=True):
+def _write_engine_statuses(
+    message: typing.Any, heartbeat: heartbeats.Heartbeat
+) -> None:
+    slots = message.init('held', len(heartbeat.engine_statuses))
+    for slot, held in zip(slots, heartbeat.engine_statuses, strict=True):
         slot.address = held.address
         slot.version = held.version
         slot.first = held.first
@@ -159,23 +161,23 @@
         slot.started = held.started
 
 
-def _own_heartbeat(message: typing.Any) -> heartbeats.Heartbeat:
-    sender = _member(message.sender)
+def _read_heartbeat_fields(message: typing.Any) -> heartbeats.Heartbeat:
+    sender = _read_member(message.sender)
     return heartbeats.Heartbeat(
         sender=sender if sender.ip else None,
-        members=tuple(map(_member, message.members)),
-        digests=tuple(map(_digest, message.digests)),
-        asks=message.asks,
+        members=tuple(map(_read_member, message.members)),
+        digests=tuple(map(_read_digest, message.digests)),
+        wants_introduction=message.asks,
         in_flight_by_endpoint={
             load.endpoint: load.inFlight for load in message.loads
         },
         operator_offset=message.follow.operatorOffset,
         endpoints_offset=message.follow.endpointsOffset,
-        configuration=message.follow.configuration,
-        operator_ends=message.follow.operatorEndsMs / _MS,
-        endpoints_ends=message.follow.endpointsEndsMs / _MS,
-        versions=tuple(
-            heartbeats.NamedVersion(
+        configuration_version=message.follow.configuration,
+        operator_read_ends_in=message.follow.operatorEndsMs / _MS,
+        endpoints_read_ends_in=message.follow.endpointsEndsMs / _MS,
+        desired_versions=tuple(
+            heartbeats.DesiredVersion(
                 named.model,
                 named.version,
                 named.ageMs / _MS,
@@ -183,22 +185,22 @@
             )
             for named in message.versions
         ),
-        held=tuple(map(_held, message.held)),
+        engine_statuses=tuple(map(_read_engine_status, message.held)),
         wants_load=message.wantsLoad,
     )
 
 
-def _write_load(slot: typing.Any, load: heartbeats.Load) -> None:
-    slot.active = min(load.active, _MOST_COUNTED)
-    slot.queued = min(load.queued, _MOST_COUNTED)
+def _write_load(slot: typing.Any, load: heartbeats.EngineLoad) -> None:
+    slot.active = min(load.active, _MAX_COUNT)
+    slot.queued = min(load.queued, _MAX_COUNT)
     slot.started = load.started
 
 
-def _load(slot: typing.Any) -> heartbeats.Load:
-    return heartbeats.Load(slot.active, slot.queued, slot.started)
+def _read_load(slot: typing.Any) -> heartbeats.EngineLoad:
+    return heartbeats.EngineLoad(slot.active, slot.queued, slot.started)
 
 
-def _digest(slot: typing.Any) -> members.Digest:
+def _read_digest(slot: typing.Any) -> members.Digest:
     return members.Digest(
         socket.inet_ntoa(slot.ip.to_bytes(_IP_BYTES, 'big')),
         slot.boot,
@@ -207,8 +209,8 @@
     )
 
 
-def _held(slot: typing.Any) -> heartbeats.Held:
-    return heartbeats.Held(
+def _read_engine_status(slot: typing.Any) -> heartbeats.EngineStatus:
+    return heartbeats.EngineStatus(
         slot.address,
         slot.version,
         slot.first,
@@ -218,7 +220,7 @@
     )
 
 
-def _member(slot: typing.Any) -> members.Member:
+def _read_member(slot: typing.Any) -> members.Member:
     return members.Member(
         ip=slot.ip,
         boot=slot.boot,
--- a/standins/machines.py
+++ b/standins/machines.py
@@ -29,7 +29,7 @@
 
 CHUNKS = 12
 LAYERS = 4
-READERS = intake.Readers(operator=operator.read, endpoint=registry.read)
+READERS = intake.Decoders(operator=operator.read, endpoint=registry.read)
 #: A route of streams that may be resumed; its service is to be named.
 STREAM_ROUTE: dict[str, typing.Any] = {
     'name': 'stream',
--- a/tests/direct/path_world.py
+++ b/tests/direct/path_world.py
@@ -129,7 +129,7 @@
         keys: tuple[bytes, ...] = (b'key',),
     ) -> None:
         """Put a configuration in force."""
-        self.cluster.configured(
+        self.cluster.apply_configuration(
             routing.Routing(
                 version,
                 routes,
@@ -155,7 +155,7 @@
             heartbeat=len(one.came),
             weights=endpoints.Weights(1, 0, 2),
         )
-        self.cluster.listed(usual._replace(**changes))
+        self.cluster.update_listing(usual._replace(**changes))
 
     def kept(self, endpoint_id: str) -> list[channel.Channel]:
         """Return the idle connections that are kept to an endpoint."""
--- a/tests/direct/test_bootstrap.py
+++ b/tests/direct/test_bootstrap.py
@@ -31,7 +31,9 @@
             operator_offset=read,
             endpoints_offset=read,
         )
-        self.bootstrap.heard(heartbeat, ip, 1, offsets=(known, known))
+        self.bootstrap.handle_heartbeat(
+            heartbeat, ip, 1, offsets=(known, known)
+        )
 
     def test_composed_once(self) -> None:
         """A seed composed the same message for each of 300 that asked."""
@@ -45,22 +47,22 @@
         for ip in ASKERS:
             self.ask(ip)
         self.assertEqual([], self.told)
-        self.bootstrap.tell_waiting(1)
+        self.bootstrap.reply_to_waiting(1)
         self.assertEqual(ASKERS, self.told)
-        self.bootstrap.tell_waiting(2)
+        self.bootstrap.reply_to_waiting(2)
         self.assertEqual(len(ASKERS), len(self.told))
 
     def test_told_by_another(self) -> None:
         """One that knows all by then isn't told."""
         self.ask(ASKERS[0])
         self.ask(ASKERS[0], read=3)
-        self.bootstrap.tell_waiting(1)
+        self.bootstrap.reply_to_waiting(1)
         self.assertEqual([], self.told)
 
     def test_one_topic_known(self) -> None:
         """What is known is told at once, and the rest when it is known."""
         heartbeat = heartbeats.Heartbeat()
-        self.bootstrap.heard(heartbeat, ASKERS[0], 1, offsets=(4, 0))
+        self.bootstrap.handle_heartbeat(heartbeat, ASKERS[0], 1, offsets=(4, 0))
         self.assertEqual(1, len(self.told))
-        self.bootstrap.tell_waiting(1)
+        self.bootstrap.reply_to_waiting(1)
         self.assertEqual(2, len(self.told))
--- a/tests/direct/test_catching_up.py
+++ b/tests/direct/test_catching_up.py
@@ -77,8 +77,8 @@
         )
         if not new:
             first = records.Record('config', 4, b'1')
-            self.follower.take(records.Page((first,), 5))
-        self.catching_up = catching_up.CatchingUp(
+            self.follower.apply(records.Page((first,), 5))
+        self.catching_up = catching_up.PeerCatchUp(
             own,
             {OPERATOR: self.follower},
             self.cluster,
@@ -87,14 +87,16 @@
     def _wrote(self, record: records.Record) -> None:
         bounds = limits.Bounds()
         version = int(record.payload or b'0')
-        self.cluster.configured(routing.Routing(version, (), (), None, bounds))
+        self.cluster.apply_configuration(
+            routing.Routing(version, (), (), None, bounds)
+        )
 
     def heard(self, now: float, offset: int, configuration: int = 1) -> None:
         """Hear a heartbeat."""
         heartbeat = heartbeats.Heartbeat(
-            operator_offset=offset, configuration=configuration
+            operator_offset=offset, configuration_version=configuration
         )
-        self.catching_up.heard(heartbeat, HOST, now)
+        self.catching_up.handle_heartbeat(heartbeat, HOST, now)
 
 
 def run(
@@ -119,7 +121,7 @@
 
 async def until_version(world: _World, version: int) -> None:
     """Wait until a configuration is in force."""
-    while world.cluster.configuration != version:
+    while world.cluster.configuration_version != version:
         await asyncio.sleep(0)
 
 
@@ -203,7 +205,7 @@
                 async with asyncio.timeout(0.3):
                     await peer.served.wait()
             await asyncio.sleep(0.05)
-            self.assertFalse(world.follower.started)
+            self.assertFalse(world.follower.is_initialized)
 
         run(records.Page((), 0), play, new=True)
 
@@ -215,7 +217,7 @@
             world.heard(1, 6)
             await peer.served.wait()
             await asyncio.sleep(0.05)
-            self.assertFalse(world.follower.started)
+            self.assertFalse(world.follower.is_initialized)
 
         run(records.Page((), 0), play, new=True)
 
--- a/tests/direct/test_cluster_state.py
+++ b/tests/direct/test_cluster_state.py
@@ -56,7 +56,7 @@
     def setUp(self) -> None:
         super().setUp()
         self.known = cluster_state.ClusterState(OWN, clock=lambda: 100)
-        self.known.listed(listing(1000, 50, OLD))
+        self.known.update_listing(listing(1000, 50, OLD))
 
     @property
     def endpoint(self) -> endpoints.Endpoint:
@@ -67,8 +67,8 @@
 
     def told(self, started: int, weights: endpoints.Weights) -> None:
         """Hear an agent."""
-        self.known.heard_held(
-            heartbeats.Held(ADDRESS, *weights, started=started),
+        self.known.update_engine_status(
+            heartbeats.EngineStatus(ADDRESS, *weights, started=started),
             100,
         )
 
@@ -78,7 +78,7 @@
         Requests went to weights that the engine no longer held, until it had
         loaded them.
         """
-        self.known.listed(listing(2000, 1))
+        self.known.update_listing(listing(2000, 1))
         self.told(1000, OLD)
         self.assertEqual(EMPTY, self.endpoint.weights)
         self.told(2000, OLD)
@@ -89,10 +89,10 @@
         self.told(2000, EMPTY)
         self.assertEqual(EMPTY, self.endpoint.weights)
         # The list's late words of the start before say nothing of it.
-        self.known.listed(listing(1000, 51, endpoints.Weights(2, 0, 3)))
+        self.known.update_listing(listing(1000, 51, endpoints.Weights(2, 0, 3)))
         self.assertEqual(EMPTY, self.endpoint.weights)
         self.told(2000, OLD)
-        self.known.listed(listing(2000, 1))
+        self.known.update_listing(listing(2000, 1))
         self.assertEqual(OLD, self.endpoint.weights)
 
     def test_agent_faster_than_the_list_of_one_that_was_dropped(self) -> None:
@@ -103,7 +103,7 @@
         """
         self.known.endpoints.removed('i-1', now=90, grace=0)
         self.told(2000, EMPTY)
-        self.known.listed(listing(2000, 1))
+        self.known.update_listing(listing(2000, 1))
         self.assertEqual(EMPTY, self.endpoint.weights)
 
     def test_agent_that_tells_no_start(self) -> None:
@@ -119,14 +119,14 @@
         """
         before = self.endpoint
         for _ in range(3):
-            self.known.failed(before, 1)
+            self.known.record_failure(before, 1)
         self.assertIn('i-1', self.known.ejector.ejected(1))
-        self.known.listed(listing(2000, 1))
+        self.known.update_listing(listing(2000, 1))
         for _ in range(3):
-            self.known.failed(before, 1.1)
+            self.known.record_failure(before, 1.1)
         self.assertNotIn('i-1', self.known.ejector.ejected(1.5))
         for _ in range(3):
-            self.known.failed(self.endpoint, 1.6)
+            self.known.record_failure(self.endpoint, 1.6)
         self.assertIn('i-1', self.known.ejector.ejected(2))
 
     def test_load_told_by_peers(self) -> None:
@@ -134,7 +134,7 @@
         self.known.loads.heard('10.0.0.8', {'i-1': 9, 'i-2': 1}, 100)
         self.endpoint.in_flight = 3
         self.assertEqual(12, self.known.loads.total(self.endpoint, 100))
-        self.known.listed(listing(2000, 1))
+        self.known.update_listing(listing(2000, 1))
         self.assertEqual(0, self.known.loads.total(self.endpoint, 100))
 
     def test_service_that_is_not_named(self) -> None:
@@ -145,7 +145,7 @@
         service = routing.Service('pool', 8)
         self.assertEqual([], self.known.candidates(service, 100))
         for version, services in ((1, []), (2, [service])):
-            self.known.configured(
+            self.known.apply_configuration(
                 routing.Routing(version, [], services, None, limits.Bounds()),
             )
             found = self.known.candidates(service, 100)
@@ -159,13 +159,13 @@
         """Engines took turns beyond the bound of a version that was dropped."""
         known = cluster_state.ClusterState(OWN, clock=lambda: 100)
         for version, since in ((2, 100), (3, 104)):
-            known.named('m', version, since)
+            known.add_desired_version('m', version, since)
         engine = typing.cast('routing.Engine', _Model())
         bound = OWN.duties.version
 
-        self.assertAlmostEqual(100 + bound, known.begin_bound(engine, 1))
-        self.assertAlmostEqual(104 + bound, known.begin_bound(engine, 2))
-        self.assertEqual(math.inf, known.begin_bound(engine, 3))
+        self.assertAlmostEqual(100 + bound, known.version_bound(engine, 1))
+        self.assertAlmostEqual(104 + bound, known.version_bound(engine, 2))
+        self.assertEqual(math.inf, known.version_bound(engine, 3))
 
 
 class _Model:
--- a/tests/direct/test_endpoint_loads.py
+++ b/tests/direct/test_endpoint_loads.py
@@ -45,9 +45,9 @@
     return routing.Routing(1, (), (service,), None, limits.Bounds())
 
 
-def load(active: int, queued: int, started: int = 0) -> heartbeats.Load:
+def load(active: int, queued: int, started: int = 0) -> heartbeats.EngineLoad:
     """Return an agent's word on it."""
-    return heartbeats.Load(active, queued, started)
+    return heartbeats.EngineLoad(active, queued, started)
 
 
 class ReportedTest(testtools.TestCase):
@@ -57,7 +57,7 @@
         """Know an engine, and another entry's count of its requests there."""
         super().setUp()
         self.known = cluster_state.ClusterState(test_cluster_state.OWN)
-        self.known.listed(listing())
+        self.known.update_listing(listing())
         self.known.loads.heard('10.0.0.8', {'i-1': 9}, NOW)
         (self.engine,) = self.known.endpoints
 
@@ -68,31 +68,31 @@
     def test_goes_before_counts(self) -> None:
         """Counts of others are old where there are many entries."""
         self.assertEqual(9, self.total())
-        self.known.heard_load(HOST, load(3, 2), NOW)
+        self.known.update_engine_load(HOST, load(3, 2), NOW)
 
         self.assertEqual(5, self.total())
         self.assertEqual(2, self.known.loads.unbegun(self.engine, NOW))
 
     def test_sent_since(self) -> None:
         """What was sent since the last report is added until the next."""
-        self.known.heard_load(HOST, load(3, 0), NOW)
+        self.known.update_engine_load(HOST, load(3, 0), NOW)
         for after in (0.05, 0.09):
             self.engine.reported.sent(NOW + after)
         self.assertEqual(5, self.total())
 
-        self.known.heard_load(HOST, load(4, 0), NOW + 0.2)
+        self.known.update_engine_load(HOST, load(4, 0), NOW + 0.2)
         self.assertEqual(4, self.total())
 
     def test_sent_meanwhile(self) -> None:
         """A report left before a request came that was sent before it came."""
         self.engine.reported.sent(NOW)
-        self.known.heard_load(HOST, load(3, 0), NOW + 0.01)
+        self.known.update_engine_load(HOST, load(3, 0), NOW + 0.01)
 
         self.assertEqual(4, self.total())
 
     def test_agent_silent(self) -> None:
         """Placing went on by the last report of an agent that was killed."""
-        self.known.heard_load(HOST, load(0, 0), NOW)
+        self.known.update_engine_load(HOST, load(0, 0), NOW)
         self.assertEqual(0, self.total(after=0.9))
         self.assertEqual(9, self.total(after=1.1))
 
@@ -102,15 +102,15 @@
         To those others the engine looked empty, and drew their requests.
         """
         self.known.loads.heard('10.0.0.8', {}, NOW)
-        self.known.heard_load(HOST, load(8, 5), NOW)
+        self.known.update_engine_load(HOST, load(8, 5), NOW)
         self.assertEqual(13, self.total(after=1.1))
         self.assertEqual(0, self.total(after=5.1))
 
     def test_start_before(self) -> None:
         """A report of the engine's start before came after its crash."""
-        self.known.listed(listing(started=5)._replace(heartbeat=2))
+        self.known.update_listing(listing(started=5)._replace(heartbeat=2))
         (self.engine,) = self.known.endpoints
-        self.known.heard_load(HOST, load(8, 8, started=4), NOW)
+        self.known.update_engine_load(HOST, load(8, 8, started=4), NOW)
 
         self.assertEqual(0, self.engine.reported.total)
 
@@ -119,7 +119,7 @@
         self.engine.in_flight = 2
         self.assertEqual({'i-1': 2}, self.known.in_flight_by_endpoint(NOW))
 
-        self.known.heard_load(HOST, load(2, 0), NOW)
+        self.known.update_engine_load(HOST, load(2, 0), NOW)
         self.assertEqual({}, self.known.in_flight_by_endpoint(NOW))
         self.assertEqual(
             {'i-1': 2}, self.known.in_flight_by_endpoint(NOW + 1.1)
@@ -143,9 +143,9 @@
     def test_lease(self) -> None:
         """An entry that was killed is told no longer than its lease."""
         known = subscribers.Subscribers()
-        known.renewed('10.0.0.1', NOW)
-        known.renewed('10.0.0.2', NOW)
-        known.renewed('10.0.0.2', NOW + 2)
+        known.renew('10.0.0.1', NOW)
+        known.renew('10.0.0.2', NOW)
+        known.renew('10.0.0.2', NOW + 2)
 
         self.assertEqual(['10.0.0.1', '10.0.0.2'], known.due(NOW + 3))
         self.assertEqual([], known.due(NOW + 3.02))
@@ -164,7 +164,7 @@
         self.known.routing = routing_of_engines()
         for number in range(30):
             weights = endpoints.Weights(number % 2, 0, 4 * (number % 2))
-            self.known.listed(
+            self.known.update_listing(
                 listing()._replace(
                     id=f'i-{number}',
                     address=f'10.2.0.{number}:80',
@@ -172,7 +172,7 @@
                     weights=weights,
                 )
             )
-        self.subscribing = subscribing.Subscribing(
+        self.subscribing = subscribing.LoadSubscriptions(
             test_cluster_state.OWN, self.known, lambda ips: None
         )
 
@@ -197,7 +197,7 @@
         """An agent is asked again each second, a new one at once."""
         first = self.due()
         self.assertEqual(set(), self.due(after=0.9))
-        self.known.listed(
+        self.known.update_listing(
             listing()._replace(
                 id='i-99',
                 address='10.2.0.99:80',
--- a/tests/direct/test_follower.py
+++ b/tests/direct/test_follower.py
@@ -142,9 +142,9 @@
 
     def test_since(self) -> None:
         """A peer gets what is newer, removals included."""
-        known = follower.Known()
+        known = follower.TopicState()
         for one in (record('a', 1), record('b', 2), record('a', 3, None)):
-            known.take(one)
+            known.apply(one)
         known.next_offset = 4
         self.assertEqual(
             [('b', 2), ('a', 3)],
@@ -153,10 +153,10 @@
 
     def test_removed_and_back(self) -> None:
         """A key that came back is no removal any more."""
-        known = follower.Known()
+        known = follower.TopicState()
         for one in (record('a', 1), record('a', 2, None), record('a', 3)):
-            self.assertTrue(known.take(one))
-        self.assertFalse(known.take(record('a', 2, None)))
+            self.assertTrue(known.apply(one))
+        self.assertFalse(known.apply(record('a', 2, None)))
         self.assertEqual([3], [one.offset for one in known.since(0).records])
 
 
@@ -229,7 +229,7 @@
 
         async def play() -> None:
             for page in pages:
-                own.take(page)
+                own.apply(page)
 
         asyncio.run(play())
         return own
@@ -241,26 +241,26 @@
         )
         behind = self.followed(
             records.Page((record('a', 3), record('b', 5)), 6),
-            started.known.since(6),
+            started.state.since(6),
         )
 
-        self.assertEqual(9, behind.known.next_offset)
-        self.assertEqual(['b'], [one.key for one in behind.known.present])
+        self.assertEqual(9, behind.state.next_offset)
+        self.assertEqual(['b'], [one.key for one in behind.state.live_records])
 
     def test_handed_on(self) -> None:
         """Whoever took a snapshot from a peer knows no removals before it."""
         started = self.followed(records.Page((), 9, is_snapshot=True))
-        second = self.followed(started.known.since(0))
+        second = self.followed(started.state.since(0))
 
-        self.assertTrue(second.known.since(6).is_snapshot)
-        self.assertFalse(second.known.since(9).is_snapshot)
+        self.assertTrue(second.state.since(6).is_snapshot)
+        self.assertFalse(second.state.since(9).is_snapshot)
 
     def test_changes_alone(self) -> None:
         """Changes since an offset are enough for who has all before it."""
         known = self.followed(
             records.Page((record('a', 3),), 4, is_snapshot=True),
             records.Page((record('b', 4), record('a', 5, None)), 6),
-        ).known
+        ).state
 
         self.assertFalse(known.since(4).is_snapshot)
         self.assertEqual(
@@ -275,7 +275,7 @@
         known = self.followed(
             records.Page((record('a', 0),), 1, is_snapshot=True),
             records.Page(tuple(removed), many),
-        ).known
+        ).state
 
         self.assertTrue(known.since(10).is_snapshot)
         self.assertFalse(known.since(many - 5).is_snapshot)
@@ -285,6 +285,6 @@
         known = self.followed(
             records.Page((record('a', 7),), 8),
             records.Page((), 5, is_snapshot=True),
-        ).known
+        ).state
 
-        self.assertEqual(['a'], [one.key for one in known.present])
+        self.assertEqual(['a'], [one.key for one in known.live_records])
--- a/tests/direct/test_gossip.py
+++ b/tests/direct/test_gossip.py
@@ -57,7 +57,7 @@
 
     def _send(self, payload: bytes, ip: str) -> None:
         self.sent += len(payload)
-        self._peers_by_ip[ip].heard(payload, self._own.ip)
+        self._peers_by_ip[ip].receive(payload, self._local_node.ip)
 
 
 class ManyEntriesTest(testtools.TestCase):
@@ -83,11 +83,11 @@
         async def story() -> None:
             everyone = list(peers_by_ip.values())
             for each in everyone:
-                each.met(peers_by_ip)
+                each.contact(peers_by_ip)
             for _ in range(BEATS):
                 rng.shuffle(everyone)
                 for each in everyone:
-                    each.speak()
+                    each.send_heartbeat()
                     loop.now += BEAT_SECONDS / ENTRIES
 
         loop.run_until_complete(story())
--- a/tests/direct/test_intake.py
+++ b/tests/direct/test_intake.py
@@ -16,7 +16,7 @@
 from tests.direct import test_cluster_state
 from tests.platform import test_registry
 
-READERS = intake.Readers(operator=operator.read, endpoint=registry.read)
+READERS = intake.Decoders(operator=operator.read, endpoint=registry.read)
 
 
 class _NoStore:
@@ -45,13 +45,13 @@
 
         async def play() -> None:
             taking = intake.Intake(self.known, READERS)
-            follow = taking.followers(
+            follow = taking.create_followers(
                 typing.cast('typing.Any', _NoStore()),
                 random.Random(1),
             )[topic]
             for offset, (key, payload) in enumerate(payloads):
                 record = records.Record(key, offset, payload)
-                follow.take(records.Page((record,), offset + 1))
+                follow.apply(records.Page((record,), offset + 1))
 
         asyncio.run(play())
 
@@ -115,8 +115,8 @@
             ('version/m', b'{"model":"m","version":-1}'),
             ('version/m', b'{"model":"m"}'),
         )
-        self.assertEqual(3, self.known.configuration)
-        self.assertEqual(2, self.known.wanted_version('m'))
+        self.assertEqual(3, self.known.configuration_version)
+        self.assertEqual(2, self.known.desired_version('m'))
         self.assertEqual(2, len(self.lines))
 
 
@@ -138,15 +138,15 @@
         async def play() -> float | None:
             now = asyncio.get_running_loop().time
             known = cluster_state.ClusterState(test_cluster_state.OWN)
-            known.listed(test_cluster_state.listing(0, 1))
-            follow = intake.Intake(known, READERS).followers(
+            known.update_listing(test_cluster_state.listing(0, 1))
+            follow = intake.Intake(known, READERS).create_followers(
                 typing.cast('typing.Any', _NoStore()),
                 random.Random(1),
             )[records.Topic.ENDPOINTS]
-            follow.take(records.Page((), 1, outage_age=outage_age), 'peer')
+            follow.apply(records.Page((), 1, outage_age=outage_age), 'peer')
             await asyncio.sleep(after)
             removal = records.Record('i-1', 1, None)
-            follow.take(records.Page((removal,), 2), 'peer')
+            follow.apply(records.Page((removal,), 2), 'peer')
             (one,) = known.endpoints
             gone_at = one.gone_at
             return None if gone_at is None else round(gone_at - now(), 2)
@@ -170,10 +170,10 @@
                 lambda one: None,
                 random.Random(1),
             )
-            own.take(records.Page((), 1, outage_age=0.5), 'peer')
+            own.apply(records.Page((), 1, outage_age=0.5), 'peer')
             ages = [own.outage_age(now())]
             await asyncio.sleep(0.4)
-            own.take(records.Page((), 1, outage_age=own.outage_age(now())))
+            own.apply(records.Page((), 1, outage_age=own.outage_age(now())))
             ages.append(own.outage_age(now()))
             await asyncio.sleep(0.2)
             ages.append(own.outage_age(now()))
--- a/tests/direct/test_leaving.py
+++ b/tests/direct/test_leaving.py
@@ -217,7 +217,7 @@
         async def play(world: path_world.PathWorld) -> None:
             peers = Quiet()
             ended = await told_to_end(world, peers)
-            self.assertEqual([members.Phase.LEAVING], peers.told)
+            self.assertEqual([members.Phase.DRAINING], peers.told)
             fetched = await world.ask('/plain/brief/a')
             self.assertEqual(b'close', fetched.headers.get(b'connection'))
             await ended
@@ -274,7 +274,7 @@
 
     def configure(self, version: int, timeout: float) -> None:
         """Put a configuration with one route in force."""
-        self.known.configured(
+        self.known.apply_configuration(
             routing.Routing(
                 version,
                 [path_world.route('s', timeout=timeout)],
--- a/tests/direct/test_machines.py
+++ b/tests/direct/test_machines.py
@@ -56,8 +56,8 @@
 def _leave(world: machines.Machines) -> None:
     """Have all entries say that they leave."""
     for one in world.entries:
-        one.peers.phase = members.Phase.LEAVING
-        one.peers.speak()
+        one.peers.phase = members.Phase.DRAINING
+        one.peers.send_heartbeat()
 
 
 class EntriesTest(testtools.TestCase):
@@ -85,8 +85,8 @@
             loop = asyncio.get_running_loop()
             first._departure.begin(loop.time() - 60)
             for one in world.entries:
-                one.peers.phase = members.Phase.LEAVING
-                one.peers.speak()
+                one.peers.phase = members.Phase.DRAINING
+                one.peers.send_heartbeat()
             # Until the other's word has come it is named since it looks ready.
             await machines.until(
                 lambda: not first.peers.members.ready(loop.time())
@@ -302,18 +302,18 @@
                 duties=node.Duties(version=8, settling=3),
             )
             known = cluster_state.ClusterState(own)
-            follow = intake.Intake(known, machines.READERS).followers(
+            follow = intake.Intake(known, machines.READERS).create_followers(
                 store.HttpStore(own.store),
                 random.Random(1),
             )[records.Topic.OPERATOR]
             task = asyncio.create_task(follow.run())
-            await machines.until(lambda: known.wanted_version('m') == 2)
+            await machines.until(lambda: known.desired_version('m') == 2)
             task.cancel()
             now = asyncio.get_running_loop().time()
             engine = known.routing.services_by_name['pool'].engine
             settling = own.duties.settling
-            self.assertLess(known.begin_by(engine, 1), now + settling)
-            (told,) = known.versions(now)
+            self.assertLess(known.start_deadline(engine, 1), now + settling)
+            (told,) = known.desired_versions(now)
             self.assertTrue(told.guessed)
 
         run(play)
--- a/tests/direct/test_many_readers.py
+++ b/tests/direct/test_many_readers.py
@@ -43,7 +43,7 @@
         if ip in gone:
             continue
         await machines.until(
-            lambda one=one: one.cluster.configuration == version,
+            lambda one=one: one.cluster.configuration_version == version,
         )
     return loop.time() - begun
 
@@ -113,7 +113,7 @@
             for one in world.entries:
                 follow = one._followers[records.Topic.ENDPOINTS]
                 await machines.until(
-                    lambda follow=follow: follow.known.next_offset == 2,
+                    lambda follow=follow: follow.state.next_offset == 2,
                 )
                 (desk,) = one.cluster.endpoints
                 self.assertTrue(desk.usable(loop.time()))
--- a/tests/direct/test_members.py
+++ b/tests/direct/test_members.py
@@ -38,10 +38,10 @@
 
     def test_silence(self) -> None:
         """One whose heartbeats stop is gone, and back with the next."""
-        self.members.heard([member('10.0.0.2')], 0)
+        self.members.update([member('10.0.0.2')], 0)
         self.assertEqual(['10.0.0.2'], self.alive(2))
         self.assertEqual([], self.alive(3))
-        self.members.heard([member('10.0.0.2', 2)], 4)
+        self.members.update([member('10.0.0.2', 2)], 4)
         self.assertEqual(['10.0.0.2'], self.alive(4))
 
     def test_old_word_keeps_nobody_alive(self) -> None:
@@ -51,20 +51,20 @@
         each took that for a sign of life.
         """
         for second in range(5):
-            self.members.heard([member('10.0.0.2', 7)], second)
+            self.members.update([member('10.0.0.2', 7)], second)
         self.assertEqual([], self.alive(4))
 
     def test_word_through_others(self) -> None:
         """One that can't be heard is there while others hear it."""
         for second in range(5):
-            self.members.heard([member('10.0.0.2', second + 1)], second)
+            self.members.update([member('10.0.0.2', second + 1)], second)
         self.assertEqual(['10.0.0.2'], self.alive(4))
 
     def test_leaving(self) -> None:
         """One that leaves isn't offered, and still counts as there."""
-        leaving = member('10.0.0.2', 2, phase=members.Phase.LEAVING)
-        self.members.heard([member('10.0.0.2')], 0)
-        self.assertEqual([leaving], self.members.heard([leaving], 0.1))
+        leaving = member('10.0.0.2', 2, phase=members.Phase.DRAINING)
+        self.members.update([member('10.0.0.2')], 0)
+        self.assertEqual([leaving], self.members.update([leaving], 0.1))
         self.assertEqual([], self.members.ready(0.2))
         self.assertEqual(['10.0.0.2'], self.alive(0.2))
 
@@ -74,25 +74,25 @@
         Later words of one that leaves don't make it look fresh again, and one
         that is back no longer leaves.
         """
-        phase = members.Phase.LEAVING
-        self.members.heard([member('10.0.0.2'), member('10.0.0.3')], 0)
-        self.members.heard([member('10.0.0.2', 2, phase=phase)], 0)
-        self.members.heard([member('10.0.0.3', 2, phase=phase)], 2)
-        self.members.heard([member('10.0.0.2', 3, phase=phase)], 2)
-        self.members.heard([member('10.0.0.4', 9, phase=phase)], 2)
-        lately = [one.ip for one in self.members.leaving_lately(2.5, 1)]
+        phase = members.Phase.DRAINING
+        self.members.update([member('10.0.0.2'), member('10.0.0.3')], 0)
+        self.members.update([member('10.0.0.2', 2, phase=phase)], 0)
+        self.members.update([member('10.0.0.3', 2, phase=phase)], 2)
+        self.members.update([member('10.0.0.2', 3, phase=phase)], 2)
+        self.members.update([member('10.0.0.4', 9, phase=phase)], 2)
+        lately = [one.ip for one in self.members.recently_draining(2.5, 1)]
         self.assertEqual(['10.0.0.3'], lately)
-        self.members.heard([member('10.0.0.3', 1, boot=2)], 2.6)
-        self.assertEqual([], self.members.leaving_lately(2.7, 1))
+        self.members.update([member('10.0.0.3', 1, boot=2)], 2.6)
+        self.assertEqual([], self.members.recently_draining(2.7, 1))
 
     def test_restart(self) -> None:
         """A restart counts from one; words of the old process are late."""
-        self.members.heard([member('10.0.0.2', 90, boot=1)], 0)
-        self.members.heard([member('10.0.0.2', 1, boot=2)], 5)
-        self.members.heard([member('10.0.0.2', 91, boot=1)], 9)
+        self.members.update([member('10.0.0.2', 90, boot=1)], 0)
+        self.members.update([member('10.0.0.2', 1, boot=2)], 5)
+        self.members.update([member('10.0.0.2', 91, boot=1)], 9)
         self.assertEqual([], self.alive(9))
 
     def test_own_word(self) -> None:
         """What others say of this process is of no concern."""
-        self.members.heard([member('10.0.0.1')], 0)
+        self.members.update([member('10.0.0.1')], 0)
         self.assertEqual([], self.alive(0))
--- a/tests/direct/test_path.py
+++ b/tests/direct/test_path.py
@@ -500,7 +500,7 @@
                 heartbeat=99,
                 weights=endpoints.Weights(2, 0, 2),
             )
-            world.cluster.named('m', 2, now - 60)
+            world.cluster.add_desired_version('m', 2, now - 60)
             for _ in range(8):
                 await world.ask('/plain/a')
             self.assertEqual([], world.endpoints[0].came)
@@ -519,7 +519,9 @@
         async def play(world: path_world.PathWorld) -> None:
             now = asyncio.get_running_loop().time()
             world.fail_first(Fault.MUTE, Fault.MUTE)
-            world.cluster.named('m', 2, now - path_world.DUTIES.version + 0.9)
+            world.cluster.add_desired_version(
+                'm', 2, now - path_world.DUTIES.version + 0.9
+            )
             fetched = await world.ask('/stream/a')
             self.assertEqual(502, fetched.status)
             while not any(one.left for one in world.endpoints):
@@ -539,7 +541,9 @@
             loop = asyncio.get_running_loop()
             now = loop.time()
             world.fail_first(Fault.CUT, Fault.MUTE)
-            world.cluster.named('m', 2, now - path_world.DUTIES.version + 0.9)
+            world.cluster.add_desired_version(
+                'm', 2, now - path_world.DUTIES.version + 0.9
+            )
             with self.assertRaises(channel.ChannelBrokenError):
                 await world.ask('/stream/a')
             self.assertEqual(2, len(world.ran))
@@ -556,7 +560,9 @@
 
         async def play(world: path_world.PathWorld) -> None:
             now = asyncio.get_running_loop().time()
-            world.cluster.named('m', 2, now - path_world.DUTIES.version + 0.9)
+            world.cluster.add_desired_version(
+                'm', 2, now - path_world.DUTIES.version + 0.9
+            )
             world.cluster.loads.heard('entry-2', {'i-0': 40, 'i-1': 40}, now)
             fetched = await world.ask('/stream/a')
             self.assertEqual(503, fetched.status)
@@ -570,7 +576,9 @@
         async def play(world: path_world.PathWorld) -> None:
             now = asyncio.get_running_loop().time()
             world.fail_first(Fault.CUT)
-            world.cluster.named('m', 2, now - path_world.DUTIES.version + 0.9)
+            world.cluster.add_desired_version(
+                'm', 2, now - path_world.DUTIES.version + 0.9
+            )
             world.cluster.loads.heard('entry-2', {'i-1': 40}, now)
             with self.assertRaises(channel.ChannelBrokenError):
                 await world.ask('/stream/a')
--- a/tests/direct/test_record_server.py
+++ b/tests/direct/test_record_server.py
@@ -55,21 +55,22 @@
             max(offsets) + 1,
             outage_age,
         )
-        self.follower.take(page)
+        self.follower.apply(page)
 
     def handed(self, offset: int, *, deflate: bool = True) -> records.Page:
         """Return what a peer gets that has read so far."""
         pairs = [(b'accept-encoding', b'deflate')] if deflate else []
         request = messages.Request(
             b'GET',
-            b'%b%b?%d' % (catching_up.PATH, TOPIC.value.encode(), offset),
+            b'%b%b?%d'
+            % (catching_up.PATH_PREFIX, TOPIC.value.encode(), offset),
             messages.Headers(pairs),
             b'',
             0,
         )
-        self.assertTrue(self.server.serves(request))
+        self.assertTrue(self.server.handles(request))
         reply = _Reply()
-        self.server.serve(request, typing.cast('typing.Any', reply))
+        self.server.handle(request, typing.cast('typing.Any', reply))
         body = zlib.decompress(reply.body) if deflate else reply.body
         return wire_heartbeats.read_records(body, 'peer')
 
@@ -135,6 +136,6 @@
             self.take(*range(1, 60))
             for offset in range(60):
                 self.handed(offset)
-            self.assertLess(len(self.server._answers_by_key), 6)
+            self.assertLess(len(self.server._responses_by_key), 6)
 
         asyncio.run(story())
--- a/tests/direct/test_silent_reads.py
+++ b/tests/direct/test_silent_reads.py
@@ -36,7 +36,7 @@
     """Return when a configuration is in force at all entries."""
     for one in world.entries:
         await machines.until(
-            lambda one=one: one.cluster.configuration == version,
+            lambda one=one: one.cluster.configuration_version == version,
         )
     return asyncio.get_running_loop().time()
 
--- a/tests/direct/test_telling.py
+++ b/tests/direct/test_telling.py
@@ -37,8 +37,8 @@
     """Keeps what would be sent."""
 
     def __init__(self) -> None:
-        self.held: tuple[heartbeats.Held, ...] = ()
-        self.told: list[heartbeats.Held] = []
+        self.held: tuple[heartbeats.EngineStatus, ...] = ()
+        self.told: list[heartbeats.EngineStatus] = []
         self.members = members.Members('10.0.0.1')
 
     def tell(self, ips: list[str]) -> None:
@@ -52,7 +52,7 @@
     def play(
         self,
         story: typing.Callable[[telling.Telling], None],
-    ) -> list[heartbeats.Held]:
+    ) -> list[heartbeats.EngineStatus]:
         """Tell a story and return what was sent first after each word."""
         peers = _Peers()
 
@@ -81,7 +81,7 @@
 
         told = self.play(story)
         self.assertEqual(
-            heartbeats.Held(ENGINE, 3, 0, 0, congested=True), told[-1]
+            heartbeats.EngineStatus(ENGINE, 3, 0, 0, congested=True), told[-1]
         )
 
     def test_start_goes_along(self) -> None:
@@ -99,10 +99,10 @@
         told = self.play(story)
         self.assertEqual({1000}, {word.started for word in told})
         sent = wire_heartbeats.write_heartbeat(
-            heartbeats.Heartbeat(held=tuple(told[-1:]))
+            heartbeats.Heartbeat(engine_statuses=tuple(told[-1:]))
         )
         read = wire_heartbeats.read_heartbeat(sent, 'p')
-        self.assertEqual(tuple(told[-1:]), read.held)
+        self.assertEqual(tuple(told[-1:]), read.engine_statuses)
 
     def test_congestion_over(self) -> None:
         """It is told once that the link is sound again."""
@@ -128,8 +128,8 @@
         known.endpoints.listed(
             endpoints.Listing('i', 's', ENGINE, 'a', 16, False, 1, HELD),
         )
-        known.heard_held(
-            heartbeats.Held(ENGINE, 2, 0, 4, congested=True),
+        known.update_engine_status(
+            heartbeats.EngineStatus(ENGINE, 2, 0, 4, congested=True),
             now[0],
         )
 
--- a/tests/observability/test_causes.py
+++ b/tests/observability/test_causes.py
@@ -247,7 +247,9 @@
 
 async def weights_too_old(world: World) -> None:
     now = asyncio.get_running_loop().time()
-    world.cluster.named('m', 2, now - path_world.DUTIES.version + 0.9)
+    world.cluster.add_desired_version(
+        'm', 2, now - path_world.DUTIES.version + 0.9
+    )
     await failing('/stream/a', Fault.MUTE, Fault.MUTE)(world)
 
 
--- a/tests/platform/test_machines.py
+++ b/tests/platform/test_machines.py
@@ -153,7 +153,7 @@
         found = operator.read(
             record('version/m', {'model': 'm', 'version': 2}),
         )
-        self.assertEqual(intake.NamedVersion('m', 2), found)
+        self.assertEqual(intake.DesiredVersion('m', 2), found)
         self.assertIsNone(operator.read(record('else', {})))
         self.assertIsNone(operator.read(records.Record('config', 0, None)))
 
