--- a/clementinepass/direct/heartbeats.py
+++ b/clementinepass/direct/heartbeats.py
@@ -1,4 +1,4 @@
-"""What entries and agents tell one another several times a second."""
+"""Messages that entries and agents exchange several times a second."""
 
 from __future__ import annotations
 
@@ -11,10 +11,11 @@
 
 
 class DesiredVersion(typing.NamedTuple):
-    """A version of a model's weights that the operator named.
+    """A version of a model's weights that the operator wants loaded.
 
-    :param age: seconds since its naming was acknowledged, at the sender.
-    :param guessed: whether that is a guess, since the sender began later.
+    :param age: seconds since the store acknowledged it, at the sender.
+    :param guessed: whether the age is an estimate, because the sender started
+        after the version was written.
     """
 
     model: str
@@ -24,11 +25,11 @@
 
 
 class EngineLoad(typing.NamedTuple):
-    """The requests at the engine beside an agent, whoever sent them.
+    """The requests at the engine beside an agent, from all entries.
 
-    :param active: those that it runs.
-    :param queued: those that wait there.
-    :param started: when the engine started, as its listing says it.
+    :param active: requests that the engine runs.
+    :param queued: requests that wait in its queue.
+    :param started: start time of the engine, as in its listing.
     """
 
     active: int
@@ -37,10 +38,12 @@
 
 
 class EngineStatus(typing.NamedTuple):
-    """The layers of one version that the engine at an address holds.
+    """The weights loaded by the engine at an address, and its link's state.
 
-    :param congested: whether its machine's link is slow at present.
-    :param started: when the engine started, as its listing says it.
+    :param first: the first layer loaded.
+    :param end: the layer after the last one loaded.
+    :param congested: whether the link of its machine is slow at present.
+    :param started: start time of the engine, as in its listing.
     """
 
     address: str
@@ -52,23 +55,27 @@
 
 
 class Heartbeat(msgspec.Struct, kw_only=True):
-    """One message.
+    """One heartbeat message.
 
-    :param sender: ``None`` from an agent, which is no entry.
+    :param sender: the sending entry; ``None`` if an agent sends it.
     :param members: entries that the sender knows.
-    :param digests: entries that it heard of just now.
-    :param wants_introduction: whether the sender is to be told at once who gets this.
+    :param digests: entries that the sender has received from lately.
+    :param wants_introduction: whether the receiver must reply at once with its
+        own :class:`~clementinepass.direct.members.Member`.
     :param in_flight_by_endpoint: the sender's requests at endpoints.
-    :param operator_offset: up to where it has read the operator's records.
-    :param endpoints_offset: the same of the endpoints' records.
-    :param configuration_version: the version of the configuration in force there.
-    :param operator_read_ends_in: seconds until the sender's read of the operator's
-        records ends that waits for changes; 0 where none does.
-    :param endpoints_read_ends_in: the same of the endpoints' records.
-    :param engine_statuses: what agents read of their engines.
-    :param load: of the sender's engine; such a message says nothing else.
+    :param operator_offset: the next offset of the operator's records at the
+        sender.
+    :param endpoints_offset: the next offset of the endpoints' records there.
+    :param configuration_version: the version of the configuration that the
+        sender has in force.
+    :param operator_read_ends_in: seconds until the sender's pending read of
+        the operator's records ends; 0 if none is pending.
+    :param endpoints_read_ends_in: the same for the endpoints' records.
+    :param engine_statuses: the engines' states, as their agents read them.
+    :param load: the load of the sender's engine; such a message carries
+        nothing else.
     :param wants_load: whether the sender, an entry, uses the engine of the
-        agent that gets this, and is to be told of its load for a while.
+        receiving agent and subscribes to its load for a while.
     """
 
     sender: membership.Member | None = None
--- a/tests/direct/test_leaving.py
+++ b/tests/direct/test_leaving.py
@@ -42,7 +42,7 @@
         #: The phases that were told.
         self.told: list[members.Phase] = []
 
-    def speak(self) -> None:
+    def send_heartbeat(self) -> None:
         """Note what would be told."""
         self.told.append(self.phase)
 
--- a/tests/direct/test_telling.py
+++ b/tests/direct/test_telling.py
@@ -37,13 +37,13 @@
     """Keeps what would be sent."""
 
     def __init__(self) -> None:
-        self.held: tuple[heartbeats.EngineStatus, ...] = ()
+        self.engine_statuses: tuple[heartbeats.EngineStatus, ...] = ()
         self.told: list[heartbeats.EngineStatus] = []
         self.members = members.Members('10.0.0.1')
 
-    def tell(self, ips: list[str]) -> None:
+    def send_to(self, ips: list[str]) -> None:
         """Send a heartbeat."""
-        self.told.extend(self.held)
+        self.told.extend(self.engine_statuses)
 
 
 class TellingTest(testtools.TestCase):
@@ -158,4 +158,4 @@
 
         asyncio.run(played())
         self.assertEqual({1000}, {one.started for one in peers.told})
-        self.assertEqual(HELD, endpoints.Weights(*peers.held[0][1:4]))
+        self.assertEqual(HELD, endpoints.Weights(*peers.engine_statuses[0][1:4]))
