--- a/clementinepass/direct/heartbeats.py
+++ b/clementinepass/direct/heartbeats.py
@@ -34,7 +34,7 @@
 
     active: int
     queued: int
-    started: int = incarnations.UNTOLD
+    started: int = incarnations.UNKNOWN_START
 
 
 class EngineStatus(typing.NamedTuple):
@@ -51,7 +51,7 @@
     first: int
     end: int
     congested: bool = False
-    started: int = incarnations.UNTOLD
+    started: int = incarnations.UNKNOWN_START
 
 
 class Heartbeat(msgspec.Struct, kw_only=True):
