--- a/clementinepass/direct/announcer.py
+++ b/clementinepass/direct/announcer.py
@@ -97,7 +97,7 @@
         due = self._peers.subscribers.due(now)
         if due:
             load = heartbeats.EngineLoad(active, queued, self._started)
-            self._peers.report_load(due, load)
+            self._peers.send_load(due, load)
 
     def _schedule_announcements(self) -> None:
         if self._weights is None:
--- a/clementinepass/direct/cluster_state.py
+++ b/clementinepass/direct/cluster_state.py
@@ -150,7 +150,7 @@
             for version, since in named.since_by_version.items()
         )
 
-    def desired_version(self, model: str) -> int:
+    def newest_desired_version(self, model: str) -> int:
         """Return the newest version named of a model; 0 for none."""
         named = self._desired_by_model.get(model)
         return 0 if named is None else named.newest
--- a/clementinepass/direct/gossip.py
+++ b/clementinepass/direct/gossip.py
@@ -157,7 +157,7 @@
         for ip in ips:
             self._send(payload, ip)
 
-    def report_load(self, ips: list[str], load: heartbeats.EngineLoad) -> None:
+    def send_load(self, ips: list[str], load: heartbeats.EngineLoad) -> None:
         """Tell entries the load of the engine beside this agent."""
         payload = wire_heartbeats.write_heartbeat(
             heartbeats.Heartbeat(load=load),
--- a/clementinepass/direct/version_selector.py
+++ b/clementinepass/direct/version_selector.py
@@ -90,7 +90,7 @@
         engine = self._neighbours.engine()
         if engine is None:
             return '', 0
-        desired_version = self._cluster.desired_version(engine.model)
+        desired_version = self._cluster.newest_desired_version(engine.model)
         is_next = bool(self._fetching) and desired_version > self._fetching
         version_pieces = loader.pieces_of(engine.model, desired_version)
         return (
@@ -107,7 +107,7 @@
         newest_loaded = max(
             (endpoint.weights.version for endpoint in endpoints), default=0
         )
-        desired_version = self._cluster.desired_version(engine.model)
+        desired_version = self._cluster.newest_desired_version(engine.model)
         return 0 < version <= max(newest_loaded, desired_version)
 
     def _target_version(
@@ -119,7 +119,7 @@
 
         Where none was named, whatever other engines have.
         """
-        desired_version = self._cluster.desired_version(engine.model)
+        desired_version = self._cluster.newest_desired_version(engine.model)
         if not desired_version:
             endpoints = self._neighbours.service_endpoints()
             versions = [peer.weights.version for peer in endpoints]
--- a/tests/direct/test_intake.py
+++ b/tests/direct/test_intake.py
@@ -116,7 +116,7 @@
             ('version/m', b'{"model":"m"}'),
         )
         self.assertEqual(3, self.known.configuration_version)
-        self.assertEqual(2, self.known.desired_version('m'))
+        self.assertEqual(2, self.known.newest_desired_version('m'))
         self.assertEqual(2, len(self.lines))
 
 
--- a/tests/direct/test_machines.py
+++ b/tests/direct/test_machines.py
@@ -307,7 +307,7 @@
                 random.Random(1),
             )[records.Topic.OPERATOR]
             task = asyncio.create_task(follow.run())
-            await machines.until(lambda: known.desired_version('m') == 2)
+            await machines.until(lambda: known.newest_desired_version('m') == 2)
             task.cancel()
             now = asyncio.get_running_loop().time()
             engine = known.routing.services_by_name['pool'].engine
