--- a/clementinepass/direct/__init__.py
+++ b/clementinepass/direct/__init__.py
@@ -1,1 +1,1 @@
-"""The direct path: entries that call endpoints without a process between."""
+"""The direct path: entries send requests straight to endpoints."""
--- a/clementinepass/direct/bootstrap.py
+++ b/clementinepass/direct/bootstrap.py
@@ -1,4 +1,4 @@
-"""Bootstrap processes that have just started from what is known here."""
+"""Send the state known here to processes that have just started."""
 
 from __future__ import annotations
 
@@ -9,19 +9,20 @@
 
     from clementinepass.direct import heartbeats
 
-#: Seconds for which one message is sent to all that ask.
+#: Seconds for which one composed message is reused for all requesters.
 _MESSAGE_LIFETIME_SECONDS = 0.1
-#: Processes remembered that asked before anything was known here.
+#: Most processes remembered that sent a heartbeat before all was known here.
 _MAX_WAITING = 4096
 
 
 class Bootstrap:
     """Answers processes that have just started.
 
-    Load: all of 300 processes start together and ask the same three seeds.
+    The message is composed once for many of them: after a power loss 300
+    processes may start together and contact the same three seeds.
 
-    :param compose: returns a message with all that is known.
-    :param send: sends it to an IP number.
+    :param compose: returns a full heartbeat message.
+    :param send: sends a message to an IP address.
     """
 
     __slots__ = ('_compose', '_composed_at', '_message', '_send', '_waiting')
@@ -35,7 +36,7 @@
         self._send = send
         self._message = b''
         self._composed_at = float('-inf')
-        #: The IP numbers of those that asked too early, in order.
+        #: The IP addresses of processes to answer later, in order.
         self._waiting: dict[str, None] = {}
 
     def handle_heartbeat(
@@ -46,25 +47,26 @@
         *,
         offsets: tuple[int, int],
     ) -> None:
-        """Answer a process that knows nothing of what is known here.
+        """Answer a process that has not read a topic that is known here.
 
-        It is told at once: a heartbeat would come its way by turns, and where
-        all start together it is the seeds that know first.
+        The answer is sent at once: regular heartbeats go to a changing
+        selection of peers, and when all processes start together the seeds
+        are the first to have read the store.
 
-        :param offsets: how far the operator's records and those of endpoints
-            were read here.
+        :param offsets: the next offsets of the operator's records and of the
+            endpoints' records here.
         """
-        there = heartbeat.operator_offset, heartbeat.endpoints_offset
-        pairs = list(zip(there, offsets, strict=True))
-        if any(here and not offset for offset, here in pairs):
+        peer_offsets = heartbeat.operator_offset, heartbeat.endpoints_offset
+        pairs = list(zip(peer_offsets, offsets, strict=True))
+        if any(offset and not peer_offset for peer_offset, offset in pairs):
             self._send(self._current_message(now), ip)
-        if all(offsets) or all(there):
+        if all(offsets) or all(peer_offsets):
             self._waiting.pop(ip, None)
         elif len(self._waiting) < _MAX_WAITING:
             self._waiting[ip] = None
 
     def reply_to_waiting(self, now: float) -> None:
-        """Answer those that asked before all was known here."""
+        """Answer the processes that sent a heartbeat too early."""
         waiting = self._waiting
         self._waiting = {}
         for ip in waiting:
--- a/clementinepass/direct/catching_up.py
+++ b/clementinepass/direct/catching_up.py
@@ -1,7 +1,7 @@
-"""Fetch records of the store from a peer that knows more of them.
+"""Fetch records of the store from a peer that has read further.
 
-The store may turn this process away, or a read may hang on a connection that
-fell silent, while others hear of each change.
+The store may reject this process, or a read may hang on a silent connection,
+while peers receive each change.
 """
 
 from __future__ import annotations
@@ -27,31 +27,32 @@
         node,
     )
 
-#: Seconds for which a peer may be ahead in reading the store before its
-#: records are fetched from it: the store itself tells within milliseconds.
+#: Seconds for which a peer may be ahead in reading the store before records
+#: are fetched from it: the store itself delivers them within milliseconds.
 _FETCH_DELAY_SECONDS = 0.25
-#: The same for an entry that others of its region tell of the store, until a
-#: peer of another region is asked. Those others have it within milliseconds and
-#: say so at once; what crosses to a region is to cross once.
+#: The same delay for an entry that relies on other readers of its region,
+#: before it fetches from a peer of another region. The readers have a record
+#: within milliseconds and announce it at once, and a record should cross the
+#: link between regions only once.
 _OTHER_REGION_DELAY_SECONDS = 1.0
-#: The same for an agent, whose link is narrow: a configuration takes as long
-#: as two pieces of weights, and an agent needs little of it.
+#: The same delay for an agent. Its link is narrow: a configuration takes as
+#: long as two pieces of weights, and an agent needs little of it.
 _AGENT_FETCH_DELAY_SECONDS = 4.0
-#: Seconds for records from a peer; one that doesn't answer keeps others from
-#: being asked. An agent's narrow link takes longer.
+#: Timeout of a fetch from a peer. A peer that does not answer delays the fetch
+#: from another one. The narrow link of an agent takes longer.
 _FETCH_TIMEOUT_SECONDS = 0.8
 _AGENT_FETCH_TIMEOUT_SECONDS = 3.0
-#: Bytes of records that are taken from a peer at a time.
+#: Most bytes of records, decompressed, that are accepted from a peer at once.
 _MAX_RECORDS_BYTES = 16 * 1024 * 1024
-#: Where peers ask for records, followed by the topic.
+#: Path of peers' requests for records; the topic follows it.
 PATH_PREFIX = b'/records/'
 
 
 class PeerCatchUp:
-    """Watch how far peers have read, and ask one that has read further.
+    """Compares offsets with peers and fetches records from those ahead.
 
-    :param local_node: who this process is.
-    :param followers: what is followed, by topic.
+    :param local_node: the local node.
+    :param followers: the followers of the store's topics.
     :param cluster: the state of the cluster.
     """
 
@@ -87,41 +88,46 @@
             ),
             records.Topic.ENDPOINTS: _FETCH_DELAY_SECONDS,
         }
-        #: The furthest that a peer was heard to have read, and since when
-        #: this process hasn't.
+        #: The highest offset that a peer announced, and since when this
+        #: process has been behind it.
         self._peer_offset_by_topic: dict[records.Topic, int] = {}
         self._behind_since_by_topic: dict[records.Topic, float] = {}
-        #: When this process first heard of a peer; ``None`` before.
+        #: When the first heartbeat came; ``None`` before that.
         self._first_received_at: float | None = None
-        #: Since when a peer has had a newer configuration in force.
+        #: Since when a peer has had a newer configuration; ``None`` if none.
         self._configuration_behind_since: float | None = None
         self._fetch_task_by_topic: dict[records.Topic, asyncio.Task[None]] = {}
 
     def handle_heartbeat(
         self, heartbeat: heartbeats.Heartbeat, ip: str, now: float
     ) -> None:
-        """Compare what a peer knows with what this process does."""
+        """Compare a peer's offsets with the local ones; fetch if behind."""
         if not self._may_fetch(heartbeat, now):
             return
-        is_near = heartbeat.sender is not None and self._is_same_region(
+        is_same_region = heartbeat.sender is not None and self._is_same_region(
             heartbeat.sender
         )
         for topic, offset in (
             (records.Topic.OPERATOR, heartbeat.operator_offset),
             (records.Topic.ENDPOINTS, heartbeat.endpoints_offset),
         ):
-            self._compare_offset(topic, offset, ip, now, is_near=is_near)
+            self._compare_offset(
+                topic, offset, ip, now, is_same_region=is_same_region
+            )
         self._compare_configuration(heartbeat.configuration_version, ip, now)
 
     def _may_fetch(self, heartbeat: heartbeats.Heartbeat, now: float) -> bool:
-        """Tell whether to take first records from a peer as far as that."""
-        if all(one.is_initialized for one in self._followers.values()):
+        """Return whether the first records may be fetched from a peer."""
+        if all(
+            topic_follower.is_initialized
+            for topic_follower in self._followers.values()
+        ):
             return True
         if self._first_received_at is None:
             self._first_received_at = now
         sender = heartbeat.sender
         return start_reading.may_ask(
-            # An agent's link is narrow, and its heartbeats have no sender.
+            # Heartbeats of agents, whose links are narrow, name no sender.
             is_near=sender is not None and self._is_same_region(sender),
             since_start=now - self._first_received_at,
         )
@@ -129,11 +135,13 @@
     def _is_same_region(self, member: members.Member) -> bool:
         return member.region == self._local_node.region
 
-    def _fetch_delay(self, own: follower.Follower, *, is_near: bool) -> float:
-        """Return for how long a peer is ahead before it is asked."""
-        if own.is_reading:
-            return self._fetch_delay_by_topic[own.topic]
-        return 0 if is_near else _OTHER_REGION_DELAY_SECONDS
+    def _fetch_delay(
+        self, topic_follower: follower.Follower, *, is_same_region: bool
+    ) -> float:
+        """Return for how long a peer must be ahead before a fetch."""
+        if topic_follower.is_reading:
+            return self._fetch_delay_by_topic[topic_follower.topic]
+        return 0 if is_same_region else _OTHER_REGION_DELAY_SECONDS
 
     def _compare_offset(
         self,
@@ -142,79 +150,83 @@
         ip: str,
         now: float,
         *,
-        is_near: bool,
+        is_same_region: bool,
     ) -> None:
-        """Fetch records from a peer that has read further for a while.
+        """Fetch records if peers have been ahead for the fetch delay.
 
-        Failure: peers that had read less far, too, each began the wait anew,
-        and where they were many the one that knew was never asked.
+        The delay counts from the first peer that is ahead. If heartbeats of
+        peers that are behind, too, restarted it, a fetch from the peer that
+        is ahead would never start where such peers are many.
 
-        A peer that has read nothing has nothing to hand over. Failure: of two
-        that started together one took the other's empty records for all that
-        there was, and what the store told it next for news.
+        A peer at offset 0 has read nothing and is ignored. Of two processes
+        that start together one would otherwise treat the other's empty page
+        as the whole topic, and the records that the store sends next as new.
         """
-        own = self._followers.get(topic)
-        if own is None or not offset:
+        topic_follower = self._followers.get(topic)
+        if topic_follower is None or not offset:
             return
-        read = own.state.next_offset
+        next_offset = topic_follower.state.next_offset
         ahead = max(offset, self._peer_offset_by_topic.get(topic, 0))
         self._peer_offset_by_topic[topic] = ahead
-        if own.is_initialized and ahead <= read:
+        if topic_follower.is_initialized and ahead <= next_offset:
             self._behind_since_by_topic.pop(topic, None)
-        if own.is_initialized and offset <= read:
+        if topic_follower.is_initialized and offset <= next_offset:
             return
         since = self._behind_since_by_topic.setdefault(topic, now)
-        patience = self._fetch_delay(own, is_near=is_near)
-        if own.is_initialized and now - since < patience:
+        delay = self._fetch_delay(topic_follower, is_same_region=is_same_region)
+        if topic_follower.is_initialized and now - since < delay:
             return
         if topic not in self._fetch_task_by_topic:
             self._behind_since_by_topic[topic] = now
-            self._start_fetch(own, ip, from_start=False)
+            self._start_fetch(topic_follower, ip, from_start=False)
 
     def _compare_configuration(self, version: int, ip: str, now: float) -> None:
-        """Fetch the operator's records anew where a peer has newer ones.
+        """Fetch all of the operator's records if a peer's are newer.
 
-        Failure: an entry served for seconds by the configuration before the
-        last, though it had read as far as its peers by the offsets. Whatever
-        lost the record, what is in force there and here says that it's lost.
+        A record may be lost although the offsets are equal: an entry then
+        served by the previous configuration for seconds. Comparing the
+        versions in force detects it, whatever lost the record.
         """
         current = self._cluster.routing
         if current is None or version <= current.version:
             if current is not None and version == current.version:
                 self._configuration_behind_since = None
             return
-        own = self._followers[records.Topic.OPERATOR]
+        operator = self._followers[records.Topic.OPERATOR]
         if self._configuration_behind_since is None:
             self._configuration_behind_since = now
         behind = now - self._configuration_behind_since
-        patience = 2 * self._fetch_delay(own, is_near=False)
-        if behind >= patience and own.topic not in self._fetch_task_by_topic:
+        delay = 2 * self._fetch_delay(operator, is_same_region=False)
+        if behind >= delay and operator.topic not in self._fetch_task_by_topic:
             self._configuration_behind_since = now
             logger.bind(
                 peer=ip,
                 there=version,
                 here=current.version,
-                offset=own.state.next_offset,
+                offset=operator.state.next_offset,
             ).warning('a peer has a newer configuration')
-            self._start_fetch(own, ip, from_start=True)
+            self._start_fetch(operator, ip, from_start=True)
 
     def _start_fetch(
-        self, own: follower.Follower, ip: str, *, from_start: bool
+        self, topic_follower: follower.Follower, ip: str, *, from_start: bool
     ) -> None:
-        task = asyncio.create_task(self._fetch(own, ip, from_start=from_start))
-        self._fetch_task_by_topic[own.topic] = task
+        task = asyncio.create_task(
+            self._fetch(topic_follower, ip, from_start=from_start)
+        )
+        self._fetch_task_by_topic[topic_follower.topic] = task
 
     async def _fetch(
         self,
-        own: follower.Follower,
+        topic_follower: follower.Follower,
         ip: str,
         *,
         from_start: bool,
     ) -> None:
-        offset = 0 if from_start else own.state.next_offset
+        offset = 0 if from_start else topic_follower.state.next_offset
         request = messages.request_bytes(
             b'GET',
-            b'%b?%d' % (PATH_PREFIX + own.topic.value.encode(), offset),
+            b'%b?%d'
+            % (PATH_PREFIX + topic_follower.topic.value.encode(), offset),
             [(b'Host', ip.encode()), (b'Accept-Encoding', b'deflate')],
             b'',
         )
@@ -229,24 +241,28 @@
             return
         finally:
             peers.close()
-            self._fetch_task_by_topic.pop(own.topic, None)
+            self._fetch_task_by_topic.pop(topic_follower.topic, None)
         if not page.next_offset:
-            # It has started anew since it said how far it had read.
+            # The peer has restarted since it announced its offset.
             logger.bind(peer=ip).info('records not fetched: it has none')
             return
-        news = own.reapply(page) if from_start else own.apply(page, ip)
+        new_records = (
+            topic_follower.reapply(page)
+            if from_start
+            else topic_follower.apply(page, ip)
+        )
         logger.bind(
             peer=ip,
-            topic=own.topic.value,
-            news=news,
+            topic=topic_follower.topic.value,
+            news=new_records,
             offset=page.next_offset,
         ).info('records taken from a peer')
 
 
 def _decompress(fetched: pool.Fetched, peer: str) -> bytes:
-    """Return the body of an answer as it was before it was compressed.
+    """Return the decompressed body of a response.
 
-    :raises MalformedMessageError: it can't be.
+    :raises MalformedMessageError: the body is corrupt, truncated or too long.
     """
     if b'deflate' not in fetched.headers.tokens(b'content-encoding'):
         return fetched.body
@@ -261,7 +277,7 @@
         ) from error
     if not reader.eof:
         raise errors.MalformedMessageError(
-            'cut short or too long',
+            'compressed records are truncated or too long',
             step='read records',
             peer=peer,
         )
--- a/clementinepass/direct/cluster_state.py
+++ b/clementinepass/direct/cluster_state.py
@@ -1,4 +1,4 @@
-"""The cluster as a process knows it: configuration, versions and loads."""
+"""A process's view of the cluster: configuration, versions and loads."""
 
 from __future__ import annotations
 
@@ -16,25 +16,25 @@
 
     from clementinepass.direct import node, routing
 
-#: Seconds before the bound on older versions from which only the newest gets
-#: requests: one sent may wait that long at an engine before it begins.
+#: Seconds before the bound on older versions at which they stop getting new
+#: requests: a request may wait that long in an engine's queue before it starts.
 _VERSION_MARGIN_SECONDS = 0.6
-#: Seconds after the time from which an older version gets no more requests,
-#: and well before its bound, at which those that have not begun are given up.
+#: Seconds after an older version stops getting requests at which those that
+#: have not started are abandoned. Well before the version's bound.
 _START_SLACK_SECONDS = 0.35
-#: Seconds for which an agent's word counts that its link is slow. It says so
-#: each second while pieces come slowly.
+#: Seconds for which an agent's report that its link is congested counts. The
+#: agent repeats it each second while pieces arrive slowly.
 _CONGESTION_LIFETIME_SECONDS = 2.5
-#: Seconds of the time for which a process counts as just started that are not
-#: used: its own start, and a request that waits at an engine.
+#: Seconds of a process's settling time that are held back: for its own start
+#: and for a request that waits at an engine.
 _STARTUP_MARGIN_SECONDS = 1.0
 
 
 class ClusterState:
-    """The cluster as a process knows it now.
+    """The cluster as this process knows it at present.
 
-    :param own: who the entry is.
-    :param clock: monotonic seconds, the same as the event loop's.
+    :param local_node: the local node.
+    :param clock: returns monotonic seconds, the same as the event loop's.
     """
 
     __slots__ = (
@@ -51,17 +51,17 @@
 
     def __init__(
         self,
-        own: node.Node,
+        local_node: node.Node,
         clock: Callable[[], float] = time.monotonic,
     ) -> None:
-        self._local_node = own
+        self._local_node = local_node
         self._clock = clock
-        #: Called when a version was named, to tell others at once.
+        #: Called when a newer desired version is known, to announce it at once.
         self.on_desired_version: Callable[[], None] | None = None
         #: Returns the monotonic seconds at which the store last answered a
-        #: read of what the operator wrote; 0 before the first.
+        #: read of the operator's records; 0 before the first answer.
         self.last_store_contact: Callable[[], float] = float
-        #: The configuration in force; ``None`` until one is known.
+        #: The configuration in force; ``None`` until the first one arrives.
         self.routing: routing.Routing | None = None
         self.endpoints = endpoints.Endpoints()
         self.loads = endpoint_loads.EndpointLoads()
@@ -69,7 +69,10 @@
         self._desired_by_model: dict[str, named_versions.NamedVersions] = {}
 
     def apply_configuration(self, newer: routing.Routing) -> bool:
-        """Take a configuration, unless a newer one is in force."""
+        """Put a configuration in force, unless it is not newer.
+
+        :returns: whether it is in force now and was not before.
+        """
         current = self.routing
         if current is not None and newer.version <= current.version:
             return False
@@ -87,7 +90,10 @@
 
     @property
     def store_age(self) -> float | None:
-        """Return how old the store's last word on the operator is, in s."""
+        """Return the seconds since the operator's records were last read.
+
+        ``None`` before the first answer of the store.
+        """
         contact = self.last_store_contact()
         return round(self._clock() - contact, 3) if contact else None
 
@@ -99,17 +105,19 @@
         *,
         guessed: bool = False,
     ) -> bool:
-        """Take it that a version was named; tell whether it is news.
+        """Record that the operator wants a version of a model.
 
-        :param guessed: whether the time is a guess, since whoever tells it
-            began after the naming.
+        :param since: monotonic seconds at which it was written.
+        :param guessed: whether that time is an estimate, because its source
+            started after the version was written.
+        :returns: whether it is a newer version than was known.
         """
-        known = self._desired_by_model.get(model)
-        if known is None:
+        versions = self._desired_by_model.get(model)
+        if versions is None:
             bound = self._local_node.duties.version - _VERSION_MARGIN_SECONDS
-            known = named_versions.NamedVersions(bound)
-            self._desired_by_model[model] = known
-        if not known.named(version, since, guessed=guessed):
+            versions = named_versions.NamedVersions(bound)
+            self._desired_by_model[model] = versions
+        if not versions.named(version, since, guessed=guessed):
             return False
         logger.bind(
             model=model,
@@ -124,11 +132,11 @@
     def add_earlier_desired_version(
         self, model: str, version: int, now: float
     ) -> None:
-        """Take it that a version was named before this process began.
+        """Record a desired version that was written before this process began.
 
-        When isn't known, unless peers tell it. Engines that work on older
-        versions are used for as long as a process that has just started
-        isn't held to the bound, and no longer.
+        Its time is unknown unless peers report it. The estimate allows older
+        versions for as long as the bound does not apply to a process that has
+        just started, and no longer.
         """
         duties = self._local_node.duties
         grace = max(duties.settling - _STARTUP_MARGIN_SECONDS, 0)
@@ -138,58 +146,59 @@
     def desired_versions(
         self, now: float
     ) -> tuple[heartbeats.DesiredVersion, ...]:
-        """Return the named versions, to tell others."""
+        """Return the desired versions as heartbeats carry them."""
         return tuple(
             heartbeats.DesiredVersion(
                 model,
                 version,
                 max(now - since, 0),
-                version in named.guessed,
+                version in versions.guessed,
             )
-            for model, named in self._desired_by_model.items()
-            for version, since in named.since_by_version.items()
+            for model, versions in self._desired_by_model.items()
+            for version, since in versions.since_by_version.items()
         )
 
     def newest_desired_version(self, model: str) -> int:
-        """Return the newest version named of a model; 0 for none."""
-        named = self._desired_by_model.get(model)
-        return 0 if named is None else named.newest
+        """Return the newest desired version of a model; 0 for none."""
+        versions = self._desired_by_model.get(model)
+        return 0 if versions is None else versions.newest
 
     def seconds_until_required(self, model: str, version: int) -> float | None:
-        """Return the time until requests begin on no older version.
+        """Return the seconds until no request may start on an older version.
 
-        ``None`` for a version that was not named.
+        ``None`` for a version that is not a desired one.
         """
-        named = self._desired_by_model.get(model)
-        if named is None or version not in named.since_by_version:
+        versions = self._desired_by_model.get(model)
+        if versions is None or version not in versions.since_by_version:
             return None
-        passed = self._clock() - named.since_by_version[version]
-        return self._local_node.duties.version - passed
+        age = self._clock() - versions.since_by_version[version]
+        return self._local_node.duties.version - age
 
     def required_version(self, engine: routing.Engine, now: float) -> int:
-        """Return the oldest version on which requests may begin."""
-        named = self._desired_by_model.get(engine.model)
-        return 0 if named is None else named.oldest_allowed(now)
+        """Return the oldest version on which requests may start."""
+        versions = self._desired_by_model.get(engine.model)
+        return 0 if versions is None else versions.oldest_allowed(now)
 
     def start_deadline(self, engine: routing.Engine, version: int) -> float:
-        """Return the time by which a request must begin on a version."""
+        """Return the time at which a request not started yet is abandoned."""
         return self._usable_until(engine, version) + _START_SLACK_SECONDS
 
     def version_bound(self, engine: routing.Engine, version: int) -> float:
-        """Return the time of the bound from which none begins on a version."""
+        """Return the time from which no request may start on a version."""
         return self._usable_until(engine, version) + _VERSION_MARGIN_SECONDS
 
     def _usable_until(self, engine: routing.Engine, version: int) -> float:
-        """Return the time until which a version gets requests."""
-        named = self._desired_by_model.get(engine.model)
-        return math.inf if named is None else named.usable_until(version)
+        """Return the time until which requests are sent to a version."""
+        versions = self._desired_by_model.get(engine.model)
+        return math.inf if versions is None else versions.usable_until(version)
 
     def update_listing(self, listing: endpoints.Listing) -> bool:
-        """Take an endpoint's word; tell whether it changed anything.
+        """Apply an endpoint's listing; return whether it changed anything.
 
-        Failure: an endpoint crashed and came back under its id. What had
-        failed at its earlier start kept it out of placing, and requests that
-        others had lost there counted as its load.
+        Failures and loads of an earlier incarnation are dropped. Otherwise an
+        endpoint that crashed and came back under its id would stay ejected
+        for its old failures, and requests that other entries had lost there
+        would count as its load.
         """
         before = self.endpoints.get(listing.id)
         changed = self.endpoints.listed(listing)
@@ -199,26 +208,26 @@
         return changed
 
     def record_failure(self, endpoint: endpoints.Endpoint, now: float) -> None:
-        """Note a failure, unless it is of a start that is over."""
+        """Count a failure, unless it is of an earlier incarnation."""
         if self.endpoints.get(endpoint.listing.id) is endpoint:
             self.ejector.observe_failure(endpoint.listing.id, now)
 
     def update_engine_status(
-        self, held: heartbeats.EngineStatus, now: float
+        self, status: heartbeats.EngineStatus, now: float
     ) -> None:
-        """Take an agent's word on its engine and its link."""
-        host = held.address.rpartition(':')[0]
+        """Apply an agent's report on the weights of its engine and its link."""
+        host = status.address.rpartition(':')[0]
         for endpoint in self.endpoints.at_host(host):
-            if endpoint.listing.address != held.address:
+            if endpoint.listing.address != status.address:
                 continue
-            self._update_congestion(endpoint, held, now)
-            if _is_current(endpoint, held.started):
-                self._update_weights(endpoint, held)
+            self._update_congestion(endpoint, status, now)
+            if _is_current(endpoint, status.started):
+                self._update_weights(endpoint, status)
 
     def update_engine_load(
         self, ip: str, load: heartbeats.EngineLoad, now: float
     ) -> None:
-        """Take an agent's word on the load of the engine beside it."""
+        """Apply an agent's report on the load of its engine."""
         for endpoint in self.endpoints.at_host(ip):
             if endpoint.weights.version and _is_current(endpoint, load.started):
                 endpoint.reported.tell(load.active, load.queued, now)
@@ -226,40 +235,39 @@
     def _update_weights(
         self,
         endpoint: endpoints.Endpoint,
-        held: heartbeats.EngineStatus,
+        status: heartbeats.EngineStatus,
     ) -> None:
-        """Take what an engine holds."""
-        endpoint.weights_started = held.started or endpoint.weights_started
-        weights = endpoints.Weights(held.version, held.first, held.end)
+        endpoint.weights_started = status.started or endpoint.weights_started
+        weights = endpoints.Weights(status.version, status.first, status.end)
         if weights == endpoint.weights:
             return
         endpoint.weights = weights
         logger.bind(
             endpoint=endpoint.listing.id,
-            version=held.version,
-            layers=held.end - held.first,
+            version=status.version,
+            layers=status.end - status.first,
         ).info('engine holds weights')
 
     def _update_congestion(
         self,
         endpoint: endpoints.Endpoint,
-        held: heartbeats.EngineStatus,
+        status: heartbeats.EngineStatus,
         now: float,
     ) -> None:
         was_congested = endpoint.congested_until > now
         endpoint.congested_until = (
-            now + _CONGESTION_LIFETIME_SECONDS if held.congested else now
+            now + _CONGESTION_LIFETIME_SECONDS if status.congested else now
         )
-        if held.congested != was_congested:
+        if status.congested != was_congested:
             logger.bind(
                 endpoint=endpoint.listing.id,
-                congested=held.congested,
+                congested=status.congested,
             ).info('link of an endpoint')
 
     def in_flight_by_endpoint(self, now: float) -> dict[str, int]:
-        """Return this entry's requests at endpoints, to tell others.
+        """Return this entry's requests at endpoints, for its heartbeats.
 
-        Without those whose agents tell the load of all.
+        Endpoints whose agents report their total load are left out.
         """
         return {
             endpoint.listing.id: endpoint.in_flight
@@ -272,27 +280,33 @@
         service: routing.Service,
         now: float,
     ) -> list[endpoints.Endpoint]:
-        """Return the endpoints that could run a request of a service."""
-        found = self._usable_endpoints(service, now)
+        """Return the endpoints that may run a request to a service now."""
+        usable = self._usable_endpoints(service, now)
         engine = service.engine
         if engine is None:
-            return found
+            return usable
         version = self.required_version(engine, now)
-        return [each for each in found if each.holds(engine, version)]
+        return [
+            endpoint for endpoint in usable if endpoint.holds(engine, version)
+        ]
 
     def is_loading(self, service: routing.Service, now: float) -> bool:
-        """Tell whether some engine of a service takes up weights now."""
-        return any(one.loading for one in self._usable_endpoints(service, now))
+        """Return whether some engine of a service is loading weights."""
+        return any(
+            endpoint.loading
+            for endpoint in self._usable_endpoints(service, now)
+        )
 
     def _usable_endpoints(
         self,
         service: routing.Service,
         now: float,
     ) -> list[endpoints.Endpoint]:
-        """Return the endpoints of a service that the configuration names.
+        """Return the usable endpoints of a service.
 
-        Others may list themselves under any name. They are kept, since a
-        newer configuration may name it.
+        None if the configuration in force does not name the service:
+        endpoints may list themselves under any service name. Those are kept,
+        since a newer configuration may name their service.
         """
         current = self.routing
         if current is None or service.name not in current.services_by_name:
@@ -300,20 +314,24 @@
         return self.endpoints.of_service(service.name, now)
 
     def remove_expired(self, now: float) -> list[endpoints.Endpoint]:
-        """Drop what is long gone; return the endpoints dropped."""
+        """Remove expired state; return the endpoints removed."""
         self.loads.forget(now)
-        dropped = self.endpoints.forget(now)
-        if dropped:
-            self.ejector.retain([one.listing.id for one in self.endpoints])
-        return dropped
+        removed = self.endpoints.forget(now)
+        if removed:
+            self.ejector.retain(
+                [endpoint.listing.id for endpoint in self.endpoints]
+            )
+        return removed
 
 
 def _is_current(endpoint: endpoints.Endpoint, started: int) -> bool:
-    """Tell whether an agent's word is of the start that is known.
+    """Return whether an agent's report is of the current incarnation.
 
-    Failure: an engine crashed and came back empty; a word of its agent from
-    before came after that, and requests went to weights that the engine no
-    longer held.
+    An engine may crash and come back empty while an older report of its agent
+    is still on its way. Applying that report would send requests for weights
+    that the engine no longer holds.
     """
-    is_over = incarnations.is_superseded(endpoint.weights_started, started)
-    return not is_over and endpoint.gone_at is None
+    is_superseded = incarnations.is_superseded(
+        endpoint.weights_started, started
+    )
+    return not is_superseded and endpoint.gone_at is None
--- a/clementinepass/direct/follower.py
+++ b/clementinepass/direct/follower.py
@@ -1,7 +1,7 @@
 """Follow a topic of the store: the newest record of each key, and changes.
 
-What a follower knows only grows by offset.  Older answers that come after
-newer ones, and snapshots taken before what is known, change nothing.
+A follower's state only moves forward by offset.  Older answers that arrive
+after newer ones, and snapshots older than the state, change nothing.
 """
 
 from __future__ import annotations
@@ -24,53 +24,53 @@
 
 
 class Schedule(typing.Protocol):
-    """Choose whether this process reads, and how long reads wait."""
+    """Decides whether this process reads the store, and how long reads wait."""
 
     def should_read(self, now: float) -> bool:
-        """Tell whether this process reads; else it is told by peers."""
+        """Return whether this process reads; otherwise it relies on peers."""
 
     def wait_seconds(self, now: float, *, has_changes: bool) -> float:
-        """Return the seconds that a read which begins now waits.
+        """Return for how long a read that starts now waits for changes.
 
-        :param has_changes: whether the one before brought records.
+        :param has_changes: whether the previous read returned records.
         """
 
 
 class AlwaysRead:
-    """Read as if there were nobody else."""
+    """The schedule of a process that does not share reads with others."""
 
     def should_read(self, now: float) -> bool:
-        """Tell whether this process reads."""
+        """Return that this process reads."""
         return True
 
     def wait_seconds(self, now: float, *, has_changes: bool) -> float:
-        """Return the seconds that a read which begins now waits."""
+        """Return for how long a read that starts now waits for changes."""
         return reading_turns.LONGEST
 
 
-#: Seconds between tries while the store doesn't answer: first, and at most.
-#: All processes try again at once after an outage, and the store's rates are
-#: for all of them together, so the pause is drawn at random.
+#: Seconds between retries while the store does not answer: the first, and the
+#: longest. The backoff is randomized: otherwise all processes would retry at
+#: once after an outage, and the store's rate limits are for all of them.
 _FIRST_BACKOFF_SECONDS = 0.1
 _MAX_BACKOFF_SECONDS = 0.6
-#: Seconds between looks whether a peer has told what there is.
+#: Seconds between checks whether a peer has supplied the first records.
 _PEER_POLL_SECONDS = 0.02
-#: Stands for the store where it is told whence records came.
+#: The source of records that come from the store itself, for log lines.
 STORE_SOURCE = 'store'
-#: Seconds after an outage's end in which its consequences are still read.
+#: Seconds after an outage of the store in which reads still show its effects.
 _OUTAGE_AFTERMATH_SECONDS = 1.0
-#: Seconds between looks whether this process is to read the store itself.
+#: Seconds between checks whether this process has to read the store itself.
 _IDLE_POLL_SECONDS = 0.1
-#: Seconds between reads that bring changes of endpoints, while more come. When
-#: all engines take up a version they write of themselves three times each,
-#: and each read is a call to the store, and a word to all entries of a region.
+#: Shortest interval of reads that return changes of endpoints. While a version
+#: is rolled out each engine updates its listing three times, and each read
+#: costs a call to the store and a heartbeat to all entries of a region.
 _MIN_READ_INTERVAL_SECONDS = 0.25
-#: Removals remembered, to tell peers of them.
+#: Removals kept, to hand them to peers.
 _MAX_REMOVALS = 256
 
 
 class TopicState:
-    """The newest record of each key, with the removals that came last."""
+    """The newest record of each key, and the most recent removals."""
 
     __slots__ = (
         '_by_key',
@@ -84,20 +84,20 @@
         self._by_key: dict[str, records.Record] = {}
         self._removals: collections.OrderedDict[str, records.Record]
         self._removals = collections.OrderedDict()
-        #: The offset from which each removal is known.
+        #: The offset from which on all removals are known.
         self._complete_from = 0
-        #: The offset from which changes are unknown.
+        #: The offset of the next record; changes before it are known.
         self.next_offset = 0
-        #: Grows with each record taken.
+        #: Grows with each record applied.
         self.revision = 0
 
     @property
     def live_records(self) -> list[records.Record]:
-        """Return the newest records of keys that weren't removed."""
+        """Return the newest records of the keys that are not removed."""
         return list(self._by_key.values())
 
     def apply(self, record: records.Record) -> bool:
-        """Take a record; tell whether it is news."""
+        """Apply a record; return whether it is newer than the known one."""
         known = self._by_key.get(record.key) or self._removals.get(record.key)
         if known is not None and record.offset <= known.offset:
             return False
@@ -117,7 +117,7 @@
         return True
 
     def implied_removals(self, snapshot: records.Page) -> list[records.Record]:
-        """Return removals for the keys that a snapshot no longer has."""
+        """Return removals of the keys that are missing from a snapshot."""
         if snapshot.next_offset < self.next_offset:
             return []
         self._complete_from = snapshot.next_offset
@@ -129,9 +129,10 @@
         ]
 
     def since(self, offset: int) -> records.Page:
-        """Return what is known from an offset on, in order.
+        """Return the known records from an offset on, in order.
 
-        All that there is where some removal since then may be unknown here.
+        All records are returned, as a snapshot, if removals since the offset
+        may be missing here.
         """
         if offset < self._complete_from:
             return records.Page(
@@ -139,16 +140,16 @@
                 self.next_offset,
                 is_snapshot=True,
             )
-        every = (*self._by_key.values(), *self._removals.values())
-        newer = [record for record in every if record.offset >= offset]
+        known = (*self._by_key.values(), *self._removals.values())
+        newer = [record for record in known if record.offset >= offset]
         newer.sort(key=_offset)
         return records.Page(tuple(newer), self.next_offset)
 
 
 class Follower:
-    """Keep up with one topic.
+    """Keeps up with one topic of the store.
 
-    :param listener: told of each record that is news, removals included.
+    :param listener: called with each new record, removals included.
     """
 
     __slots__ = (
@@ -184,65 +185,67 @@
         self._rng = rng
         self._failing_since: float | None = None
         self.state = TopicState()
-        #: Monotonic seconds of the store's last answer, or of the last word
-        #: of an entry that reads it for this one.
+        #: Monotonic seconds of the store's last answer, or of the last
+        #: heartbeat of an entry that reads the store for this one.
         self.last_contact: float = 0
-        #: Monotonic seconds at which the last outage seen ended.
+        #: Monotonic seconds at which the last known outage ended.
         self.outage_ended_at = float('-inf')
-        #: Whether the topic was read once, from the store or from a peer.
+        #: Whether the topic has been read, from the store or from a peer.
         self.is_initialized = False
-        #: Seconds from its start in which a peer may tell what there is,
-        #: before the store is asked.
+        #: Seconds after the start in which a peer may supply the first records
+        #: before the store is read.
         self.peer_wait_seconds: float = 0
         self.schedule: Schedule = AlwaysRead()
-        #: Called when records are news here, to tell those who don't read.
+        #: Called after new records, to notify entries that do not read.
         self.on_changes: Callable[[], None] | None = None
-        #: Called when a read after an outage brings news, to tell all: their
-        #: reads may be as deaf as this one was.
+        #: Called after new records of the first read after an outage, to
+        #: notify all entries: their reads may hang as this one's did.
         self.on_missed_changes: Callable[[], None] | None = None
-        #: Whether this process reads the store itself at present.
+        #: Whether this process reads the store itself.
         self._is_reading = True
-        #: Monotonic seconds at which the read in progress ends by itself.
+        #: Monotonic seconds at which the read in progress stops waiting.
         self._read_ends_at: float = 0
-        #: When a read last brought records; monotonic seconds.
+        #: Monotonic seconds at which a read last returned records.
         self._last_change_at = float('-inf')
-        #: Whether the last read brought records.
+        #: Whether the last read returned records.
         self._has_changes = True
 
     def read_ends_in(self, now: float) -> float:
-        """Return the seconds until a read that waits ends; 0 for none."""
+        """Return the seconds until the pending read ends; 0 for none."""
         return max(self._read_ends_at - now, 0)
 
     @property
     def is_store_reachable(self) -> bool:
-        """Tell whether the last call to the store was answered."""
+        """Return whether the store answered the last call."""
         return self._failing_since is None
 
     @property
     def is_reading(self) -> bool:
-        """Tell whether this process reads the store itself."""
+        """Return whether this process reads the store itself."""
         return self._is_reading
 
     def record_reader_contact(self, now: float) -> None:
-        """Take it that an entry was heard of that reads for the region."""
+        """Record that an entry which reads for the region is alive."""
         if not self._is_reading:
             self.last_contact = now
 
     def outage_age(self, now: float) -> float | None:
-        """Return the seconds since an outage of the store that ended just now.
+        """Return the seconds since an outage of the store that just ended.
 
-        What the store tells then may be the end of leases that ran out while
-        their holders could not reach it. ``None`` where there was none.
+        ``None`` if there was none lately. Removals that are read just after
+        an outage may be leases that expired while their holders could not
+        reach the store.
 
-        Whoever hands records on says how old the outage is. Failure: it said
-        only that there had been one, and for as long as records went round all
-        took each removal for a lapse, and sent requests on for two seconds.
+        The age is passed on with the records. If they only said that there
+        had been an outage, entries would treat every removal as an expired
+        lease for as long as records are passed around, and send requests to
+        removed endpoints for two seconds more.
         """
         age = now - self.outage_ended_at
         return age if age < _OUTAGE_AFTERMATH_SECONDS else None
 
     async def run(self) -> None:
-        """Follow the topic for ever."""
+        """Follow the topic until cancelled."""
         await self._wait_for_peers()
         pause: float = 0
         read = self._read_changes if self.is_initialized else self._read_newest
@@ -261,9 +264,9 @@
                 await asyncio.sleep(pause * self._rng.uniform(0.5, 1.5))
 
     def apply(self, page: records.Page, source: str = STORE_SOURCE) -> int:
-        """Take records; return how many are news.
+        """Apply a page of records; return how many of them are new.
 
-        :param source: the peer that they came from, or the store.
+        :param source: the IP address of the peer that sent them, or the store.
         """
         if page.outage_age is not None:
             ended = asyncio.get_running_loop().time() - page.outage_age
@@ -288,9 +291,9 @@
         return news
 
     def reapply(self, page: records.Page) -> int:
-        """Hand records on whatever is known of their offsets.
+        """Apply a page of records again, whatever their offsets.
 
-        For a listener to whom hearing a record twice makes no difference.
+        The listener must be idempotent: it may get a record twice.
         """
         for record in page.records:
             self.state.apply(record)
@@ -327,7 +330,7 @@
         return self._read_changes
 
     async def _limit_read_rate(self) -> None:
-        """Leave some time between reads that bring changes of endpoints."""
+        """Pause after a read that returned changes of endpoints."""
         loop = asyncio.get_running_loop()
         since = loop.time() - self._last_change_at
         if (
@@ -339,7 +342,10 @@
         self._last_change_at = loop.time()
 
     async def _read_if_scheduled(self, read: typing.Any) -> typing.Any:
-        """Read, or leave it to others of the region for a moment."""
+        """Read, or pause if other entries of the region do the reading.
+
+        :returns: the method to read with next.
+        """
         now = asyncio.get_running_loop().time()
         is_reading = not self.is_initialized or self.schedule.should_read(now)
         if is_reading is not self._is_reading:
@@ -354,7 +360,7 @@
         return read
 
     def _stop_reading(self, now: float) -> None:
-        """Take no part in the reading; what failed before is no outage."""
+        """Clear the state of reads; earlier failures are no outage then."""
         self._read_ends_at = 0
         self._has_changes = False
         self._failing_since = None
--- a/clementinepass/direct/gossip.py
+++ b/clementinepass/direct/gossip.py
@@ -1,4 +1,4 @@
-"""Send and take heartbeats, and hand records to peers that know less."""
+"""Exchange heartbeats with peers, and serve them records of the store."""
 
 from __future__ import annotations
 
@@ -31,26 +31,28 @@
     from clementinepass.direct import cluster_state, follower, node
     from clementinepass.http import messages
 
-#: Seconds between heartbeats. Counts of requests at endpoints are as old as
-#: this when others place by them; each costs some 150 bytes a peer.
+#: Seconds between heartbeats. Request counts are this old when other entries
+#: select endpoints by them. A heartbeat costs some 150 bytes per peer.
 _HEARTBEAT_SECONDS = 0.4
-#: Of so many heartbeats one carries all members and versions. New members are
-#: heard of within two seconds, and most heartbeats stay short.
+#: One of this many heartbeats is full: it carries all members and versions.
+#: New members become known within two seconds, and most heartbeats stay short.
 _HEARTBEATS_PER_FULL = 5
-#: Seconds since a member was heard of in which its word is passed on. An older
-#: one would keep nobody from being taken for gone.
+#: Seconds since a member was last seen within which its digest is passed on.
+#: An older digest would be too late to show that the member is alive.
 _FRESH_SECONDS = 1.0
-#: Members that are asked, for each heartbeat that tells of them, who they are.
+#: Unknown members that are asked to introduce themselves, per heartbeat that
+#: lists them.
 _MAX_INTRODUCTIONS = 2
 _NOT_FOUND = 404
 
 
 class Peers:
-    """The other processes: who they are, and what they say.
+    """Exchanges state with the other processes.
 
-    :param local_node: who this process is.
-    :param cluster: the state of the cluster.
-    :param fallback_handler: answers peers' requests that aren't for records.
+    :param local_node: the local node.
+    :param followers: the followers of the store's topics.
+    :param cluster: the state of the cluster, updated from heartbeats.
+    :param fallback_handler: answers peers' requests that are not for records.
     """
 
     def __init__(
@@ -80,22 +82,22 @@
         self._catching_up = catching_up.PeerCatchUp(
             local_node, followers, cluster
         )
-        #: The entries.
+        #: The other entries.
         self.members = members.Members(local_node.ip)
-        #: Who reads the store, and when reads end, by topic.
+        #: The schedule of reads of the store, by topic.
         self.read_turns_by_topic = {
             topic: turns.ReadTurns(local_node, self.members)
             for topic in (records.Topic.OPERATOR, records.Topic.ENDPOINTS)
         }
-        #: Who uses the engine beside this process.
+        #: The entries that subscribe to the load of this agent's engine.
         self.subscribers = subscribers.Subscribers()
-        #: What this process says of itself.
+        #: The state that this process announces.
         self.phase = members.Phase.STARTING
-        #: What an agent read of its engine.
+        #: The state of this agent's engine, as it announces it.
         self.engine_statuses: tuple[heartbeats.EngineStatus, ...] = ()
 
     async def listen(self) -> None:
-        """Listen on the system's own ports."""
+        """Listen for heartbeats and for peers' requests."""
         loop = asyncio.get_running_loop()
         opened = await loop.create_datagram_endpoint(
             lambda: _Datagrams(self),
@@ -108,41 +110,49 @@
 
     @property
     def is_bootstrapping(self) -> bool:
-        """Tell whether this process doesn't know yet what is in the store."""
-        return not all(one.is_initialized for one in self._followers.values())
+        """Return whether some topic of the store has not been read yet."""
+        return not all(
+            topic_follower.is_initialized
+            for topic_follower in self._followers.values()
+        )
 
     async def run(self) -> None:
-        """Speak for ever."""
+        """Send heartbeats until cancelled."""
         while True:
             self.send_heartbeat()
-            is_new = self.is_bootstrapping
-            seconds = self._polling.pause() if is_new else _HEARTBEAT_SECONDS
+            is_starting = self.is_bootstrapping
+            seconds = (
+                self._polling.pause() if is_starting else _HEARTBEAT_SECONDS
+            )
             await asyncio.sleep(seconds * self._rng.uniform(0.9, 1.1))
 
     def poll_seeds(self) -> float:
-        """Ask seeds what there is; return the seconds until the next time."""
+        """Send heartbeats to the seeds that are due.
+
+        :returns: the seconds until the next poll.
+        """
         self.send_to(self._polling.due())
         return self._polling.pause()
 
     def send_heartbeat(self, *, full: bool = False) -> None:
-        """Send one heartbeat to some of the others.
+        """Send one heartbeat to a selection of peers.
 
-        :param full: whether to send all that there is to tell, also to the
-            agents near.
+        :param full: whether to send a full heartbeat, and to the agents of the
+            local failure domain, too.
         """
         self._sequence += 1
-        is_whole = full or self._sequence % _HEARTBEATS_PER_FULL == 1
-        ips = self._targets(full=is_whole)
+        is_full = full or self._sequence % _HEARTBEATS_PER_FULL == 1
+        ips = self._targets(full=is_full)
         if full:
             ips.extend(ip for ip in self._nearby_agents() if ip not in ips)
         payload = wire_heartbeats.write_heartbeat(
-            self._compose_heartbeat(full=is_whole),
+            self._compose_heartbeat(full=is_full),
         )
         for ip in ips:
             self._send(payload, ip)
 
     def send_to(self, ips: list[str]) -> None:
-        """Send one heartbeat to given processes."""
+        """Send one heartbeat to the processes at some IP addresses."""
         payload = wire_heartbeats.write_heartbeat(
             self._compose_heartbeat(full=False)
         )
@@ -150,7 +160,7 @@
             self._send(payload, ip)
 
     def subscribe(self, ips: Iterable[str]) -> None:
-        """Ask agents to be told of their engines' load for a while."""
+        """Subscribe to the load of the engines of some agents for a while."""
         payload = wire_heartbeats.write_heartbeat(
             self._compose_heartbeat(full=False, wants_load=True),
         )
@@ -158,7 +168,7 @@
             self._send(payload, ip)
 
     def send_load(self, ips: list[str], load: heartbeats.EngineLoad) -> None:
-        """Tell entries the load of the engine beside this agent."""
+        """Send the load of this agent's engine to some entries."""
         payload = wire_heartbeats.write_heartbeat(
             heartbeats.Heartbeat(load=load),
         )
@@ -166,11 +176,11 @@
             self._send(payload, ip)
 
     def contact(self, ips: Iterable[str]) -> None:
-        """Speak to processes that were found in the store."""
+        """Send a heartbeat to processes found in the store."""
         self.send_to([ip for ip in ips if ip != self._local_node.ip])
 
     def local_member(self) -> members.Member | None:
-        """Return what this entry says of itself; ``None`` for an agent."""
+        """Return the member that this entry announces; ``None`` if an agent."""
         if not self._local_node.callers:
             return None
         return members.Member(
@@ -184,7 +194,7 @@
         )
 
     def receive(self, payload: bytes, ip: str) -> None:
-        """Take a heartbeat."""
+        """Handle a datagram from a peer."""
         try:
             heartbeat = wire_heartbeats.read_heartbeat(payload, ip)
         except errors.MalformedMessageError as error:
@@ -212,20 +222,21 @@
         ip: str,
         unknown: list[str],
     ) -> None:
-        """Say who this is where it's asked, and ask members not known yet.
+        """Answer a request for an introduction, and request some in turn.
 
-        Such a message tells of nobody else: whoever gets it would ask on.
+        Introductions list no other members: their receivers would request
+        introductions from those again.
         """
         if heartbeat.wants_introduction:
-            self._send(self._introduction(asks=False), ip)
-        for each in unknown[:_MAX_INTRODUCTIONS]:
-            self._send(self._introduction(asks=True), each)
+            self._send(self._introduction(wants_reply=False), ip)
+        for unknown_ip in unknown[:_MAX_INTRODUCTIONS]:
+            self._send(self._introduction(wants_reply=True), unknown_ip)
 
-    def _introduction(self, *, asks: bool) -> bytes:
+    def _introduction(self, *, wants_reply: bool) -> bytes:
         return wire_heartbeats.write_heartbeat(
             heartbeats.Heartbeat(
                 sender=self.local_member(),
-                wants_introduction=asks,
+                wants_introduction=wants_reply,
                 operator_offset=self._offset(records.Topic.OPERATOR),
                 endpoints_offset=self._offset(records.Topic.ENDPOINTS),
             ),
@@ -243,15 +254,15 @@
                 now,
             )
             self._update_read_turns(heartbeat, ip, now)
-        for named in heartbeat.desired_versions:
+        for desired in heartbeat.desired_versions:
             self._cluster.add_desired_version(
-                named.model,
-                named.version,
-                now - named.age,
-                guessed=named.guessed,
+                desired.model,
+                desired.version,
+                now - desired.age,
+                guessed=desired.guessed,
             )
-        for held in heartbeat.engine_statuses:
-            self._cluster.update_engine_status(held, now)
+        for status in heartbeat.engine_statuses:
+            self._cluster.update_engine_status(status, now)
         self._catching_up.handle_heartbeat(heartbeat, ip, now)
         self._bootstrap.handle_heartbeat(
             heartbeat, ip, now, offsets=self._offsets
@@ -265,12 +276,12 @@
             (records.Topic.ENDPOINTS, heartbeat.endpoints_read_ends_in),
         )
         sender = heartbeat.sender
-        is_near = (
+        is_same_region = (
             sender is not None and sender.region == self._local_node.region
         )
         for topic, seconds in pairs:
             self.read_turns_by_topic[topic].update(ip, seconds, now)
-            if is_near and seconds and topic in self._followers:
+            if is_same_region and seconds and topic in self._followers:
                 self._followers[topic].record_reader_contact(now)
 
     async def _serve(
@@ -304,8 +315,10 @@
             sender=self.local_member(),
             members=tuple(alive) if full and is_small else (),
             digests=tuple(
-                members.Digest(one.ip, one.boot, one.heartbeat, one.phase)
-                for one in drawn
+                members.Digest(
+                    member.ip, member.boot, member.heartbeat, member.phase
+                )
+                for member in drawn
             ),
             in_flight_by_endpoint=self._cluster.in_flight_by_endpoint(now),
             operator_offset=self._offset(records.Topic.OPERATOR),
@@ -339,52 +352,55 @@
         )
 
     def _offset(self, topic: records.Topic) -> int:
-        own = self._followers.get(topic)
-        return 0 if own is None else own.state.next_offset
+        topic_follower = self._followers.get(topic)
+        return 0 if topic_follower is None else topic_follower.state.next_offset
 
     def _read_ends_in(self, topic: records.Topic, now: float) -> float:
-        own = self._followers.get(topic)
-        return 0 if own is None else own.read_ends_in(now)
+        topic_follower = self._followers.get(topic)
+        return 0 if topic_follower is None else topic_follower.read_ends_in(now)
 
     def _targets(self, *, full: bool) -> list[str]:
-        """Return whom this heartbeat goes to."""
+        """Return the IP addresses that a heartbeat goes to."""
         near, far = self.members.split_by_domain(self._local_node.domain)
-        others: set[str] = set()
+        extra: set[str] = set()
         if self.is_bootstrapping:
-            others.update(self._polling.due())
+            extra.update(self._polling.due())
         elif full or not (near or far):
-            others.update(self._local_node.seeds, self._nearby_agents())
-        far.extend(others.difference(near, far))
+            extra.update(self._local_node.seeds, self._nearby_agents())
+        far.extend(extra.difference(near, far))
         drawn = dissemination.targets(near, far, self._rng)
         return [*drawn, *self._dependents().difference(drawn)]
 
     def update_dependents(self) -> None:
-        """Speak at once to those that are told of the store from here."""
+        """Send a heartbeat at once to the entries that rely on this one."""
         self.send_to(list(self._dependents()))
         if not self.is_bootstrapping:
             now = asyncio.get_running_loop().time()
             self._bootstrap.reply_to_waiting(now)
 
     def _dependents(self) -> set[str]:
-        """Return the entries that rely on this one for what the store has.
+        """Return the entries that get the store's records from this one.
 
-        They are told with each heartbeat, however many there are: one that
-        hears of no reader reads the store itself.
+        Each heartbeat goes to all of them, however many there are: an entry
+        that sees no reader of its region reads the store itself.
         """
-        if not any(one.is_reading for one in self._followers.values()):
+        if not any(
+            topic_follower.is_reading
+            for topic_follower in self._followers.values()
+        ):
             return set()
         now = asyncio.get_running_loop().time()
         return {
-            one.ip
-            for one in self.members.alive(now)
-            if one.region == self._local_node.region
+            member.ip
+            for member in self.members.alive(now)
+            if member.region == self._local_node.region
         }
 
     def _nearby_agents(self) -> list[str]:
-        """Return agents of the own failure domain.
+        """Return the agents of the local failure domain; none for an agent.
 
-        An agent learns from them which entries there are, and tells all of
-        them when its engine has new weights.
+        Heartbeats tell an agent which entries there are; it announces new
+        weights of its engine to all of them.
         """
         if not self._local_node.callers:
             return []
@@ -403,7 +419,7 @@
 
 
 class _Datagrams(asyncio.DatagramProtocol):
-    """Hand datagrams on."""
+    """Passes received datagrams to :class:`Peers`."""
 
     def __init__(self, peers: Peers) -> None:
         self._peers = peers
@@ -413,8 +429,8 @@
         payload: bytes,
         address: tuple[str | typing.Any, int],
     ) -> None:
-        """Take one datagram."""
+        """Handle one datagram."""
         self._peers.receive(payload, str(address[0]))
 
     def error_received(self, error: Exception) -> None:
-        """Pass over a peer that isn't there; its silence says it."""
+        """Ignore an unreachable peer; its silence shows that it is gone."""
--- a/clementinepass/direct/intake.py
+++ b/clementinepass/direct/intake.py
@@ -1,4 +1,4 @@
-"""Take the store's records into what a process knows."""
+"""Apply the store's records to the cluster state."""
 
 from __future__ import annotations
 
@@ -16,17 +16,18 @@
 
     from clementinepass.direct import cluster_state, endpoints
 
-#: Seconds that an endpoint is used whose listing lapsed while the store was
-#: away: nearly the two seconds in which endpoints list themselves again, and
-#: less than those after which one that is gone must get nothing.
+#: Seconds for which an endpoint is still used after its listing lapsed during
+#: an outage of the store. Nearly the two seconds in which endpoints list
+#: themselves again, and less than the two seconds after which an endpoint that
+#: is gone must get no more requests.
 _LAPSE_GRACE_SECONDS = 1.9
-#: Seconds after the end of an outage by which an endpoint that lives has listed
-#: itself again, and this entry has heard of it.
+#: Seconds after the end of an outage by which a live endpoint has listed itself
+#: again and this entry has received the listing.
 _RELIST_SECONDS = 2.4
-#: Seconds after which a key's malformed records are written of again: their
-#: writer may write them anew with each heartbeat, several times a second.
+#: Seconds between log lines on malformed records of one key: their writer may
+#: repeat them with each heartbeat, several times a second.
 _LOG_INTERVAL_SECONDS = 30.0
-#: Keys written of in that time; a writer may use any number of them.
+#: Most keys logged in that time: a writer may use any number of keys.
 _MAX_LOGGED_KEYS = 100
 
 
@@ -38,10 +39,11 @@
 
 
 class Decoders(typing.NamedTuple):
-    """Decode records; each raises ``MalformedMessageError``.
+    """Functions that decode records or raise ``MalformedMessageError``.
 
-    :param operator: returns ``None`` for a record of no concern.
-    :param endpoint: returns ``None`` where the endpoint was removed.
+    :param operator: decodes an operator's record; returns ``None`` for one
+        that is neither a configuration nor a desired version.
+    :param endpoint: decodes a listing; returns ``None`` for a removed one.
     """
 
     operator: Callable[
@@ -52,10 +54,10 @@
 
 
 class Intake:
-    """Decode records and take them into the cluster state.
+    """Decodes records and applies them to the cluster state.
 
-    What can't be decoded changes nothing: what was in force stays so, but for
-    the endpoint of that record's own key, which gets nothing more.
+    Malformed records are ignored, except that an endpoint whose own record is
+    malformed gets no more requests.
     """
 
     __slots__ = (
@@ -73,7 +75,7 @@
         self._decoders = decoders
         self._endpoint_follower: follower.Follower | None = None
         self._operator_follower: follower.Follower | None = None
-        #: When a malformed record of a key was last written of.
+        #: When a malformed record of a key was last logged.
         self._logged_at_by_key: dict[str, float] = {}
 
     def create_followers(
@@ -81,7 +83,7 @@
         store: records.Store,
         rng: random.Random,
     ) -> dict[records.Topic, follower.Follower]:
-        """Return what follows the operator and the endpoints."""
+        """Return the followers of the operator's and endpoints' records."""
         self._operator_follower = follower.Follower(
             store,
             records.Topic.OPERATOR,
@@ -96,8 +98,11 @@
         )
         self._cluster.last_store_contact = self._last_operator_contact
         return {
-            one.topic: one
-            for one in (self._operator_follower, self._endpoint_follower)
+            topic_follower.topic: topic_follower
+            for topic_follower in (
+                self._operator_follower,
+                self._endpoint_follower,
+            )
         }
 
     def _last_operator_contact(self) -> float:
@@ -109,23 +114,25 @@
 
     def _apply_operator_record(self, record: records.Record) -> None:
         try:
-            word = self._decoders.operator(record)
+            decoded = self._decoders.operator(record)
         except errors.MalformedMessageError as error:
             self._log_malformed(record, error)
             return
-        if isinstance(word, DesiredVersion):
+        if isinstance(decoded, DesiredVersion):
             now = asyncio.get_running_loop().time()
             if (
                 self._operator_follower is not None
                 and not self._operator_follower.is_initialized
             ):
                 self._cluster.add_earlier_desired_version(
-                    word.model, word.version, now
+                    decoded.model, decoded.version, now
                 )
             else:
-                self._cluster.add_desired_version(word.model, word.version, now)
-        elif word is not None:
-            self._cluster.apply_configuration(word)
+                self._cluster.add_desired_version(
+                    decoded.model, decoded.version, now
+                )
+        elif decoded is not None:
+            self._cluster.apply_configuration(decoded)
 
     def _apply_endpoint_record(self, record: records.Record) -> None:
         try:
@@ -151,9 +158,10 @@
 
     @property
     def _has_initial_listings(self) -> bool:
-        """Tell whether the endpoints that there were at first are known.
+        """Return whether the initial listings have been applied.
 
-        A line for each of thousands took longer than to take them.
+        They are not logged: with thousands of endpoints the log lines would
+        take longer than applying the listings.
         """
         return (
             self._endpoint_follower is not None
@@ -162,8 +170,8 @@
 
     def _remove_endpoint(self, endpoint_id: str) -> None:
         now = asyncio.get_running_loop().time()
-        follow = self._endpoint_follower
-        age = None if follow is None else follow.outage_age(now)
+        topic_follower = self._endpoint_follower
+        age = None if topic_follower is None else topic_follower.outage_age(now)
         grace = (
             0
             if age is None
@@ -175,10 +183,10 @@
             )
 
     def _log_malformed(self, record: records.Record, error: Exception) -> None:
-        """Write a line of a malformed record, unless there was one lately.
+        """Log a malformed record, unless its key was logged lately.
 
-        Failure: another writer's record was written anew with each heartbeat,
-        and its lines pushed out those of others.
+        Another writer may repeat a malformed record with each heartbeat; its
+        lines would crowd out others.
         """
         now = asyncio.get_running_loop().time()
         self._logged_at_by_key = {
@@ -186,8 +194,8 @@
             for key, at in self._logged_at_by_key.items()
             if now - at < _LOG_INTERVAL_SECONDS
         }
-        is_told = record.key in self._logged_at_by_key
-        if is_told or len(self._logged_at_by_key) >= _MAX_LOGGED_KEYS:
+        is_logged = record.key in self._logged_at_by_key
+        if is_logged or len(self._logged_at_by_key) >= _MAX_LOGGED_KEYS:
             return
         self._logged_at_by_key[record.key] = now
         logger.bind(key=record.key, offset=record.offset).error(
--- a/clementinepass/direct/members.py
+++ b/clementinepass/direct/members.py
@@ -1,9 +1,8 @@
-"""Which processes of the system are there, as told by themselves.
+"""Membership: which entries are alive.
 
-Each process counts its heartbeats, and each message carries the counts that
-its sender knows.  One whose count stops growing is gone, whoever stopped
-hearing of it; a process that is cut off from one other is still seen through
-the rest.
+Each entry counts its heartbeats, and messages carry the counts that their
+sender knows.  A member whose count stops growing everywhere is gone.  A member
+that is cut off from one peer is still seen through the others.
 """
 
 from __future__ import annotations
@@ -14,17 +13,17 @@
 if typing.TYPE_CHECKING:
     from collections.abc import Iterable
 
-#: Seconds without a new heartbeat after which a process is taken for gone.
-#: Six heartbeats: datagrams are lost now and then, and one gone too early
+#: Seconds without a new heartbeat after which a member counts as gone. Six
+#: heartbeats: datagrams are lost now and then, and a member removed too early
 #: takes callers off an entry that serves.
 SILENCE_TIMEOUT_SECONDS = 2.4
-#: Seconds for which one that is gone is remembered, so that the word of one
-#: who hasn't noticed doesn't bring it back.
+#: Seconds for which a member that is gone is remembered, so that a peer that
+#: has not noticed yet does not bring it back.
 _RETENTION_SECONDS = 20.0
 
 
 class Phase(enum.Enum):
-    """What a process says of itself."""
+    """The state of a process, as it announces it."""
 
     STARTING = 'starting'
     READY = 'ready'
@@ -32,11 +31,12 @@
 
 
 class Member(typing.NamedTuple):
-    """An entry as it tells of itself, and what it has come to know.
+    """An entry as it describes itself.
 
-    :param boot: another at each start, growing.
-    :param heartbeat: grows by one each time that it speaks.
+    :param boot: a number that grows from one start of the entry to the next.
+    :param heartbeat: the number of heartbeats sent since then.
     :param callers: ``host:port`` where callers connect.
+    :param domain: its failure domain.
     """
 
     ip: str
@@ -49,7 +49,7 @@
 
 
 class Digest(typing.NamedTuple):
-    """What changes of a member from heartbeat to heartbeat."""
+    """The part of a member that changes from heartbeat to heartbeat."""
 
     ip: str
     boot: int
@@ -58,34 +58,34 @@
 
 
 class _MemberState:
-    """The newest word of a member and when it came."""
+    """The newest announcement of a member and the time of its arrival."""
 
     __slots__ = ('last_seen', 'draining_since', 'member')
 
-    def __init__(self, member: Member, at: float) -> None:
+    def __init__(self, member: Member, last_seen: float) -> None:
         self.member = member
-        self.last_seen = at
-        #: When it first said that it leaves; ``None`` before that. One that is
-        #: met as it leaves may have been told long ago.
+        self.last_seen = last_seen
+        #: When it first announced that it drains; ``None`` if it does not. A
+        #: member already draining when first seen may have started long ago.
         self.draining_since: float | None = None
         if member.phase is Phase.DRAINING:
             self.draining_since = float('-inf')
 
 
 class Members:
-    """The entries, by IP number.
+    """The other entries, by IP address.
 
-    :param own_ip: the number of this process, which isn't listed.
+    :param local_ip: the IP address of this process, which is not listed.
     """
 
     __slots__ = ('_local_ip', '_states_by_ip')
 
-    def __init__(self, own_ip: str) -> None:
-        self._local_ip = own_ip
+    def __init__(self, local_ip: str) -> None:
+        self._local_ip = local_ip
         self._states_by_ip: dict[str, _MemberState] = {}
 
     def update(self, members: Iterable[Member], now: float) -> list[Member]:
-        """Take members' words; return those that are new or changed."""
+        """Apply announcements; return the members that are new or changed."""
         return [
             member for member in members if self._update_member(member, now)
         ]
@@ -95,17 +95,17 @@
         digests: Iterable[Digest],
         now: float,
     ) -> tuple[list[Member], list[str]]:
-        """Take digests of members.
+        """Apply digests of members.
 
-        :returns: the members that changed, and the IP numbers of those that
-            aren't known: a digest doesn't say where callers connect.
+        :returns: the members that changed, and the IP addresses of unknown
+            members: a digest does not say where callers connect.
         """
         changed = []
         unknown = []
         for digest in digests:
-            seen = self._states_by_ip.get(digest.ip)
-            if seen is not None:
-                newer = seen.member._replace(
+            state = self._states_by_ip.get(digest.ip)
+            if state is not None:
+                newer = state.member._replace(
                     boot=digest.boot,
                     heartbeat=digest.heartbeat,
                     phase=digest.phase,
@@ -117,15 +117,15 @@
         return changed, unknown
 
     def alive(self, now: float) -> list[Member]:
-        """Return the members that are there."""
+        """Return the members that are alive."""
         return self.seen_within(now, SILENCE_TIMEOUT_SECONDS)
 
     def seen_within(self, now: float, seconds: float) -> list[Member]:
-        """Return the members that were heard of within some seconds."""
+        """Return the members last seen within a number of seconds."""
         return [
-            seen.member
-            for seen in self._states_by_ip.values()
-            if now - seen.last_seen <= seconds
+            state.member
+            for state in self._states_by_ip.values()
+            if now - state.last_seen <= seconds
         ]
 
     def ready(self, now: float) -> list[Member]:
@@ -135,57 +135,57 @@
         ]
 
     def recently_draining(self, now: float, seconds: float) -> list[Member]:
-        """Return the members that began to leave within some seconds."""
+        """Return the members that began to drain within some seconds."""
         return [
-            seen.member
-            for seen in self._states_by_ip.values()
-            if seen.draining_since is not None
-            and now - seen.draining_since <= seconds
+            state.member
+            for state in self._states_by_ip.values()
+            if state.draining_since is not None
+            and now - state.draining_since <= seconds
         ]
 
     def count_seen_within(self, now: float, seconds: float) -> int:
-        """Count the members heard of within some seconds."""
+        """Count the members last seen within a number of seconds."""
         return sum(
-            now - seen.last_seen <= seconds
-            for seen in self._states_by_ip.values()
+            now - state.last_seen <= seconds
+            for state in self._states_by_ip.values()
         )
 
     def split_by_domain(self, domain: str) -> tuple[list[str], list[str]]:
-        """Return the IP numbers known, also of those that fell silent.
+        """Return the IP addresses of all known members, silent ones included.
 
-        Those in a failure domain first, then those in others.
+        :returns: those in a failure domain, and those outside it.
         """
         near: list[str] = []
         far: list[str] = []
-        for ip, seen in self._states_by_ip.items():
-            (near if seen.member.domain == domain else far).append(ip)
+        for ip, state in self._states_by_ip.items():
+            (near if state.member.domain == domain else far).append(ip)
         return near, far
 
     def remove_expired(self, now: float) -> list[Member]:
-        """Drop members that are long gone; return them."""
-        gone = [
-            seen.member
-            for seen in self._states_by_ip.values()
-            if now - seen.last_seen > _RETENTION_SECONDS
+        """Remove members that are long gone; return them."""
+        expired = [
+            state.member
+            for state in self._states_by_ip.values()
+            if now - state.last_seen > _RETENTION_SECONDS
         ]
-        for member in gone:
+        for member in expired:
             del self._states_by_ip[member.ip]
-        return gone
+        return expired
 
     def _update_member(self, member: Member, now: float) -> bool:
         if member.ip == self._local_ip:
             return False
-        seen = self._states_by_ip.get(member.ip)
-        if seen is None:
+        state = self._states_by_ip.get(member.ip)
+        if state is None:
             self._states_by_ip[member.ip] = _MemberState(member, now)
             return True
-        known = seen.member
+        known = state.member
         if (member.boot, member.heartbeat) <= (known.boot, known.heartbeat):
             return False
         if member.phase is not Phase.DRAINING:
-            seen.draining_since = None
-        elif seen.draining_since is None:
-            seen.draining_since = now
-        seen.member = member
-        seen.last_seen = now
+            state.draining_since = None
+        elif state.draining_since is None:
+            state.draining_since = now
+        state.member = member
+        state.last_seen = now
         return known.boot != member.boot or known.phase is not member.phase
--- a/clementinepass/direct/record_server.py
+++ b/clementinepass/direct/record_server.py
@@ -1,4 +1,4 @@
-"""Serve records of the store to peers that know less of them."""
+"""Serve records of the store to peers that have read less of it."""
 
 from __future__ import annotations
 
@@ -13,16 +13,16 @@
     from clementinepass.direct import follower
     from clementinepass.http import messages, replies
 
-#: Level of compression that costs least time.
+#: The zlib level that takes the least time.
 _FASTEST_COMPRESSION = 1
 _OK = 200
-#: Answers kept by topic: those that ask at the same moment know one of a few
-#: offsets, mostly nothing.
+#: Responses cached per topic: peers that send requests at the same moment
+#: start from a few different offsets, most of them from 0.
 _MAX_CACHED_RESPONSES = 4
 
 
 class _CacheKey(typing.NamedTuple):
-    """What an answer is for, and what was known when it was written."""
+    """The request that a response is for, and the state it was made from."""
 
     topic: records.Topic
     offset: int
@@ -30,24 +30,25 @@
     next_offset: int
 
     def is_current(self, newest: _CacheKey) -> bool:
-        """Tell whether nothing has changed since."""
-        mine = self.revision, self.next_offset
-        return mine == (newest.revision, newest.next_offset)
+        """Return whether the topic's state is still that of a newer key."""
+        state = self.revision, self.next_offset
+        return state == (newest.revision, newest.next_offset)
 
 
 class _Response(typing.NamedTuple):
-    """Records from an offset on, as they are sent."""
+    """Encoded records from an offset on."""
 
     body: bytes
     compressed: bytes
 
 
 class RecordServer:
-    """Serves what the followers have from an offset on.
+    """Serves the followers' records from an offset on.
 
-    Load: a snapshot of 3,000 endpoints, asked for by 300 processes that start
-    together.  To write and compress it takes longer than to send it; done for
-    each, the last were answered when they had long given up and asked anew.
+    Responses are cached.  When 300 processes start together and request a
+    snapshot of 3,000 endpoints, encoding and compressing it takes longer than
+    sending it.  Done for each of them, the last responses would come after
+    their requests had timed out and been sent again.
     """
 
     __slots__ = ('_responses_by_key', '_followers')
@@ -60,25 +61,26 @@
         self._responses_by_key: dict[_CacheKey, _Response] = {}
 
     def handles(self, request: messages.Request) -> bool:
-        """Tell whether a request asks for records."""
+        """Return whether a request is for records."""
         return self._topic(request) is not None
 
     def handle(self, request: messages.Request, reply: replies.Reply) -> None:
-        """Hand over what a topic has from an offset on.
+        """Send the records of a topic from an offset on.
 
-        Load: a configuration of 50 KB that a few hand to all of a region. They
-        are compressed, or the links of those few would be full.
+        They are compressed if the peer accepts it: a few entries send each
+        configuration, some 50 KB, to all of a region, and would saturate
+        their links.
         """
         topic = self._topic(request)
         if topic is None:
             raise KeyError(request.path)
         offset = int(request.target.partition(b'?')[2] or b'0')
-        answer = self._response(self._followers[topic], offset)
+        response = self._response(self._followers[topic], offset)
         if b'deflate' in request.headers.tokens(b'accept-encoding'):
             pairs = [(b'Content-Encoding', b'deflate')]
-            reply.send(_OK, pairs, answer.compressed)
+            reply.send(_OK, pairs, response.compressed)
         else:
-            reply.send(_OK, [], answer.body)
+            reply.send(_OK, [], response.body)
 
     def _topic(self, request: messages.Request) -> records.Topic | None:
         for topic in self._followers:
@@ -86,33 +88,39 @@
                 return topic
         return None
 
-    def _response(self, own: follower.Follower, offset: int) -> _Response:
-        age = own.outage_age(asyncio.get_running_loop().time())
+    def _response(
+        self, topic_follower: follower.Follower, offset: int
+    ) -> _Response:
+        age = topic_follower.outage_age(asyncio.get_running_loop().time())
         if age is not None:
-            # How old the outage is differs from moment to moment.
-            return _encode(own.state.since(offset)._replace(outage_age=age))
+            # Not cached: the age of the outage changes all the time.
+            return _encode(
+                topic_follower.state.since(offset)._replace(outage_age=age)
+            )
         key = _CacheKey(
-            own.topic,
+            topic_follower.topic,
             offset,
-            own.state.revision,
-            own.state.next_offset,
+            topic_follower.state.revision,
+            topic_follower.state.next_offset,
         )
-        known = self._responses_by_key.get(key)
-        if known is None:
-            known = _encode(own.state.since(offset))
-            self._cache_response(key, known)
-        return known
-
-    def _cache_response(self, key: _CacheKey, answer: _Response) -> None:
-        """Keep an answer; drop those that are out of date, and the oldest."""
-        of_topic = [
-            each for each in self._responses_by_key if each.topic is key.topic
+        response = self._responses_by_key.get(key)
+        if response is None:
+            response = _encode(topic_follower.state.since(offset))
+            self._cache_response(key, response)
+        return response
+
+    def _cache_response(self, key: _CacheKey, response: _Response) -> None:
+        """Cache a response; evict outdated ones, and the oldest."""
+        topic_keys = [
+            cached
+            for cached in self._responses_by_key
+            if cached.topic is key.topic
         ]
-        current = [each for each in of_topic if each.is_current(key)]
-        for each in of_topic:
-            if each not in current[1 - _MAX_CACHED_RESPONSES :]:
-                del self._responses_by_key[each]
-        self._responses_by_key[key] = answer
+        current = [cached for cached in topic_keys if cached.is_current(key)]
+        for cached in topic_keys:
+            if cached not in current[1 - _MAX_CACHED_RESPONSES :]:
+                del self._responses_by_key[cached]
+        self._responses_by_key[key] = response
 
 
 def _encode(page: records.Page) -> _Response:
--- a/clementinepass/direct/records.py
+++ b/clementinepass/direct/records.py
@@ -1,4 +1,4 @@
-"""Records of the platform's store, and what a watcher asks of the store."""
+"""Records of the platform's store, and the interface to read and write it."""
 
 from __future__ import annotations
 
@@ -8,21 +8,21 @@
 
 
 class Topic(enum.Enum):
-    """What a process follows in the store."""
+    """A topic of the store that a process follows."""
 
-    #: Configurations and named versions, written by the operator.
+    #: Configurations and desired versions, written by the operator.
     OPERATOR = 'operator'
-    #: Endpoints, written by themselves.
+    #: Listings of endpoints, written by themselves.
     ENDPOINTS = 'endpoints'
     #: Entries, written by themselves.
     ENTRIES = 'entries'
 
 
 class Record(typing.NamedTuple):
-    """The newest word on a key.
+    """The value of a key at an offset.
 
-    :param offset: its place in the topic; grows with each record.
-    :param payload: ``None`` where the key was removed.
+    :param offset: the position in the topic; grows with each record.
+    :param payload: the value; ``None`` if the key was removed.
     """
 
     key: str
@@ -31,12 +31,12 @@
 
 
 class Page(typing.NamedTuple):
-    """Records read in order, up to the offset of the next one.
+    """Records in order, and the offset of the next one.
 
-    :param outage_age: seconds since the end of an outage of the store after
-        which they were read; ``None`` where none ended just before.
-    :param is_snapshot: whether these are the records of all keys that there
-        were, so that a key that isn't among them was removed.
+    :param outage_age: seconds since the end of an outage of the store, if the
+        records were read just after one; else ``None``.
+    :param is_snapshot: whether the records are those of all keys, so that a
+        key that is missing was removed.
     """
 
     records: tuple[Record, ...]
@@ -46,16 +46,16 @@
 
     @property
     def ips(self) -> list[str]:
-        """Return the keys that are IP numbers, as entries' keys are.
+        """Return the keys that are IP addresses, as the keys of entries are.
 
-        Anybody may write others there, and what is sent to a name that is no
-        number waits for its lookup.
+        Other writers may use any key. A datagram to a host name would wait
+        for the name's lookup.
         """
-        return [one.key for one in self.records if _is_ip(one.key)]
+        return [record.key for record in self.records if _is_ip(record.key)]
 
 
 class Store(typing.Protocol):
-    """The platform's store: the newest record of each key, and changes."""
+    """The platform's store, which keeps the newest record of each key."""
 
     async def newest(self, topic: Topic) -> Page:
         """Return the newest record of each key.
@@ -64,9 +64,9 @@
         """
 
     async def changes(self, topic: Topic, offset: int, wait: float) -> Page:
-        """Return the records from an offset on, waiting for the first.
+        """Return the records from an offset on; wait if there is none yet.
 
-        :param wait: seconds to wait for a record.
+        :param wait: the longest wait for a record, in seconds.
         :raises RecordsExpiredError: the offset is no longer kept.
         :raises PlatformUnavailableError: the store did not answer.
         """
--- a/clementinepass/direct/subscribing.py
+++ b/clementinepass/direct/subscribing.py
@@ -1,4 +1,4 @@
-"""Ask agents to be told of the load of the engines that an entry uses."""
+"""Subscribe to the load of the engines that an entry uses."""
 
 from __future__ import annotations
 
@@ -12,18 +12,18 @@
 
     from clementinepass.direct import cluster_state, endpoints, node, routing
 
-#: Seconds between looks for engines that have come to be usable.
+#: Seconds between checks for engines that have become usable.
 _POLL_SECONDS = 0.2
-#: Seconds after which an agent is asked again.
+#: Seconds after which a subscription is renewed.
 _RENEW_SECONDS = 1.0
 
 
 class LoadSubscriptions:
-    """Keep subscribed to the load of some engines that may be used now.
+    """Keeps subscriptions to the load of the engines that may be used now.
 
-    :param local_node: who this entry is.
-    :param cluster: configuration, versions and endpoints.
-    :param subscribe: asks the agents at some IP numbers.
+    :param local_node: the local node.
+    :param cluster: the state of the cluster.
+    :param subscribe: subscribes at the agents with some IP addresses.
     """
 
     __slots__ = ('_requested_at_by_ip', '_cluster', '_local_node', '_subscribe')
@@ -37,11 +37,11 @@
         self._local_node = local_node
         self._cluster = cluster
         self._subscribe = subscribe
-        #: When an agent was last asked; monotonic seconds.
+        #: Monotonic seconds of the last request to an agent.
         self._requested_at_by_ip: dict[str, float] = {}
 
     async def run(self) -> None:
-        """Ask for ever."""
+        """Renew subscriptions until cancelled."""
         while True:
             due = self.due(asyncio.get_running_loop().time())
             if due:
@@ -49,20 +49,22 @@
             await asyncio.sleep(_POLL_SECONDS)
 
     def due(self, now: float) -> list[str]:
-        """Return the IP numbers of the agents to ask now."""
+        """Return the IP addresses of the agents to subscribe at now."""
         used = self._used_agents(now)
-        asked = self._requested_at_by_ip
+        requested_at = self._requested_at_by_ip
         due = [
             ip
             for ip in used
-            if now - asked.get(ip, float('-inf')) >= _RENEW_SECONDS
+            if now - requested_at.get(ip, float('-inf')) >= _RENEW_SECONDS
         ]
-        self._requested_at_by_ip = {ip: asked[ip] for ip in used if ip in asked}
+        self._requested_at_by_ip = {
+            ip: requested_at[ip] for ip in used if ip in requested_at
+        }
         self._requested_at_by_ip.update(dict.fromkeys(due, now))
         return due
 
     def _used_agents(self, now: float) -> list[str]:
-        """Return the IP numbers of the agents of the engines used here."""
+        """Return the IP addresses of the agents of the engines used here."""
         current = self._cluster.routing
         services = () if current is None else current.services_by_name.values()
         return [
@@ -75,15 +77,15 @@
     def _engine_addresses(
         self, service: routing.Service, now: float
     ) -> list[str]:
-        """Return the engines used, and near ones that can't be used yet.
+        """Return the engines used, and near ones that are not usable yet.
 
-        Failure: an engine that had been added took up its weights, and its
-        agent knew few entries to tell of it: the others learned it from the
-        store's list, two seconds later.
+        The latter are included because the agent of an added engine knows few
+        entries when the engine has loaded its weights. Without a subscription
+        the other entries learn it from the store's list, two seconds later.
         """
         usable = self._cluster.candidates(service, now)
-        every = self._cluster.endpoints.of_service(service.name, now)
-        waiting = [one for one in every if one not in usable]
+        listed = self._cluster.endpoints.of_service(service.name, now)
+        waiting = [endpoint for endpoint in listed if endpoint not in usable]
         domain = self._local_node.domain
         near, far = _split(usable, domain)
         chosen = subsetting.subset(self._local_node.ip, near, far)
@@ -95,10 +97,10 @@
     engines: list[endpoints.Endpoint],
     domain: str,
 ) -> tuple[list[str], list[str]]:
-    """Return the addresses of engines in a failure domain, and of others."""
+    """Return the addresses of the engines inside and outside a domain."""
     near: list[str] = []
     far: list[str] = []
-    for one in engines:
-        is_near = one.listing.domain == domain
-        (near if is_near else far).append(one.listing.address)
+    for engine in engines:
+        is_near = engine.listing.domain == domain
+        (near if is_near else far).append(engine.listing.address)
     return near, far
--- a/clementinepass/direct/turns.py
+++ b/clementinepass/direct/turns.py
@@ -1,4 +1,4 @@
-"""Which entries read the store, and when their reads end, as they tell it."""
+"""Schedule reads of the store among the entries by their announcements."""
 
 from __future__ import annotations
 
@@ -12,44 +12,44 @@
 
 
 class ReadTurns:
-    """Choose whether this entry reads one topic, and how long reads wait.
+    """Decides whether this entry reads a topic, and how long reads wait.
 
-    :param local_node: who this process is.
-    :param known: the entries that are there.
+    :param local_node: the local node.
+    :param entries: the other entries.
     """
 
     __slots__ = ('_read_end_by_ip', '_members', '_local_node')
 
-    def __init__(self, local_node: node.Node, known: members.Members) -> None:
+    def __init__(self, local_node: node.Node, entries: members.Members) -> None:
         self._local_node = local_node
-        self._members = known
-        #: Monotonic seconds at which the read of an entry that reads ends.
+        self._members = entries
+        #: Monotonic seconds at which the pending read of an entry ends.
         self._read_end_by_ip: dict[str, float] = {}
 
     def update(self, ip: str, seconds: float, now: float) -> None:
-        """Take it that an entry's read ends in some seconds; 0 for none."""
+        """Record the seconds until an entry's pending read ends; 0 for none."""
         if seconds:
             self._read_end_by_ip[ip] = now + seconds
         else:
             self._read_end_by_ip.pop(ip, None)
 
     def should_read(self, now: float) -> bool:
-        """Tell whether this entry reads; else others of its region do."""
-        relied = self._members.seen_within(now, region_readers.RELIED_SECONDS)
+        """Return whether this entry reads, or else others of its region."""
+        recent = self._members.seen_within(now, region_readers.RELIED_SECONDS)
         near = [
-            one.ip
-            for one in relied
-            if one.region == self._local_node.region
-            and one.phase is members.Phase.READY
+            member.ip
+            for member in recent
+            if member.region == self._local_node.region
+            and member.phase is members.Phase.READY
         ]
         return region_readers.reads(self._local_node.ip, near)
 
     def wait_seconds(self, now: float, *, has_changes: bool) -> float:
-        """Return the seconds that a read which begins now waits.
+        """Return for how long a read that starts now waits for changes.
 
-        :param has_changes: whether the one before brought records.
+        :param has_changes: whether the previous read returned records.
         """
-        alive = {one.ip for one in self._members.alive(now)}
+        alive = {member.ip for member in self._members.alive(now)}
         self._read_end_by_ip = {
             ip: end for ip, end in self._read_end_by_ip.items() if ip in alive
         }
--- a/clementinepass/wire/direct.capnp
+++ b/clementinepass/wire/direct.capnp
@@ -1,6 +1,6 @@
 @0xb7c1d52e9f30a846;
-# Messages between entries and agents on the direct path. Each fits into a
-# datagram; records of the store, which may be long, go over a connection.
+# Messages between entries and agents on the direct path. A heartbeat fits into
+# a datagram; records of the store, which may be long, are sent over HTTP.
 
 struct Member {
   ip @0 :Text;
@@ -13,7 +13,8 @@
 }
 
 struct Digest {
-  # What changes of a member from heartbeat to heartbeat; its IPv4 number.
+  # The part of a member that changes from heartbeat to heartbeat. The IPv4
+  # address is written as a number.
   ip @0 :UInt32;
   boot @1 :UInt64;
   heartbeat @2 :UInt32;
@@ -21,45 +22,45 @@
 }
 
 struct Load {
-  # Requests of the sender at one endpoint.
+  # The number of the sender's requests at one endpoint.
   endpoint @0 :Text;
   inFlight @1 :UInt16;
 }
 
 struct Follow {
-  # How far the sender has read the store.
+  # The next offsets of the store's topics at the sender.
   operatorOffset @0 :UInt64;
   endpointsOffset @1 :UInt64;
   # The version of the configuration in force at the sender; 0 for none.
   configuration @2 :UInt64;
-  # Until the sender's reads end that wait for changes; 0 where none does.
+  # Milliseconds until the sender's pending reads end; 0 if none is pending.
   operatorEndsMs @3 :UInt32;
   endpointsEndsMs @4 :UInt32;
 }
 
 struct NamedVersion {
-  # A version of weights and how long ago its naming was acknowledged.
+  # A desired version of weights, and the time since the store acknowledged it.
   model @0 :Text;
   version @1 :UInt32;
   ageMs @2 :UInt32;
-  # Whether the age is a guess: the sender began after the naming.
+  # Whether the age is an estimate, because the sender started later.
   guessed @3 :Bool;
 }
 
 struct Held {
-  # What an engine has loaded, as its agent read it.
+  # The weights that an engine has loaded, as its agent read them.
   address @0 :Text;
   version @1 :UInt32;
   first @2 :UInt16;
   end @3 :UInt16;
-  # Whether what comes to its machine takes several times as long as usual.
+  # Whether transfers to its machine take several times as long as usual.
   congested @4 :Bool;
-  # When the engine started, in milliseconds of Unix time; 0 if untold.
+  # When the engine started, in milliseconds of Unix time; 0 if unknown.
   started @5 :UInt64;
 }
 
 struct EngineLoad {
-  # Requests that the engine beside the sender runs, and that wait there.
+  # Requests that run or wait at the engine beside the sender.
   active @0 :UInt16;
   queued @1 :UInt16;
   started @2 :UInt64;
@@ -72,13 +73,12 @@
   follow @3 :Follow;
   versions @4 :List(NamedVersion);
   held @5 :List(Held);
-  # Whether the sender uses the engine of the agent that gets this, and is to
-  # be told of its load.
+  # Whether the sender subscribes to the load of the receiving agent's engine.
   wantsLoad @6 :Bool;
   digests @7 :List(Digest);
-  # Whether the sender is to be told at once who gets this.
+  # Whether the receiver must introduce itself to the sender at once.
   asks @8 :Bool;
-  # Alone in its message.
+  # If set, no other field is.
   load @9 :EngineLoad;
 }
 
@@ -92,10 +92,10 @@
 struct Records {
   records @0 :List(Record);
   nextOffset @1 :UInt64;
-  # Whether an outage of the store ended just before they were read, and how
-  # long ago.
+  # Whether the records were read just after an outage of the store; its age is
+  # in outageAgeMs.
   afterOutage @2 :Bool;
-  # Whether these are the records of all keys that there were.
+  # Whether these are the records of all keys.
   snapshot @3 :Bool;
   outageAgeMs @4 :UInt32;
 }
--- a/clementinepass/wire/heartbeats.py
+++ b/clementinepass/wire/heartbeats.py
@@ -1,4 +1,4 @@
-"""Messages of the direct path, read from and written to Cap'n Proto."""
+"""Encode and decode the messages of the direct path as Cap'n Proto."""
 
 from __future__ import annotations
 
@@ -15,12 +15,12 @@
 _PHASES = tuple(members.Phase)
 _MS = 1000
 _IP_BYTES = 4
-#: Requests that a message can tell of.
+#: The largest number of requests that a message can carry.
 _MAX_COUNT = 65535
 
 
 def write_heartbeat(heartbeat: heartbeats.Heartbeat) -> bytes:
-    """Return a heartbeat as the bytes of a datagram."""
+    """Encode a heartbeat as a datagram."""
     message = _SCHEMA.Heartbeat.new_message()
     if heartbeat.load is not None:
         _write_load(message.init('load'), heartbeat.load)
@@ -52,9 +52,9 @@
 
 
 def read_heartbeat(payload: bytes, peer: str) -> heartbeats.Heartbeat:
-    """Read a heartbeat.
+    """Decode a heartbeat.
 
-    :raises MalformedMessageError: the bytes are something else.
+    :raises MalformedMessageError: the bytes are not a heartbeat.
     """
     try:
         message = _SCHEMA.Heartbeat.from_bytes_packed(payload)
@@ -70,7 +70,7 @@
 
 
 def write_records(page: records.Page) -> bytes:
-    """Return records of the store as one message."""
+    """Encode records of the store as one message."""
     message = _SCHEMA.Records.new_message()
     slots = message.init('records', len(page.records))
     for slot, record in zip(slots, page.records, strict=True):
@@ -87,13 +87,13 @@
 
 
 def read_records(payload: bytes, peer: str) -> records.Page:
-    """Read records of the store.
+    """Decode records of the store.
 
-    :raises MalformedMessageError: the bytes are something else.
+    :raises MalformedMessageError: the bytes are not records.
     """
     try:
         message = _SCHEMA.Records.from_bytes_packed(payload)
-        found = tuple(
+        decoded = tuple(
             records.Record(
                 record.key,
                 record.offset,
@@ -102,7 +102,7 @@
             for record in message.records
         )
         return records.Page(
-            found,
+            decoded,
             message.nextOffset,
             message.outageAgeMs / _MS if message.afterOutage else None,
             message.snapshot,
@@ -141,24 +141,24 @@
     message: typing.Any, heartbeat: heartbeats.Heartbeat
 ) -> None:
     slots = message.init('versions', len(heartbeat.desired_versions))
-    for slot, named in zip(slots, heartbeat.desired_versions, strict=True):
-        slot.model = named.model
-        slot.version = named.version
-        slot.ageMs = min(int(named.age * _MS), 2**32 - 1)
-        slot.guessed = named.guessed
+    for slot, desired in zip(slots, heartbeat.desired_versions, strict=True):
+        slot.model = desired.model
+        slot.version = desired.version
+        slot.ageMs = min(int(desired.age * _MS), 2**32 - 1)
+        slot.guessed = desired.guessed
 
 
 def _write_engine_statuses(
     message: typing.Any, heartbeat: heartbeats.Heartbeat
 ) -> None:
     slots = message.init('held', len(heartbeat.engine_statuses))
-    for slot, held in zip(slots, heartbeat.engine_statuses, strict=True):
-        slot.address = held.address
-        slot.version = held.version
-        slot.first = held.first
-        slot.end = held.end
-        slot.congested = held.congested
-        slot.started = held.started
+    for slot, status in zip(slots, heartbeat.engine_statuses, strict=True):
+        slot.address = status.address
+        slot.version = status.version
+        slot.first = status.first
+        slot.end = status.end
+        slot.congested = status.congested
+        slot.started = status.started
 
 
 def _read_heartbeat_fields(message: typing.Any) -> heartbeats.Heartbeat:
@@ -178,12 +178,12 @@
         endpoints_read_ends_in=message.follow.endpointsEndsMs / _MS,
         desired_versions=tuple(
             heartbeats.DesiredVersion(
-                named.model,
-                named.version,
-                named.ageMs / _MS,
-                named.guessed,
+                desired.model,
+                desired.version,
+                desired.ageMs / _MS,
+                desired.guessed,
             )
-            for named in message.versions
+            for desired in message.versions
         ),
         engine_statuses=tuple(map(_read_engine_status, message.held)),
         wants_load=message.wantsLoad,
