--- /dev/null
+++ b/clementinepass/decisions/desired_versions.py
@@ -0,0 +1,95 @@
+"""Track on which versions of a model's weights requests may still start.
+
+The operator may change the desired version faster than versions spread. Each
+version therefore has a deadline of its own, counted from when it became the
+desired one: a new version that is named while the previous one spreads must not
+postpone the deadline of the previous one.
+"""
+
+from __future__ import annotations
+
+import math
+
+#: Versions that are remembered. The deadlines of older ones are long past.
+_MAX_VERSIONS = 8
+
+
+class DesiredVersions:
+    """The versions of one model that recently became the desired one.
+
+    :param deadline_seconds: time after a version became the desired one from
+        which requests may not start on an older version.
+    """
+
+    __slots__ = ('_deadline_seconds', 'guessed_versions', 'since_by_version')
+
+    def __init__(self, deadline_seconds: float) -> None:
+        self._deadline_seconds = deadline_seconds
+        #: Monotonic seconds at which each version became the desired one.
+        self.since_by_version: dict[int, float] = {}
+        #: Versions for which that time is a guess.
+        self.guessed_versions: set[int] = set()
+
+    @property
+    def newest(self) -> int:
+        """Return the newest version; 0 if there is none yet."""
+        return max(self.since_by_version, default=0)
+
+    def record(
+        self,
+        version: int,
+        since: float,
+        *,
+        is_guess: bool = False,
+    ) -> bool:
+        """Record when a version became the desired one.
+
+        The earlier of two times for one version is kept, since a process that
+        learned of the version late cannot know when it was named. A process
+        that started after that has to guess the time. Its guess gives way to a
+        time that was observed, and is ignored where such a time is known.
+
+        :param since: monotonic seconds at which the version became the desired
+            one.
+        :param is_guess: whether ``since`` is a guess.
+        :returns: whether the version is new and the newest one.
+        """
+        known_since = self.since_by_version.get(version)
+        if known_since is None:
+            self._add(version, since, is_guess=is_guess)
+            return version == self.newest
+        if version in self.guessed_versions and not is_guess:
+            self.guessed_versions.discard(version)
+            self.since_by_version[version] = since
+        elif is_guess == (version in self.guessed_versions):
+            self.since_by_version[version] = min(known_since, since)
+        return False
+
+    def usable_until(self, version: int) -> float:
+        """Return the time until which requests may start on a version."""
+        newer = [
+            since + self._deadline_seconds
+            for other_version, since in self.since_by_version.items()
+            if other_version > version
+        ]
+        return min(newer, default=math.inf)
+
+    def oldest_allowed(self, now: float) -> int:
+        """Return the oldest version on which requests may start."""
+        return max(
+            (
+                version
+                for version, since in self.since_by_version.items()
+                if now >= since + self._deadline_seconds
+            ),
+            default=0,
+        )
+
+    def _add(self, version: int, since: float, *, is_guess: bool) -> None:
+        self.since_by_version[version] = since
+        if is_guess:
+            self.guessed_versions.add(version)
+        if len(self.since_by_version) > _MAX_VERSIONS:
+            oldest = min(self.since_by_version)
+            del self.since_by_version[oldest]
+            self.guessed_versions.discard(oldest)
--- a/clementinepass/decisions/piece_chains.py
+++ b/clementinepass/decisions/piece_chains.py
@@ -1,18 +1,19 @@
-"""Choose from whom an agent gets the pieces of a version.
-
-Load: all agents want all pieces of a new version at once, over links that
-carry one copy in five and a half of the eight seconds that there are, and that
-carry the engines' prompts and events besides.  Harm: an agent that gets pieces
-from several others at once holds up its engine's prompts behind them, by a
-third of a second with six on their way; one that sends to several is done
-after several times as long, and the origin after many.
-
-While no engine has the version its pieces are spread in stripes
-(:mod:`clementinepass.decisions.piece_stripes`).  Where engines have it already,
-they head chains, one each, in which each agent gets pieces from the one before
-it and sends to the one after it.
-All agents work this out by themselves; where their views differ a piece
-doesn't come as it is meant to, and is asked for elsewhere after a while.
+"""Choose the sources from which an agent fetches the pieces of a version.
+
+All agents want all pieces of a new version at once. Their links need five and a
+half of the eight seconds that there are for one copy, and carry the engines'
+prompts and events as well. An agent that fetches pieces from several others at
+once delays its engine's prompts behind them, by a third of a second with six
+pieces on their way. An agent that sends to several others finishes after
+several times as long, and the origin after many times as long.
+
+While no engine has the version, its pieces are spread in stripes
+(:mod:`clementinepass.decisions.piece_stripes`). Engines that have it already
+each head a chain, in which an agent fetches pieces from the one before it and
+sends them to the one after it.
+
+All agents compute this independently. Where their views differ, a piece does
+not arrive as planned and is requested from another source after a while.
 """
 
 from __future__ import annotations
@@ -25,230 +26,272 @@
 if typing.TYPE_CHECKING:
     from collections.abc import Sequence
 
-#: Stands for the origin among sources.
+#: Stands for the origin among the sources.
 ORIGIN = ''
-#: Agents asked at once that have the whole version.
-_HOLDERS_ASKED = 2
+#: Agents with the complete version that one agent asks at once.
+_HOLDERS_PER_AGENT = 2
 
 
-class Peer(typing.NamedTuple):
+class Agent(typing.NamedTuple):
     """An agent of the service.
 
-    :param holds: whether it has the whole version already.
+    :param has_version: whether it has the complete version already.
     """
 
     region: str
     domain: str
     ip: str
-    holds: bool = False
+    has_version: bool = False
 
 
-class Question(typing.NamedTuple):
-    """Who asks, and who else there is.
+class PlanInput(typing.NamedTuple):
+    """The agent that fetches a version, and the agents that it may fetch from.
 
-    :param origin_region: the region in which the origin stands.
-    :param stripes: how many agents' links the origin's link can fill.
-    :param avoided: IP numbers of peers that bring nothing.
-    :param origin_part: the origin's link, as a multiple of an agent's.
+    :param local_agent: the agent that fetches.
+    :param peers: all other agents of the service.
+    :param origin_region: the region of the origin.
+    :param stripe_count: number of agents' links that the origin's link can
+        fill.
+    :param excluded_ips: IP numbers of peers that deliver nothing.
+    :param origin_link_ratio: bandwidth of the origin's link divided by that of
+        an agent's link; 0 if unknown.
     """
 
-    own: Peer
-    peers: Sequence[Peer]
+    local_agent: Agent
+    peers: Sequence[Agent]
     origin_region: str
-    stripes: int = piece_stripes.LEAST_STRIPES
-    avoided: frozenset[str] = frozenset()
-    origin_part: float = 0
+    stripe_count: int = piece_stripes.MIN_STRIPES
+    excluded_ips: frozenset[str] = frozenset()
+    origin_link_ratio: float = 0
 
     @property
-    def sound(self) -> list[Peer]:
-        """Return the peers that bring something."""
-        return [peer for peer in self.peers if peer.ip not in self.avoided]
+    def usable_peers(self) -> list[Agent]:
+        """Return the peers that are not excluded."""
+        return [peer for peer in self.peers if peer.ip not in self.excluded_ips]
 
 
-class Lane(typing.NamedTuple):
-    """Some pieces of a version, and whom to ask for them.
+class PieceGroup(typing.NamedTuple):
+    """Pieces of a version that are fetched from the same sources.
 
-    :param rests: the pieces whose numbers leave one of these rests,
-    :param stripes: when they are divided by this.
-    :param enters: whether nobody else in the region is to have them before.
+    A piece belongs to the group if its number modulo ``stripe_count`` is one of
+    ``remainders``.
+
+    :param sources: IP numbers of agents, and the origin.
+    :param enters_region: whether no other agent of the region is to have the
+        pieces before this one.
     """
 
     sources: tuple[str, ...]
-    rests: frozenset[int] = frozenset((0,))
-    stripes: int = 1
-    enters: bool = False
-
-    def has(self, number: int) -> bool:
-        """Tell whether a piece is one of these."""
-        return number % self.stripes in self.rests
-
-
-class Plan(typing.NamedTuple):
-    """From whom to get pieces, in the order in which to ask.
-
-    :param place: how many agents come before the asking one, about.
-    :param partners: whom to ask besides, the first that answers, while the
-        sources bring nothing: only for agents at which pieces enter a region.
-    :param anyone: all other agents, those of the own region first.
-    :param has_room: whether what comes from the origin leaves room on the link.
+    remainders: frozenset[int] = frozenset((0,))
+    stripe_count: int = 1
+    enters_region: bool = False
+
+    def contains(self, number: int) -> bool:
+        """Return whether a piece belongs to the group."""
+        return number % self.stripe_count in self.remainders
+
+
+class FetchPlan(typing.NamedTuple):
+    """The sources of all pieces, in the order in which to ask them.
+
+    :param position: approximate number of agents that pieces pass before this
+        one.
+    :param fallback_ips: agents of which the first that answers is asked, too,
+        while the sources deliver nothing. Only agents at which pieces enter a
+        region have them.
+    :param all_peer_ips: all other agents, those of the same region first.
+    :param has_spare_bandwidth: whether the pieces from the origin leave
+        bandwidth on the agent's link.
     """
 
-    lanes: tuple[Lane, ...]
-    place: int = 0
-    partners: tuple[str, ...] = ()
-    anyone: tuple[str, ...] = ()
-    has_room: bool = False
+    groups: tuple[PieceGroup, ...]
+    position: int = 0
+    fallback_ips: tuple[str, ...] = ()
+    all_peer_ips: tuple[str, ...] = ()
+    has_spare_bandwidth: bool = False
 
     @property
     def sources(self) -> tuple[str, ...]:
-        """Return all that are asked, each once."""
-        every = [source for lane in self.lanes for source in lane.sources]
-        return tuple(dict.fromkeys(every))
+        """Return all sources, each of them once."""
+        repeated = [source for group in self.groups for source in group.sources]
+        return tuple(dict.fromkeys(repeated))
 
     @property
     def is_striped(self) -> bool:
-        """Tell whether different pieces come from different sources."""
-        return any(lane.stripes > 1 for lane in self.lanes)
+        """Return whether different pieces come from different sources."""
+        return any(group.stripe_count > 1 for group in self.groups)
 
-    def in_order(self, numbers: Sequence[int]) -> list[int]:
-        """Return pieces in the order in which they are to come."""
+    def in_fetch_order(self, numbers: Sequence[int]) -> list[int]:
+        """Return piece numbers in the order in which to fetch the pieces."""
         return [
             number
-            for lane in self.lanes
+            for group in self.groups
             for number in numbers
-            if lane.has(number)
+            if group.contains(number)
         ]
 
 
-def plan(question: Question) -> Plan:
-    """Return from whom the asking agent gets its pieces."""
-    chosen = _sources(question)
-    return chosen._replace(anyone=tuple(anyone(question)))
+def plan_fetch(context: PlanInput) -> FetchPlan:
+    """Return the sources from which the local agent fetches its pieces."""
+    plan = _plan_sources(context)
+    return plan._replace(all_peer_ips=tuple(all_peer_ips(context)))
 
 
-def _sources(question: Question) -> Plan:
-    sound = question.sound
-    near = [peer for peer in sound if peer.region == question.own.region]
-    holders = _turned(question.own, near)
+def _plan_sources(context: PlanInput) -> FetchPlan:
+    usable_peers = context.usable_peers
+    region_peers = [
+        peer
+        for peer in usable_peers
+        if peer.region == context.local_agent.region
+    ]
+    holders = _rotated_holders(context.local_agent, region_peers)
     if holders:
-        return _behind(question.own, near, holders, holders)
-    holders = _turned(question.own, sound)
+        return _chain_plan(context.local_agent, region_peers, holders, holders)
+    holders = _rotated_holders(context.local_agent, usable_peers)
     if holders:
-        return _behind(question.own, near, holders[:1], holders)
-    return _striped(question)
-
-
-def anyone(question: Question) -> list[str]:
-    """Return all other agents, those of the own region first."""
-    near = [
-        peer.ip for peer in question.peers if peer.region == question.own.region
+        return _chain_plan(
+            context.local_agent, region_peers, holders[:1], holders
+        )
+    return _striped_plan(context)
+
+
+def all_peer_ips(context: PlanInput) -> list[str]:
+    """Return all other agents, those of the same region first."""
+    region_peers = [
+        peer.ip
+        for peer in context.peers
+        if peer.region == context.local_agent.region
     ]
-    far = [peer.ip for peer in question.peers if peer.ip not in near]
-    return near + far
-
-
-def _turned(own: Peer, peers: Sequence[Peer]) -> list[str]:
-    """Return agents that have the version; each region begins with another."""
-    holders = sorted(peer.ip for peer in peers if peer.holds)
-    return _rotated(holders, zlib.crc32(own.region.encode()))
+    other_peers = [
+        peer.ip for peer in context.peers if peer.ip not in region_peers
+    ]
+    return region_peers + other_peers
 
 
-def _behind(
-    own: Peer,
-    near: Sequence[Peer],
-    holders: list[str],
-    partners: list[str],
-) -> Plan:
-    """Return a place in a chain that a holder heads, one for each holder.
+def _rotated_holders(local_agent: Agent, peers: Sequence[Agent]) -> list[str]:
+    """Return the agents that have the version.
 
-    Heads ask two holders, since askers don't know of one another at once:
-    where two chose the same single one, each was done after ten seconds.  And
-    all askers can't ask holders: two of those served eight for 17 seconds.
+    The list starts at another agent in each region.
     """
-    askers = sorted({own, *(peer for peer in near if not peer.holds)})
-    place = askers.index(own)
-    if place >= len(holders):
-        before = askers[place - len(holders)]
-        return Plan((Lane((before.ip,)),), place=place // len(holders))
-    sources = _holders_of(own, holders)
-    others = tuple(ip for ip in partners if ip not in sources)
-    return Plan((Lane(sources),), partners=others)
-
+    holders = sorted(peer.ip for peer in peers if peer.has_version)
+    return _rotated(holders, zlib.crc32(local_agent.region.encode()))
 
-def _holders_of(own: Peer, holders: list[str]) -> tuple[str, ...]:
-    """Return the holders that an agent asks, by its own address alone.
 
-    Failure: engines were added at once, and their agents didn't know of one
-    another for two seconds. All of a region turned to the same two holders,
-    and had an eighth of the version by then.
-
-    Machines that are added together have addresses in a row, mostly, and so
-    holders in a row.
+def _chain_plan(
+    local_agent: Agent,
+    region_peers: Sequence[Agent],
+    holders: list[str],
+    fallback_candidates: list[str],
+) -> FetchPlan:
+    """Return the plan of an agent in the chains that are headed by holders.
+
+    There is one chain for each holder. The first agent after a holder asks two
+    holders, since such agents do not know of one another at once: when two of
+    them chose the same single holder, each finished after ten seconds. Not all
+    agents can ask holders: two of them took 17 seconds to serve eight agents.
+
+    :param region_peers: usable agents of the same region.
+    :param holders: IP numbers of the agents that head the chains.
+    :param fallback_candidates: IP numbers of holders to choose fallbacks from.
     """
-    start = _HOLDERS_ASKED * int.from_bytes(own.ip.encode())
-    return tuple(_rotated(holders, start)[:_HOLDERS_ASKED])
+    fetchers = sorted(
+        {local_agent, *(peer for peer in region_peers if not peer.has_version)}
+    )
+    position = fetchers.index(local_agent)
+    if position >= len(holders):
+        predecessor = fetchers[position - len(holders)]
+        return FetchPlan(
+            (PieceGroup((predecessor.ip,)),), position=position // len(holders)
+        )
+    sources = _holders_for(local_agent, holders)
+    fallbacks = tuple(ip for ip in fallback_candidates if ip not in sources)
+    return FetchPlan((PieceGroup(sources),), fallback_ips=fallbacks)
+
+
+def _holders_for(local_agent: Agent, holders: list[str]) -> tuple[str, ...]:
+    """Return the holders that an agent asks, chosen by its address alone.
+
+    Agents of engines that were added at once did not know of one another for
+    two seconds. When the choice did not depend on their addresses, all agents
+    of a region asked the same two holders and had an eighth of the version by
+    then.
+
+    Instances that are added together mostly have consecutive addresses, and so
+    ask consecutive holders.
+    """
+    start = _HOLDERS_PER_AGENT * int.from_bytes(local_agent.ip.encode())
+    return tuple(_rotated(holders, start)[:_HOLDERS_PER_AGENT])
 
 
-def _striped(question: Question) -> Plan:
-    own = question.own
-    found = piece_stripes.layout(
-        piece_stripes.Agent(own.region, own.ip),
+def _striped_plan(context: PlanInput) -> FetchPlan:
+    local_agent = context.local_agent
+    layout = piece_stripes.compute_layout(
+        piece_stripes.Agent(local_agent.region, local_agent.ip),
         piece_stripes.Fleet(
             [
                 piece_stripes.Agent(peer.region, peer.ip)
-                for peer in (own, *question.peers)
+                for peer in (local_agent, *context.peers)
             ],
-            question.origin_region,
-            question.stripes,
-            question.avoided,
+            context.origin_region,
+            context.stripe_count,
+            context.excluded_ips,
         ),
     )
-    lanes = _lanes(found)
-    # Whoever isn't a head waits for those before it. Where all looked
-    # elsewhere, they met at the same few.
-    is_head = any(lane.enters for lane in lanes)
-    partners = _partners(question) if is_head else ()
-    return Plan(
-        lanes,
-        found.place,
-        partners,
-        has_room=piece_stripes.leaves_room(
-            question.origin_part,
-            found.stripes,
+    groups = _piece_groups(layout)
+    # An agent that is not a head waits for the agents before it. When all of
+    # these looked for other sources, they converged on the same few agents.
+    is_head = any(group.enters_region for group in groups)
+    fallback_ips = _fallback_ips(context) if is_head else ()
+    return FetchPlan(
+        groups,
+        layout.position,
+        fallback_ips,
+        has_spare_bandwidth=piece_stripes.leaves_spare_bandwidth(
+            context.origin_link_ratio,
+            layout.stripe_count,
         ),
     )
 
 
-def _lanes(found: piece_stripes.Layout) -> tuple[Lane, ...]:
-    """Return one lane for all that enters from a source, others apart.
+def _piece_groups(layout: piece_stripes.Layout) -> tuple[PieceGroup, ...]:
+    """Return one group per source of entering pieces and per relayed stripe.
 
-    Others come in an order, stripe after stripe.
+    Relayed stripes are fetched one after another.
     """
-    stripes = found.stripes
-    entering: dict[str, frozenset[int]] = {}
-    relayed: list[Lane] = []
-    for source in found.sources:
+    stripe_count = layout.stripe_count
+    remainders_by_ip: dict[str, frozenset[int]] = {}
+    relayed: list[PieceGroup] = []
+    for source in layout.sources:
         ip = ORIGIN if source.ip is None else source.ip
-        rests = frozenset((source.stripe,))
-        if source.enters:
-            entering[ip] = entering.get(ip, frozenset()) | rests
+        remainders = frozenset((source.stripe,))
+        if source.enters_region:
+            remainders_by_ip[ip] = (
+                remainders_by_ip.get(ip, frozenset()) | remainders
+            )
         else:
-            relayed.append(Lane((ip,), rests, stripes))
+            relayed.append(PieceGroup((ip,), remainders, stripe_count))
     return (
-        *(Lane((ip,), own, stripes, True) for ip, own in entering.items()),
+        *(
+            PieceGroup((ip,), entering, stripe_count, True)
+            for ip, entering in remainders_by_ip.items()
+        ),
         *relayed,
     )
 
 
-def _partners(question: Question) -> tuple[str, ...]:
-    """Return the others of the region; each agent begins with another."""
-    near = sorted(
-        peer.ip for peer in question.sound if peer.region == question.own.region
+def _fallback_ips(context: PlanInput) -> tuple[str, ...]:
+    """Return the usable peers of the region, rotated by the agent's address."""
+    region_peers = sorted(
+        peer.ip
+        for peer in context.usable_peers
+        if peer.region == context.local_agent.region
+    )
+    return tuple(
+        _rotated(region_peers, zlib.crc32(context.local_agent.ip.encode()))
     )
-    return tuple(_rotated(near, zlib.crc32(question.own.ip.encode())))
 
 
-def _rotated(ips: list[str], turn: int) -> list[str]:
-    """Return addresses in their order, beginning with another."""
-    start = turn % max(len(ips), 1)
+def _rotated(ips: list[str], offset: int) -> list[str]:
+    """Return addresses in their order, starting at an offset."""
+    start = offset % max(len(ips), 1)
     return ips[start:] + ips[:start]
--- a/clementinepass/direct/agent.py
+++ b/clementinepass/direct/agent.py
@@ -188,7 +188,7 @@
         """
         return self._version_selector.version_to_fetch(self._loader)
 
-    def plan_input(self, model: str, version: int) -> piece_chains.Question:
+    def plan_input(self, model: str, version: int) -> piece_chains.PlanInput:
         """Return what choosing a source for pieces needs."""
         return self._neighbours.plan_input(version)
 
@@ -205,7 +205,7 @@
     async def _maintain_membership(self) -> None:
         """Speak to entries; read the store where none answers."""
         loop = asyncio.get_running_loop()
-        startup_delay = start_reading.delay(
+        startup_delay = start_reading.read_delay(
             self._local_node.ip, self._local_node.seeds, self._rng
         )
         no_entry_since = loop.time() + startup_delay - _NO_ENTRY_SECONDS
@@ -356,11 +356,11 @@
         if turn is None:
             time_left = self._seconds_to_load(engine, version)
             turn = now + load_turns.delay(
-                load_turns.Peer(
+                load_turns.LoadingEngine(
                     self._local_node.endpoint, self._local_node.domain
                 ),
                 [
-                    load_turns.Peer(
+                    load_turns.LoadingEngine(
                         service_endpoint.listing.address,
                         service_endpoint.listing.domain,
                     )
--- a/clementinepass/direct/catching_up.py
+++ b/clementinepass/direct/catching_up.py
@@ -126,10 +126,10 @@
         if self._first_received_at is None:
             self._first_received_at = now
         sender = heartbeat.sender
-        return start_reading.may_ask(
+        return start_reading.may_request(
             # Heartbeats of agents, whose links are narrow, name no sender.
-            is_near=sender is not None and self._is_same_region(sender),
-            since_start=now - self._first_received_at,
+            is_same_region=sender is not None and self._is_same_region(sender),
+            uptime_seconds=now - self._first_received_at,
         )
 
     def _is_same_region(self, member: members.Member) -> bool:
@@ -165,12 +165,12 @@
         topic_follower = self._followers.get(topic)
         if topic_follower is None or not offset:
             return
-        next_offset = topic_follower.state.next_offset
+        local_offset = topic_follower.state.next_offset
         ahead = max(offset, self._peer_offset_by_topic.get(topic, 0))
         self._peer_offset_by_topic[topic] = ahead
-        if topic_follower.is_initialized and ahead <= next_offset:
+        if topic_follower.is_initialized and ahead <= local_offset:
             self._behind_since_by_topic.pop(topic, None)
-        if topic_follower.is_initialized and offset <= next_offset:
+        if topic_follower.is_initialized and offset <= local_offset:
             return
         since = self._behind_since_by_topic.setdefault(topic, now)
         delay = self._fetch_delay(topic_follower, is_same_region=is_same_region)
--- a/clementinepass/direct/cluster_state.py
+++ b/clementinepass/direct/cluster_state.py
@@ -8,7 +8,7 @@
 
 from loguru import logger
 
-from clementinepass.decisions import ejection, incarnations, named_versions
+from clementinepass.decisions import desired_versions, ejection, incarnations
 from clementinepass.direct import endpoint_loads, endpoints, heartbeats
 
 if typing.TYPE_CHECKING:
@@ -66,7 +66,7 @@
         self.endpoints = endpoints.Endpoints()
         self.loads = endpoint_loads.EndpointLoads()
         self.ejector = ejection.Ejector()
-        self._desired_by_model: dict[str, named_versions.NamedVersions] = {}
+        self._desired_by_model: dict[str, desired_versions.DesiredVersions] = {}
 
     def apply_configuration(self, newer: routing.Routing) -> bool:
         """Put a configuration in force, unless it is not newer.
@@ -115,9 +115,9 @@
         versions = self._desired_by_model.get(model)
         if versions is None:
             bound = self._local_node.duties.version - _VERSION_MARGIN_SECONDS
-            versions = named_versions.NamedVersions(bound)
+            versions = desired_versions.DesiredVersions(bound)
             self._desired_by_model[model] = versions
-        if not versions.named(version, since, guessed=guessed):
+        if not versions.record(version, since, is_guess=guessed):
             return False
         logger.bind(
             model=model,
@@ -152,7 +152,7 @@
                 model,
                 version,
                 max(now - since, 0),
-                version in versions.guessed,
+                version in versions.guessed_versions,
             )
             for model, versions in self._desired_by_model.items()
             for version, since in versions.since_by_version.items()
--- a/clementinepass/direct/follower.py
+++ b/clementinepass/direct/follower.py
@@ -45,7 +45,7 @@
 
     def wait_seconds(self, now: float, *, has_changes: bool) -> float:
         """Return for how long a read that starts now waits for changes."""
-        return reading_turns.LONGEST
+        return reading_turns.MAX_WAIT_SECONDS
 
 
 #: Seconds between retries while the store does not answer: the first, and the
--- a/clementinepass/direct/gossip.py
+++ b/clementinepass/direct/gossip.py
@@ -122,7 +122,9 @@
             self.send_heartbeat()
             is_starting = self.is_bootstrapping
             seconds = (
-                self._polling.pause() if is_starting else _HEARTBEAT_SECONDS
+                self._polling.next_pause()
+                if is_starting
+                else _HEARTBEAT_SECONDS
             )
             await asyncio.sleep(seconds * self._rng.uniform(0.9, 1.1))
 
@@ -131,8 +133,8 @@
 
         :returns: the seconds until the next poll.
         """
-        self.send_to(self._polling.due())
-        return self._polling.pause()
+        self.send_to(self._polling.next_seeds())
+        return self._polling.next_pause()
 
     def send_heartbeat(self, *, full: bool = False) -> None:
         """Send one heartbeat to a selection of peers.
@@ -305,8 +307,8 @@
     ) -> heartbeats.Heartbeat:
         now = asyncio.get_running_loop().time()
         alive = self.members.alive(now)
-        is_small = len(alive) <= dissemination.MOST_DIRECT
-        drawn = dissemination.digests(
+        is_small = len(alive) <= dissemination.MAX_BROADCAST_MEMBERS
+        drawn = dissemination.choose_digests(
             len(alive),
             self.members.seen_within(now, _FRESH_SECONDS),
             self._rng,
@@ -364,11 +366,11 @@
         near, far = self.members.split_by_domain(self._local_node.domain)
         extra: set[str] = set()
         if self.is_bootstrapping:
-            extra.update(self._polling.due())
+            extra.update(self._polling.next_seeds())
         elif full or not (near or far):
             extra.update(self._local_node.seeds, self._nearby_agents())
         far.extend(extra.difference(near, far))
-        drawn = dissemination.targets(near, far, self._rng)
+        drawn = dissemination.choose_targets(near, far, self._rng)
         return [*drawn, *self._dependents().difference(drawn)]
 
     def update_dependents(self) -> None:
--- a/clementinepass/direct/manifests.py
+++ b/clementinepass/direct/manifests.py
@@ -38,8 +38,8 @@
         :raises ContentMissingError: nobody that was asked has it.
         """
         round_number = self._failed_rounds_by_version.get(version, 0)
-        plan = piece_chains.plan(self._context.plan_input(model, version))
-        ips = manifest_round.choose(plan, round_number)
+        plan = piece_chains.plan_fetch(self._context.plan_input(model, version))
+        ips = manifest_round.choose_sources(plan, round_number)
         manifest = await self._first_manifest(ips, model, version)
         if manifest is None:
             self._failed_rounds_by_version[version] = round_number + 1
--- a/clementinepass/direct/turns.py
+++ b/clementinepass/direct/turns.py
@@ -35,14 +35,16 @@
 
     def should_read(self, now: float) -> bool:
         """Return whether this entry reads, or else others of its region."""
-        recent = self._members.seen_within(now, region_readers.RELIED_SECONDS)
+        recent = self._members.seen_within(
+            now, region_readers.MAX_SILENCE_SECONDS
+        )
         near = [
             member.ip
             for member in recent
             if member.region == self._local_node.region
             and member.phase is members.Phase.READY
         ]
-        return region_readers.reads(self._local_node.ip, near)
+        return region_readers.is_reader(self._local_node.ip, near)
 
     def wait_seconds(self, now: float, *, has_changes: bool) -> float:
         """Return for how long a read that starts now waits for changes.
@@ -56,6 +58,6 @@
         before = sum(ip < self._local_node.ip for ip in self._read_end_by_ip)
         turn = reading_turns.Turn(before, len(self._read_end_by_ip) + 1)
         if has_changes:
-            return reading_turns.after_news(turn)
+            return reading_turns.wait_after_change(turn)
         ends = [end - now for end in self._read_end_by_ip.values() if end > now]
-        return reading_turns.after_silence(turn, ends)
+        return reading_turns.wait_after_empty_read(turn, ends)
--- a/clementinepass/direct/version_selector.py
+++ b/clementinepass/direct/version_selector.py
@@ -147,7 +147,7 @@
         left = self._cluster.seconds_until_required(engine.model, current)
         if left is None:
             return False
-        finishes = superseding.finish_first(
+        finishes = superseding.should_finish_first(
             superseding.Transfer(
                 self._transfer_seconds(engine, len(version_pieces.missing)),
                 left,
