--- a/tests/direct/test_catching_up.py
+++ b/tests/direct/test_catching_up.py
@@ -1,4 +1,4 @@
-"""Tests of fetching records from peers that know more."""
+"""Tests of fetching records from peers that have read further."""
 
 from __future__ import annotations
 
@@ -23,16 +23,16 @@
 
 HOST = '127.0.0.1'
 OPERATOR = records.Topic.OPERATOR
-#: Seconds after which a peer that is ahead has been so for long enough.
-LONG = 10
+#: Heartbeats after which a peer has been ahead for longer than the fetch delay.
+HEARTBEATS = 10
 
 
 class _Peer:
-    """A peer that hands out one page of the operator's records."""
+    """A peer that serves one page of the operator's records."""
 
     def __init__(self, page: records.Page) -> None:
         self.page = page
-        self.asked: list[bytes] = []
+        self.requested: list[bytes] = []
         self.served = asyncio.Event()
         self._front = front.Front(self._serve)
 
@@ -41,23 +41,23 @@
         return await self._front.listen(HOST, 0)
 
     async def close(self) -> None:
-        """End."""
+        """Stop listening."""
         await self._front.close()
 
     async def _serve(self, request: typing.Any, reply: replies.Reply) -> None:
-        self.asked.append(request.target)
+        self.requested.append(request.target)
         reply.send(200, [], wire_heartbeats.write_records(self.page))
         self.served.set()
 
 
 class _World:
-    """An entry that knows version 1 of the configuration, at offset 4.
+    """An entry with version 1 of the configuration, at offset 4.
 
-    :param new: whether it has just started and knows nothing instead.
+    :param is_new: whether the entry has just started and knows nothing.
     """
 
-    def __init__(self, port: int, *, new: bool = False) -> None:
-        own = node.Node(
+    def __init__(self, port: int, *, is_new: bool = False) -> None:
+        local_node = node.Node(
             name='entry-1',
             ip=HOST,
             domain='a',
@@ -68,31 +68,31 @@
             duties=node.Duties(),
             callers=f'{HOST}:1',
         )
-        self.cluster = cluster_state.ClusterState(own)
+        self.cluster = cluster_state.ClusterState(local_node)
         self.follower = follower.Follower(
             typing.cast('records.Store', None),
             OPERATOR,
-            self._wrote,
+            self._apply,
             random.Random(1),
         )
-        if not new:
+        if not is_new:
             first = records.Record('config', 4, b'1')
             self.follower.apply(records.Page((first,), 5))
         self.catching_up = catching_up.PeerCatchUp(
-            own,
+            local_node,
             {OPERATOR: self.follower},
             self.cluster,
         )
 
-    def _wrote(self, record: records.Record) -> None:
+    def _apply(self, record: records.Record) -> None:
         bounds = limits.Bounds()
         version = int(record.payload or b'0')
         self.cluster.apply_configuration(
             routing.Routing(version, (), (), None, bounds)
         )
 
-    def heard(self, now: float, offset: int, configuration: int = 1) -> None:
-        """Hear a heartbeat."""
+    def receive(self, now: float, offset: int, configuration: int = 1) -> None:
+        """Handle a heartbeat with an offset and a configuration version."""
         heartbeat = heartbeats.Heartbeat(
             operator_offset=offset, configuration_version=configuration
         )
@@ -101,22 +101,22 @@
 
 def run(
     page: records.Page,
-    play: typing.Callable[[_World, _Peer], typing.Awaitable[None]],
+    scenario: typing.Callable[[_World, _Peer], typing.Awaitable[None]],
     *,
-    new: bool = False,
+    is_new: bool = False,
 ) -> None:
-    """Play with a peer that hands out a page."""
+    """Run a scenario with a peer that serves a page."""
 
-    async def played() -> None:
+    async def run_scenario() -> None:
         peer = _Peer(page)
-        world = _World(await peer.listen(), new=new)
+        world = _World(await peer.listen(), is_new=is_new)
         try:
             async with asyncio.timeout(20):
-                await play(world, peer)
+                await scenario(world, peer)
         finally:
             await peer.close()
 
-    asyncio.run(played())
+    asyncio.run(run_scenario())
 
 
 async def until_version(world: _World, version: int) -> None:
@@ -126,117 +126,119 @@
 
 
 class CatchingUpTest(testtools.TestCase):
-    """Who knows less asks who knows more."""
+    """A process that is behind fetches records from a peer that is ahead."""
 
-    def test_others_are_behind_too(self) -> None:
-        """A change hung on a silent read, here and at half of the peers.
+    def test_other_peers_are_behind_too(self) -> None:
+        """Heartbeats of peers that are behind do not restart the fetch delay.
 
-        One peer had it and said so in each heartbeat. Between its heartbeats came those
-        of peers that lacked it too, and each made this entry wait anew, so
-        that it never asked.
+        Reads of the store hang here and at half of the peers. One peer
+        announces the change in each heartbeat, and between those come the
+        heartbeats of peers that lack it. If each of these restarted the
+        delay, the record would never be fetched.
         """
 
-        async def play(world: _World, peer: _Peer) -> None:
-            for heartbeat in range(LONG):
-                world.heard(heartbeat * 0.2, 6)
-                world.heard(heartbeat * 0.2 + 0.1, 5)
+        async def scenario(world: _World, peer: _Peer) -> None:
+            for heartbeat in range(HEARTBEATS):
+                world.receive(heartbeat * 0.2, 6)
+                world.receive(heartbeat * 0.2 + 0.1, 5)
             await until_version(world, 2)
-            self.assertEqual(b'/records/operator?5', peer.asked[0])
+            self.assertEqual(b'/records/operator?5', peer.requested[0])
 
         newer = records.Record('config', 5, b'2')
-        run(records.Page((newer,), 6), play)
+        run(records.Page((newer,), 6), scenario)
 
-    def test_moment_behind(self) -> None:
-        """A peer that hears of a change first isn't asked at once."""
+    def test_no_fetch_within_the_delay(self) -> None:
+        """Nothing is fetched from a peer that has just read a change."""
 
-        async def play(world: _World, peer: _Peer) -> None:
-            world.heard(0, 6)
-            world.heard(0.1, 6)
-            self.assertEqual([], peer.asked)
+        async def scenario(world: _World, peer: _Peer) -> None:
+            world.receive(0, 6)
+            world.receive(0.1, 6)
+            self.assertEqual([], peer.requested)
 
-        run(records.Page((), 6), play)
+        run(records.Page((), 6), scenario)
 
     def test_record_lost_at_the_same_offset(self) -> None:
-        """An entry served by a configuration that was 2.5 seconds old.
+        """A configuration lost here is found by its version, not its offset.
 
-        It was the last of a quick succession. By the offsets the entry had
-        read as far as all others, so that neither the store nor peers had
-        anything more for it; only what was in force there was newer.
+        After configurations in quick succession an entry served by one that
+        was 2.5 seconds old. Its offset equalled that of all others, so that
+        neither the store nor the peers had more records for it; only the
+        version in force at the peers was newer.
         """
 
-        async def play(world: _World, peer: _Peer) -> None:
-            for heartbeat in range(LONG):
-                world.heard(heartbeat * 0.2, 5, 2)
+        async def scenario(world: _World, peer: _Peer) -> None:
+            for heartbeat in range(HEARTBEATS):
+                world.receive(heartbeat * 0.2, 5, 2)
             await until_version(world, 2)
-            self.assertEqual(b'/records/operator?0', peer.asked[0])
+            self.assertEqual(b'/records/operator?0', peer.requested[0])
 
-        # The offset is one that this entry has for the older record.
+        # The older record has the same offset at this entry.
         newer = records.Record('config', 4, b'2')
-        run(records.Page((newer,), 5), play)
+        run(records.Page((newer,), 5), scenario)
 
     def test_same_configuration(self) -> None:
-        """Where the same is in force nothing is asked for."""
+        """Nothing is fetched if the same configuration is in force."""
 
-        async def play(world: _World, peer: _Peer) -> None:
-            for heartbeat in range(LONG):
-                world.heard(heartbeat * 0.2, 5, 1)
+        async def scenario(world: _World, peer: _Peer) -> None:
+            for heartbeat in range(HEARTBEATS):
+                world.receive(heartbeat * 0.2, 5, 1)
             await asyncio.sleep(0)
-            self.assertEqual([], peer.asked)
+            self.assertEqual([], peer.requested)
 
-        run(records.Page((), 5), play)
+        run(records.Page((), 5), scenario)
 
 
 class StartTest(testtools.TestCase):
-    """All entries start at the same moment, and none knows anything."""
+    """All entries start at the same moment without any records."""
 
-    def test_peer_knows_nothing(self) -> None:
-        """An entry learned from another that there was nothing to know.
+    def test_peer_has_read_nothing(self) -> None:
+        """Nothing is fetched from a peer that has not read the store, either.
 
-        After a loss of power it asked one that had just started, too, took
-        the empty answer for all that there was, and the version of weights
-        that the store told it a moment later for one that was named just
-        then. It told all others so, and older weights could be used for
-        eight seconds more.
+        After a power loss an entry fetched an empty page from a peer that had
+        just started, and treated it as the whole topic. The desired version
+        that the store sent a moment later looked newly written. The entry
+        announced it so, and older weights could be used for eight seconds
+        more.
         """
 
-        async def play(world: _World, peer: _Peer) -> None:
-            world.heard(0, 0, 0)
+        async def scenario(world: _World, peer: _Peer) -> None:
+            world.receive(0, 0, 0)
             with contextlib.suppress(TimeoutError):
                 async with asyncio.timeout(0.3):
                     await peer.served.wait()
             await asyncio.sleep(0.05)
             self.assertFalse(world.follower.is_initialized)
 
-        run(records.Page((), 0), play, new=True)
+        run(records.Page((), 0), scenario, is_new=True)
 
-    def test_peer_forgot(self) -> None:
-        """One that was ahead has started anew when it is asked."""
+    def test_peer_has_restarted(self) -> None:
+        """The empty page of a peer that restarted meanwhile is ignored."""
 
-        async def play(world: _World, peer: _Peer) -> None:
-            world.heard(0, 6)
-            world.heard(1, 6)
+        async def scenario(world: _World, peer: _Peer) -> None:
+            world.receive(0, 6)
+            world.receive(1, 6)
             await peer.served.wait()
             await asyncio.sleep(0.05)
             self.assertFalse(world.follower.is_initialized)
 
-        run(records.Page((), 0), play, new=True)
+        run(records.Page((), 0), scenario, is_new=True)
 
-    def test_agent_last(self) -> None:
-        """An entry that started got the records over an agent's narrow link.
+    def test_agents_come_last(self) -> None:
+        """Records are not fetched from an agent while an entry may have them.
 
-        The agent spoke first, as entries of the region had just been
-        replaced. Its link carries a hundredth of an entry's, and the events
-        of its engine besides.
+        After the entries of a region had been replaced, the first heartbeat
+        came from an agent. Its link has a hundredth of the capacity of an
+        entry's, and carries its engine's events, too.
         """
 
-        async def play(world: _World, peer: _Peer) -> None:
-            # An agent names no entry as its sender.
-            world.heard(0, 6)
-            world.heard(0.2, 6)
+        async def scenario(world: _World, peer: _Peer) -> None:
+            # A heartbeat of an agent names no sender.
+            world.receive(0, 6)
+            world.receive(0.2, 6)
             await asyncio.sleep(0.05)
-            self.assertEqual([], peer.asked)
-            world.heard(0.5, 6)
+            self.assertEqual([], peer.requested)
+            world.receive(0.5, 6)
             await until_version(world, 2)
 
         newer = records.Record('config', 5, b'2')
-        run(records.Page((newer,), 6), play, new=True)
+        run(records.Page((newer,), 6), scenario, is_new=True)
--- a/tests/direct/test_cluster_state.py
+++ b/tests/direct/test_cluster_state.py
@@ -1,4 +1,4 @@
-"""Tests of what is known of endpoints that start again, and of versions."""
+"""Tests of the cluster state: restarted endpoints and desired versions."""
 
 from __future__ import annotations
 
@@ -17,9 +17,9 @@
 from clementinepass.http import limits
 
 ADDRESS = '10.0.0.1:80'
-OLD = endpoints.Weights(2, 0, 4)
+LOADED = endpoints.Weights(2, 0, 4)
 EMPTY = endpoints.Weights(0, 0, 0)
-OWN = node.Node(
+LOCAL_NODE = node.Node(
     name='edge-1',
     ip='10.0.0.9',
     domain='a',
@@ -36,7 +36,7 @@
     heartbeat: int,
     weights: endpoints.Weights = EMPTY,
 ) -> endpoints.Listing:
-    """Return an endpoint's word."""
+    """Return a listing of an endpoint."""
     return endpoints.Listing(
         'i-1',
         'pool',
@@ -51,124 +51,134 @@
 
 
 class RestartTest(testtools.TestCase):
-    """Nothing told of an earlier start is believed of the newer one."""
+    """Reports on an earlier incarnation of an endpoint are not applied."""
 
     def setUp(self) -> None:
         super().setUp()
-        self.known = cluster_state.ClusterState(OWN, clock=lambda: 100)
-        self.known.update_listing(listing(1000, 50, OLD))
+        self.cluster = cluster_state.ClusterState(LOCAL_NODE, clock=lambda: 100)
+        self.cluster.update_listing(listing(1000, 50, LOADED))
 
     @property
     def endpoint(self) -> endpoints.Endpoint:
-        """Return the endpoint as it is known now."""
-        found = self.known.endpoints.get('i-1')
-        assert found is not None
-        return found
-
-    def told(self, started: int, weights: endpoints.Weights) -> None:
-        """Hear an agent."""
-        self.known.update_engine_status(
+        """Return the endpoint's current incarnation."""
+        endpoint = self.cluster.endpoints.get('i-1')
+        assert endpoint is not None
+        return endpoint
+
+    def report(self, started: int, weights: endpoints.Weights) -> None:
+        """Apply an agent's report."""
+        self.cluster.update_engine_status(
             heartbeats.EngineStatus(ADDRESS, *weights, started=started),
             100,
         )
 
-    def test_late_word_of_an_agent(self) -> None:
-        """An engine came back empty, and its agent's word of before came late.
+    def test_late_report_of_an_agent(self) -> None:
+        """A late report on the earlier incarnation is ignored.
 
-        Requests went to weights that the engine no longer held, until it had
-        loaded them.
+        An engine came back empty. A late report of its agent would send it
+        requests for weights that it has not loaded yet.
         """
-        self.known.update_listing(listing(2000, 1))
-        self.told(1000, OLD)
+        self.cluster.update_listing(listing(2000, 1))
+        self.report(1000, LOADED)
         self.assertEqual(EMPTY, self.endpoint.weights)
-        self.told(2000, OLD)
-        self.assertEqual(OLD, self.endpoint.weights)
+        self.report(2000, LOADED)
+        self.assertEqual(LOADED, self.endpoint.weights)
 
     def test_agent_faster_than_the_list(self) -> None:
-        """An agent tells of the new start before the list does."""
-        self.told(2000, EMPTY)
+        """An agent reports a new incarnation before it is listed."""
+        self.report(2000, EMPTY)
         self.assertEqual(EMPTY, self.endpoint.weights)
-        # The list's late words of the start before say nothing of it.
-        self.known.update_listing(listing(1000, 51, endpoints.Weights(2, 0, 3)))
+        # A late listing of the earlier incarnation does not apply to it.
+        self.cluster.update_listing(
+            listing(1000, 51, endpoints.Weights(2, 0, 3))
+        )
         self.assertEqual(EMPTY, self.endpoint.weights)
-        self.told(2000, OLD)
-        self.known.update_listing(listing(2000, 1))
-        self.assertEqual(OLD, self.endpoint.weights)
+        self.report(2000, LOADED)
+        self.cluster.update_listing(listing(2000, 1))
+        self.assertEqual(LOADED, self.endpoint.weights)
 
-    def test_agent_faster_than_the_list_of_one_that_was_dropped(self) -> None:
-        """An agent's word came while the list had dropped its engine.
+    def test_agent_reports_while_the_listing_is_removed(self) -> None:
+        """A report on an endpoint that is not listed is ignored.
 
-        It wasn't believed, as of one that is gone; but the weights of before
-        were taken for those of the new start, which it had told of.
+        Its start time is ignored, too: otherwise the earlier weights would
+        count as those of the new incarnation.
         """
-        self.known.endpoints.removed('i-1', now=90, grace=0)
-        self.told(2000, EMPTY)
-        self.known.update_listing(listing(2000, 1))
+        self.cluster.endpoints.removed('i-1', now=90, grace=0)
+        self.report(2000, EMPTY)
+        self.cluster.update_listing(listing(2000, 1))
         self.assertEqual(EMPTY, self.endpoint.weights)
 
-    def test_agent_that_tells_no_start(self) -> None:
-        """An agent or engine of before is believed as it was."""
-        self.told(0, EMPTY)
+    def test_agent_that_reports_no_start_time(self) -> None:
+        """A report without a start time is of the current incarnation.
+
+        Agents and engines of older releases report none.
+        """
+        self.report(0, EMPTY)
         self.assertEqual(EMPTY, self.endpoint.weights)
 
-    def test_failures_of_the_start_before(self) -> None:
-        """An endpoint crashed under load and came back at once.
+    def test_failures_of_an_earlier_incarnation(self) -> None:
+        """Failures of an earlier incarnation do not eject the new one.
 
-        Its failures, also those that came to light after its return, kept
-        requests from it for a second more.
+        An endpoint crashed under load and came back at once. Its failures,
+        some of them noticed after its return, would keep requests from it for
+        a second more.
         """
         before = self.endpoint
         for _ in range(3):
-            self.known.record_failure(before, 1)
-        self.assertIn('i-1', self.known.ejector.ejected_endpoints(1))
-        self.known.update_listing(listing(2000, 1))
+            self.cluster.record_failure(before, 1)
+        self.assertIn('i-1', self.cluster.ejector.ejected_endpoints(1))
+        self.cluster.update_listing(listing(2000, 1))
         for _ in range(3):
-            self.known.record_failure(before, 1.1)
-        self.assertNotIn('i-1', self.known.ejector.ejected_endpoints(1.5))
+            self.cluster.record_failure(before, 1.1)
+        self.assertNotIn('i-1', self.cluster.ejector.ejected_endpoints(1.5))
         for _ in range(3):
-            self.known.record_failure(self.endpoint, 1.6)
-        self.assertIn('i-1', self.known.ejector.ejected_endpoints(2))
+            self.cluster.record_failure(self.endpoint, 1.6)
+        self.assertIn('i-1', self.cluster.ejector.ejected_endpoints(2))
 
-    def test_load_told_by_peers(self) -> None:
-        """Others' requests at the start before are no load of the new one."""
-        self.known.loads.heard('10.0.0.8', {'i-1': 9, 'i-2': 1}, 100)
+    def test_load_reported_by_peers(self) -> None:
+        """Peers' requests at an earlier incarnation are no load of the new."""
+        self.cluster.loads.heard('10.0.0.8', {'i-1': 9, 'i-2': 1}, 100)
         self.endpoint.in_flight = 3
-        self.assertEqual(12, self.known.loads.total(self.endpoint, 100))
-        self.known.update_listing(listing(2000, 1))
-        self.assertEqual(0, self.known.loads.total(self.endpoint, 100))
+        self.assertEqual(12, self.cluster.loads.total(self.endpoint, 100))
+        self.cluster.update_listing(listing(2000, 1))
+        self.assertEqual(0, self.cluster.loads.total(self.endpoint, 100))
 
-    def test_service_that_is_not_named(self) -> None:
-        """Another writer lists an endpoint of a service of its own.
+    def test_service_that_is_not_configured(self) -> None:
+        """Endpoints of a service that is not configured get no requests.
 
-        A route led to that name by mistake, and callers' requests went there.
+        Another writer listed an endpoint under a service name of its own. A
+        route named that service by mistake, and requests were sent there.
         """
         service = routing.Service('pool', 8)
-        self.assertEqual([], self.known.candidates(service, 100))
+        self.assertEqual([], self.cluster.candidates(service, 100))
         for version, services in ((1, []), (2, [service])):
-            self.known.apply_configuration(
+            self.cluster.apply_configuration(
                 routing.Routing(version, [], services, None, limits.Bounds()),
             )
-            found = self.known.candidates(service, 100)
-            self.assertEqual(len(services), len(found))
+            candidates = self.cluster.candidates(service, 100)
+            self.assertEqual(len(services), len(candidates))
 
 
 class BoundTest(testtools.TestCase):
-    """Until when an engine has to have taken up a version."""
+    """The time by which an engine must have loaded a version."""
 
-    def test_dropped_version(self) -> None:
-        """Engines took turns beyond the bound of a version that was dropped."""
-        known = cluster_state.ClusterState(OWN, clock=lambda: 100)
+    def test_superseded_version(self) -> None:
+        """A version's bound stays although a newer version supersedes it.
+
+        Otherwise engines take turns to load beyond that bound.
+        """
+        cluster = cluster_state.ClusterState(LOCAL_NODE, clock=lambda: 100)
         for version, since in ((2, 100), (3, 104)):
-            known.add_desired_version('m', version, since)
-        engine = typing.cast('routing.Engine', _Model())
-        bound = OWN.duties.version
+            cluster.add_desired_version('m', version, since)
+        engine = typing.cast('routing.Engine', _Engine())
+        bound = LOCAL_NODE.duties.version
 
-        self.assertAlmostEqual(100 + bound, known.version_bound(engine, 1))
-        self.assertAlmostEqual(104 + bound, known.version_bound(engine, 2))
-        self.assertEqual(math.inf, known.version_bound(engine, 3))
+        self.assertAlmostEqual(100 + bound, cluster.version_bound(engine, 1))
+        self.assertAlmostEqual(104 + bound, cluster.version_bound(engine, 2))
+        self.assertEqual(math.inf, cluster.version_bound(engine, 3))
 
 
-class _Model:
-    """All that is asked of an engine's description here."""
+class _Engine:
+    """The part of an engine's configuration that the bound depends on."""
 
     model = 'm'
--- a/tests/direct/test_endpoint_loads.py
+++ b/tests/direct/test_endpoint_loads.py
@@ -56,7 +56,7 @@
     def setUp(self) -> None:
         """Know an engine, and another entry's count of its requests there."""
         super().setUp()
-        self.known = cluster_state.ClusterState(test_cluster_state.OWN)
+        self.known = cluster_state.ClusterState(test_cluster_state.LOCAL_NODE)
         self.known.update_listing(listing())
         self.known.loads.heard('10.0.0.8', {'i-1': 9}, NOW)
         (self.engine,) = self.known.endpoints
@@ -160,7 +160,7 @@
     def setUp(self) -> None:
         """Know near and far engines, every second one without weights."""
         super().setUp()
-        self.known = cluster_state.ClusterState(test_cluster_state.OWN)
+        self.known = cluster_state.ClusterState(test_cluster_state.LOCAL_NODE)
         self.known.routing = routing_of_engines()
         for number in range(30):
             weights = endpoints.Weights(number % 2, 0, 4 * (number % 2))
@@ -173,7 +173,7 @@
                 )
             )
         self.subscribing = subscribing.LoadSubscriptions(
-            test_cluster_state.OWN, self.known, lambda ips: None
+            test_cluster_state.LOCAL_NODE, self.known, lambda ips: None
         )
 
     def due(self, after: float = 0) -> set[int]:
--- a/tests/direct/test_gossip.py
+++ b/tests/direct/test_gossip.py
@@ -1,4 +1,4 @@
-"""Tests of what many processes come to know of one another."""
+"""Tests of gossip among many processes."""
 
 from __future__ import annotations
 
@@ -9,28 +9,28 @@
 
 from clementinepass.direct import cluster_state, gossip, members, node
 
-#: Entries, and heartbeats of each.
+#: Entries, and heartbeats that each of them sends.
 ENTRIES = 120
-BEATS = 15
-BEAT_SECONDS = 0.4
-#: The part of the others that each must take for there.
-KNOWN_PART = 0.9
+HEARTBEATS = 15
+HEARTBEAT_SECONDS = 0.4
+#: The share of the other entries that each must see as alive.
+MIN_ALIVE_SHARE = 0.9
 
 
 class _Loop(asyncio.SelectorEventLoop):
-    """An event loop whose clock is set by hand."""
+    """An event loop with a manual clock."""
 
     def __init__(self) -> None:
         super().__init__()
         self.now: float = 1000
 
     def time(self) -> float:
-        """Return the time that was set."""
+        """Return the time that the test has set."""
         return self.now
 
 
 class _Peers(gossip.Peers):
-    """An entry's talk with others, without a network."""
+    """The gossip of an entry, without a network."""
 
     def __init__(
         self,
@@ -38,7 +38,7 @@
         peers_by_ip: dict[str, _Peers],
         rng: random.Random,
     ) -> None:
-        own = node.Node(
+        local_node = node.Node(
             name=ip,
             ip=ip,
             domain='north-1',
@@ -49,29 +49,30 @@
             duties=node.Duties(),
             callers=f'{ip}:80',
         )
-        super().__init__(own, {}, cluster_state.ClusterState(own), rng)
+        super().__init__(
+            local_node, {}, cluster_state.ClusterState(local_node), rng
+        )
         self.phase = members.Phase.READY
         self._peers_by_ip = peers_by_ip
-        #: Bytes sent.
-        self.sent = 0
+        self.sent_bytes = 0
 
     def _send(self, payload: bytes, ip: str) -> None:
-        self.sent += len(payload)
+        self.sent_bytes += len(payload)
         self._peers_by_ip[ip].receive(payload, self._local_node.ip)
 
 
 class ManyEntriesTest(testtools.TestCase):
-    """More entries than each heartbeat goes to.
+    """There are more entries than a heartbeat is sent to.
 
-    All of 150 entries were there, and each took nearly half of the others for
-    gone at any time: callers were sent to those that were left, and their
-    requests at engines weren't counted.  A heartbeat went to sixteen drawn at
-    random, so that one was heard directly each four seconds; and the members
-    that each fifth heartbeat told of were always the same sixteen.
+    Of 150 live entries each saw nearly half of the others as gone at any time:
+    callers were sent to the rest, and requests of the others at engines were
+    not counted.  A heartbeat went to sixteen random entries, so that a member
+    was seen directly only every four seconds, and the members listed in every
+    fifth heartbeat were always the same sixteen.
     """
 
-    def test_all_there(self) -> None:
-        """Who speaks is taken for there by nearly all others."""
+    def test_all_alive(self) -> None:
+        """An entry that sends heartbeats is alive to nearly all others."""
         loop = _Loop()
         self.addCleanup(loop.close)
         rng = random.Random(4)
@@ -80,17 +81,17 @@
             ip = f'10.0.0.{number}'
             peers_by_ip[ip] = _Peers(ip, peers_by_ip, rng)
 
-        async def story() -> None:
-            everyone = list(peers_by_ip.values())
-            for each in everyone:
-                each.contact(peers_by_ip)
-            for _ in range(BEATS):
-                rng.shuffle(everyone)
-                for each in everyone:
-                    each.send_heartbeat()
-                    loop.now += BEAT_SECONDS / ENTRIES
-
-        loop.run_until_complete(story())
-        for each in peers_by_ip.values():
-            there = len(each.members.alive(loop.now))
-            self.assertGreater(there, KNOWN_PART * (ENTRIES - 1))
+        async def scenario() -> None:
+            entries = list(peers_by_ip.values())
+            for entry in entries:
+                entry.contact(peers_by_ip)
+            for _ in range(HEARTBEATS):
+                rng.shuffle(entries)
+                for entry in entries:
+                    entry.send_heartbeat()
+                    loop.now += HEARTBEAT_SECONDS / ENTRIES
+
+        loop.run_until_complete(scenario())
+        for entry in peers_by_ip.values():
+            alive = len(entry.members.alive(loop.now))
+            self.assertGreater(alive, MIN_ALIVE_SHARE * (ENTRIES - 1))
--- a/tests/direct/test_intake.py
+++ b/tests/direct/test_intake.py
@@ -1,4 +1,4 @@
-"""Tests of what becomes of records that can't be decoded."""
+"""Tests of malformed records, and of listings that lapse in an outage."""
 
 from __future__ import annotations
 
@@ -16,19 +16,19 @@
 from tests.direct import test_cluster_state
 from tests.platform import test_registry
 
-READERS = intake.Decoders(operator=operator.read, endpoint=registry.read)
+DECODERS = intake.Decoders(operator=operator.read, endpoint=registry.read)
 
 
 class _NoStore:
-    """A store that is never asked."""
+    """A store that is never read."""
 
 
 class MalformedTest(testtools.TestCase):
-    """Other writers' records change nothing else, and are told of once."""
+    """A malformed record changes nothing else, and is logged once."""
 
     def setUp(self) -> None:
         super().setUp()
-        self.known = cluster_state.ClusterState(test_cluster_state.OWN)
+        self.cluster = cluster_state.ClusterState(test_cluster_state.LOCAL_NODE)
         self.lines: list[str] = []
         sink = logger.add(
             lambda line: self.lines.append(line.record['message']),
@@ -36,147 +36,153 @@
         )
         self.addCleanup(logger.remove, sink)
 
-    def take(
+    def apply(
         self,
         topic: records.Topic,
         *payloads: tuple[str, bytes],
     ) -> None:
-        """Take records in order."""
+        """Apply records in order."""
 
-        async def play() -> None:
-            taking = intake.Intake(self.known, READERS)
-            follow = taking.create_followers(
+        async def scenario() -> None:
+            record_intake = intake.Intake(self.cluster, DECODERS)
+            topic_follower = record_intake.create_followers(
                 typing.cast('typing.Any', _NoStore()),
                 random.Random(1),
             )[topic]
             for offset, (key, payload) in enumerate(payloads):
                 record = records.Record(key, offset, payload)
-                follow.apply(records.Page((record,), offset + 1))
+                topic_follower.apply(records.Page((record,), offset + 1))
 
-        asyncio.run(play())
+        asyncio.run(scenario())
 
     def usable(self) -> list[str]:
-        """Return the ids of the endpoints that may be used."""
-        found = self.known.endpoints.of_service('pool', 0)
-        return [one.listing.id for one in found]
+        """Return the ids of the usable endpoints."""
+        usable = self.cluster.endpoints.of_service('pool', 0)
+        return [endpoint.listing.id for endpoint in usable]
 
-    def test_no_flood(self) -> None:
-        """A record of another writer is written anew with each heartbeat.
+    def test_repeated_record(self) -> None:
+        """A malformed record that is repeated is logged once.
 
-        Each one was a line of the log, several a second in each process, and
-        pushed out lines that told of something.
+        Another writer repeats it with each heartbeat. A line for each, several
+        a second in each process, would crowd out other lines.
         """
-        odd = [('i-odd', b'{"sequence":%d}' % one) for one in range(500)]
-        self.take(records.Topic.ENDPOINTS, *odd)
+        malformed = [
+            ('i-odd', b'{"sequence":%d}' % number) for number in range(500)
+        ]
+        self.apply(records.Topic.ENDPOINTS, *malformed)
         self.assertEqual(1, len(self.lines), self.lines[:3])
 
     def test_many_keys(self) -> None:
-        """So is what is written and remembered of many such keys."""
-        odd = [(f'i-{one}', b'{') for one in range(2000)]
-        self.take(records.Topic.ENDPOINTS, *odd)
-        self.assertEqual([], list(self.known.endpoints))
+        """The number of keys that are logged and remembered is limited."""
+        malformed = [(f'i-{number}', b'{') for number in range(2000)]
+        self.apply(records.Topic.ENDPOINTS, *malformed)
+        self.assertEqual([], list(self.cluster.endpoints))
         self.assertEqual(100, len(self.lines))
 
     def test_long_content(self) -> None:
-        """A record of a quarter of a megabyte leaves a short line."""
-        odd = test_registry.entry(state='x' * 200000)
-        self.take(records.Topic.ENDPOINTS, ('i-odd', odd))
+        """A malformed record of 200 KB leaves a short log line."""
+        malformed = test_registry.entry(state='x' * 200000)
+        self.apply(records.Topic.ENDPOINTS, ('i-odd', malformed))
         self.assertEqual(1, len(self.lines))
         self.assertLess(len(self.lines[0]), 500)
 
-    def test_known_id(self) -> None:
-        """A malformed record comes under the id of an endpoint that works.
+    def test_id_of_an_endpoint(self) -> None:
+        """An endpoint whose own record is malformed gets no requests.
 
-        It names no endpoint, so that one gets nothing until its next word;
-        the others are used on.
+        It is unused until its next valid record; other endpoints stay usable.
         """
-        good = [(f'i-{one}', test_registry.entry()) for one in (1, 2)]
-        odd = test_registry.entry(state='paused')
-        self.take(records.Topic.ENDPOINTS, *good, ('i-1', odd))
+        valid = [(f'i-{number}', test_registry.entry()) for number in (1, 2)]
+        malformed = test_registry.entry(state='paused')
+        self.apply(records.Topic.ENDPOINTS, *valid, ('i-1', malformed))
         self.assertEqual(['i-2'], self.usable())
 
-    def test_known_id_again(self) -> None:
-        """The endpoint's next word has it used again."""
-        good = ('i-1', test_registry.entry())
-        self.take(records.Topic.ENDPOINTS, good, ('i-1', b'{'), good)
+    def test_id_of_an_endpoint_again(self) -> None:
+        """An endpoint is used again after its next valid record."""
+        valid = ('i-1', test_registry.entry())
+        self.apply(records.Topic.ENDPOINTS, valid, ('i-1', b'{'), valid)
         self.assertEqual(['i-1'], self.usable())
 
     def test_operator(self) -> None:
-        """A malformed configuration or version leaves what was in force."""
+        """A malformed configuration or version leaves the old one in force."""
         config = {'version': 3, 'routes': [], 'services': []}
-        bad = {**config, 'version': 4, 'services': [{'name': 3}]}
-        self.take(
+        malformed = {**config, 'version': 4, 'services': [{'name': 3}]}
+        self.apply(
             records.Topic.OPERATOR,
             ('config', json.dumps(config).encode()),
             ('version/m', b'{"model":"m","version":2}'),
-            ('config', json.dumps(bad).encode()),
+            ('config', json.dumps(malformed).encode()),
             ('config', b'\xff'),
             ('version/m', b'{"model":"m","version":99999999999999}'),
             ('version/m', b'{"model":"m","version":-1}'),
             ('version/m', b'{"model":"m"}'),
         )
-        self.assertEqual(3, self.known.configuration_version)
-        self.assertEqual(2, self.known.newest_desired_version('m'))
+        self.assertEqual(3, self.cluster.configuration_version)
+        self.assertEqual(2, self.cluster.newest_desired_version('m'))
         self.assertEqual(2, len(self.lines))
 
 
 class LapseTest(testtools.TestCase):
-    """Endpoints that the list drops after an outage of the store.
+    """Endpoints that are removed from the list after an outage of the store.
 
-    All entries took each removal for a lapse, for as long as they told one
-    another that there had been an outage: requests were sent on for two seconds
-    to endpoints that had left.
+    Entries pass on that there was an outage. If they did so without its age,
+    they would treat each removal as an expired lease all that time, and go on
+    sending requests for two seconds to endpoints that had left.
     """
 
     def grace(self, outage_age: float | None, after: float = 0) -> float | None:
-        """Return for how long an endpoint is used that a peer says is gone.
+        """Return for how long an endpoint is used after its removal.
 
-        :param outage_age: seconds since the end of an outage, at the peer.
+        :param outage_age: seconds since the end of an outage, at the peer that
+            sends the removal.
         :param after: seconds between that and the removal.
         """
 
-        async def play() -> float | None:
+        async def scenario() -> float | None:
             now = asyncio.get_running_loop().time
-            known = cluster_state.ClusterState(test_cluster_state.OWN)
-            known.update_listing(test_cluster_state.listing(0, 1))
-            follow = intake.Intake(known, READERS).create_followers(
+            cluster = cluster_state.ClusterState(test_cluster_state.LOCAL_NODE)
+            cluster.update_listing(test_cluster_state.listing(0, 1))
+            topic_follower = intake.Intake(cluster, DECODERS).create_followers(
                 typing.cast('typing.Any', _NoStore()),
                 random.Random(1),
             )[records.Topic.ENDPOINTS]
-            follow.apply(records.Page((), 1, outage_age=outage_age), 'peer')
+            topic_follower.apply(
+                records.Page((), 1, outage_age=outage_age), 'peer'
+            )
             await asyncio.sleep(after)
             removal = records.Record('i-1', 1, None)
-            follow.apply(records.Page((removal,), 2), 'peer')
-            (one,) = known.endpoints
-            gone_at = one.gone_at
+            topic_follower.apply(records.Page((removal,), 2), 'peer')
+            (endpoint,) = cluster.endpoints
+            gone_at = endpoint.gone_at
             return None if gone_at is None else round(gone_at - now(), 2)
 
-        return skipped_time.run(play())
+        return skipped_time.run(scenario())
 
     def test_ages(self) -> None:
-        """Used until it would have listed itself again, and not at all else."""
+        """After an outage it is used until it would be listed again."""
         cases = ((None, 0, 0), (0, 0, 1.9), (0.9, 0, 1.5), (0, 0.8, 1.6))
         for age, after, expected in cases:
             self.assertEqual(expected, self.grace(age, after), (age, after))
 
-    def test_not_contagious(self) -> None:
-        """What is handed on says how old the outage is, and ends with it."""
+    def test_age_grows_when_passed_on(self) -> None:
+        """An outage is passed on with its age, and ends everywhere at once."""
 
-        async def play() -> list[float | None]:
+        async def scenario() -> list[float | None]:
             now = asyncio.get_running_loop().time
-            own = follower.Follower(
+            topic_follower = follower.Follower(
                 typing.cast('records.Store', None),
                 records.Topic.ENDPOINTS,
-                lambda one: None,
+                lambda record: None,
                 random.Random(1),
             )
-            own.apply(records.Page((), 1, outage_age=0.5), 'peer')
-            ages = [own.outage_age(now())]
+            topic_follower.apply(records.Page((), 1, outage_age=0.5), 'peer')
+            ages = [topic_follower.outage_age(now())]
             await asyncio.sleep(0.4)
-            own.apply(records.Page((), 1, outage_age=own.outage_age(now())))
-            ages.append(own.outage_age(now()))
+            topic_follower.apply(
+                records.Page((), 1, outage_age=topic_follower.outage_age(now()))
+            )
+            ages.append(topic_follower.outage_age(now()))
             await asyncio.sleep(0.2)
-            ages.append(own.outage_age(now()))
+            ages.append(topic_follower.outage_age(now()))
             return [None if age is None else round(age, 2) for age in ages]
 
-        self.assertEqual([0.5, 0.9, None], skipped_time.run(play()))
+        self.assertEqual([0.5, 0.9, None], skipped_time.run(scenario()))
