--- a/tests/direct/test_machines.py
+++ b/tests/direct/test_machines.py
@@ -1,4 +1,4 @@
-"""Entries and agents together, on loopback addresses of their own."""
+"""Tests of entries and agents together, on loopback addresses of their own."""
 
 from __future__ import annotations
 
@@ -21,20 +21,20 @@
 from clementinepass.platform import store
 from standins import machines, weights_origin
 
-#: Seconds in which a word of an agent that ends is heard.
-_HEARD_SECONDS = 2
-#: Some callers keep a list for so many times as long as they are told.
-_LONGEST_KEPT = 3
+#: Seconds within which the last announcement of an agent must have arrived.
+_ANNOUNCEMENT_SECONDS = 2
+#: Some callers keep a list for this many times its lifetime.
+_LIST_LIFETIME_FACTOR = 3
 
 
 def run(
-    play: typing.Callable[[machines.Machines], typing.Awaitable[None]],
+    scenario: typing.Callable[[machines.Machines], typing.Awaitable[None]],
     versions: tuple[int, ...] = (),
     config: dict[str, typing.Any] | None = None,
 ) -> None:
-    """Play with machines whose engines hold some versions."""
+    """Run a scenario with machines whose engines have loaded some versions."""
 
-    async def played() -> None:
+    async def run_scenario() -> None:
         engines = [
             weights_origin.LoadingEngine(
                 machines.LAYERS,
@@ -43,73 +43,75 @@
             )
             for version in versions
         ]
-        there = machines.Machines(engines, config=config)
-        async with asyncio.timeout(60), there as world:
+        test_world = machines.Machines(engines, config=config)
+        async with asyncio.timeout(60), test_world as world:
             await machines.until(
-                lambda: all(one.ready for one in world.entries)
+                lambda: all(
+                    running_entry.ready for running_entry in world.entries
+                )
             )
-            await play(world)
+            await scenario(world)
 
-    asyncio.run(played())
+    asyncio.run(run_scenario())
 
 
-def _leave(world: machines.Machines) -> None:
-    """Have all entries say that they leave."""
-    for one in world.entries:
-        one.peers.phase = members.Phase.DRAINING
-        one.peers.send_heartbeat()
+def _announce_draining(world: machines.Machines) -> None:
+    """Have all entries announce that they drain."""
+    for running_entry in world.entries:
+        running_entry.peers.phase = members.Phase.DRAINING
+        running_entry.peers.send_heartbeat()
 
 
 class EntriesTest(testtools.TestCase):
-    """Entries find one another, serve, and follow the store."""
+    """Entries find each other, serve requests and follow the store."""
 
     def test_served_and_offered(self) -> None:
-        """Both entries serve, and each offers both."""
+        """Both entries serve requests, and each offers both to callers."""
 
-        async def play(world: machines.Machines) -> None:
+        async def scenario(world: machines.Machines) -> None:
             self.assertEqual(200, await world.ask(0))
             self.assertEqual(200, await world.ask(1))
             await world.all_known()
 
-        run(play)
+        run(scenario)
 
-    def test_offered_while_all_leave(self) -> None:
-        """All entries were stopped in turn, and each named itself alone.
+    def test_offered_while_all_drain(self) -> None:
+        """Callers are sent to the entry that began to drain last if all drain.
 
-        Callers who asked an entry that took nothing any more were sent to it.
-        They are sent to the entry that was told last.
+        When all entries were stopped in turn, each listed only itself, and
+        callers were sent to entries that accepted no more requests.
         """
 
-        async def play(world: machines.Machines) -> None:
+        async def scenario(world: machines.Machines) -> None:
             first, second = await world.all_known()
             loop = asyncio.get_running_loop()
             first._departure.begin(loop.time() - 60)
-            for one in world.entries:
-                one.peers.phase = members.Phase.DRAINING
-                one.peers.send_heartbeat()
-            # Until the other's word has come it is named since it looks ready.
+            for running_entry in world.entries:
+                running_entry.peers.phase = members.Phase.DRAINING
+                running_entry.peers.send_heartbeat()
+            # The second entry looks ready until its announcement arrives.
             await machines.until(
                 lambda: not first.peers.members.ready(loop.time())
             )
             self.assertEqual([second.callers], first.offered(loop.time()))
 
-        run(play)
+        run(scenario)
 
     def test_stays_while_it_is_offered(self) -> None:
-        """All entries leave, and one that was idle ended while callers came.
+        """A draining entry does not end while lists that name it are in use.
 
-        It reckoned that nobody names it half a second after SIGTERM. The
-        others named it for as long as it takes any request, and callers kept
-        those lists: they found nobody there.
+        An idle entry assumed that no list names it half a second after
+        SIGTERM. The others listed it for as long as it accepts any request,
+        and callers that kept those lists found that it was gone.
         """
         route = {**machines.CONFIG['routes'][0], 'timeoutMs': 6000}
         config = {**machines.CONFIG, 'routes': [route]}
 
-        async def play(world: machines.Machines) -> None:
+        async def scenario(world: machines.Machines) -> None:
             first, second = await world.all_known()
             loop = asyncio.get_running_loop()
             plan = first._departure.begin(loop.time())
-            _leave(world)
+            _announce_draining(world)
             await machines.until(
                 lambda: not second.peers.members.ready(loop.time())
             )
@@ -119,158 +121,190 @@
                 if first.callers
                 in second.offered(plan.started_at + step * 0.01)
             ]
-            kept = max(offered) + _LONGEST_KEPT * second.told(plan.started_at)
+            kept = max(offered) + _LIST_LIFETIME_FACTOR * second.told(
+                plan.started_at
+            )
             self.assertGreaterEqual(
                 plan.lists_expire_at, min(kept, plan.last_answer_at)
             )
 
-        run(play, config=config)
+        run(scenario, config=config)
 
     def test_offered_beside_a_long_route(self) -> None:
-        """All entries leave, and one route allows more than the grace.
+        """Entries drain while one route's timeout exceeds the grace period.
 
-        Each entry named itself alone, as no time was left in which any request
-        is taken, though another, told later, still took those of other routes.
+        The time in which an entry accepts requests of any route was already
+        over, so each entry listed only itself, although another that had begun
+        to drain later still accepted requests of other routes.
         """
         long = {'name': 'long', 'pathPrefix': '/long/', 'timeoutMs': 30000}
         plain = machines.CONFIG['routes'][0]
         config = {**machines.CONFIG, 'routes': [plain, {**plain, **long}]}
 
-        async def play(world: machines.Machines) -> None:
+        async def scenario(world: machines.Machines) -> None:
             first, second = await world.all_known()
             loop = asyncio.get_running_loop()
             now = loop.time()
             first._departure.begin(now - 60)
             second._departure.begin(now)
-            _leave(world)
+            _announce_draining(world)
             await machines.until(
                 lambda: not first.peers.members.ready(loop.time())
             )
             self.assertEqual(200, await world.ask(1))
             self.assertEqual([second.callers], first.offered(loop.time()))
 
-        run(play, config=config)
+        run(scenario, config=config)
 
     def test_change_in_force(self) -> None:
-        """A route that is taken away is unknown, one that is added serves."""
+        """A removed route is unknown, and an added one is served."""
 
-        async def play(world: machines.Machines) -> None:
+        async def scenario(world: machines.Machines) -> None:
             route = {**machines.CONFIG['routes'][0], 'pathPrefix': '/new/'}
             world.configure(
                 {**machines.CONFIG, 'version': 2, 'routes': [route]}
             )
-            for one in world.entries:
-                await machines.until(lambda one=one: _version(one) == 2)
+            for running_entry in world.entries:
+                await machines.until(
+                    lambda running_entry=running_entry: (
+                        _version(running_entry) == 2
+                    )
+                )
             self.assertEqual(404, await world.ask(0))
             self.assertEqual(200, await world.ask(1, '/new/a'))
 
-        run(play)
+        run(scenario)
 
     def test_older_configuration(self) -> None:
-        """A version that isn't newer changes nothing."""
+        """A configuration that is not newer changes nothing."""
 
-        async def play(world: machines.Machines) -> None:
+        async def scenario(world: machines.Machines) -> None:
             world.configure({**machines.CONFIG, 'version': 3})
-            for one in world.entries:
-                await machines.until(lambda one=one: _version(one) == 3)
+            for running_entry in world.entries:
+                await machines.until(
+                    lambda running_entry=running_entry: (
+                        _version(running_entry) == 3
+                    )
+                )
             world.configure({**machines.CONFIG, 'version': 2, 'routes': []})
             world.configure({**machines.CONFIG, 'version': 4})
-            for one in world.entries:
-                await machines.until(lambda one=one: _version(one) == 4)
+            for running_entry in world.entries:
+                await machines.until(
+                    lambda running_entry=running_entry: (
+                        _version(running_entry) == 4
+                    )
+                )
             self.assertEqual(200, await world.ask(0))
 
-        run(play)
+        run(scenario)
 
-    def test_told_by_a_peer(self) -> None:
-        """The store turned one entry away while a key was taken.
+    def test_records_from_a_peer(self) -> None:
+        """An entry that the store rejects gets a change from a peer.
 
-        That entry went on with the old configuration for nine seconds. The
-        others had the new one, and hand it to whoever has read less far.
+        Without that it went on with the old configuration for nine seconds
+        after a key had been withdrawn.
         """
 
-        async def play(world: machines.Machines) -> None:
+        async def scenario(world: machines.Machines) -> None:
             first, second = world.entries
-            refused = _Refusing()
-            for own in second._followers.values():
-                own._store = refused
+            rejecting_store = _RejectingStore()
+            for topic_follower in second._followers.values():
+                topic_follower._store = rejecting_store
             world.configure({**machines.CONFIG, 'version': 2})
             await machines.until(lambda: _version(first) == 2)
             await machines.until(lambda: _version(second) == 2)
 
-        run(play)
+        run(scenario)
 
-    def test_leaving_endpoint(self) -> None:
-        """An endpoint that says that it leaves gets nothing more."""
+    def test_draining_endpoint(self) -> None:
+        """An endpoint that is listed as draining gets no more requests."""
 
-        async def play(world: machines.Machines) -> None:
+        async def scenario(world: machines.Machines) -> None:
             world.list_desk(state='draining')
-            for one in world.entries:
-                known = one.cluster.endpoints.get('i-desk')
-                assert known is not None
-                await machines.until(lambda known=known: known.listing.draining)
+            for running_entry in world.entries:
+                desk = running_entry.cluster.endpoints.get('i-desk')
+                assert desk is not None
+                await machines.until(lambda desk=desk: desk.listing.draining)
             self.assertEqual(503, await world.ask(0))
 
-        run(play)
+        run(scenario)
 
     def test_back_under_its_id(self) -> None:
-        """An endpoint left, and came back under its id; nothing was sent.
+        """An endpoint that drained and came back under its id is used again.
 
-        Leaving was taken to be final for an id, so each request was refused
-        for want of an endpoint though one was there.
+        Draining is final for an incarnation only. If it were final for the id,
+        requests would be rejected for want of an endpoint although there is
+        one.
         """
 
-        async def play(world: machines.Machines) -> None:
+        async def scenario(world: machines.Machines) -> None:
             world.list_desk(state='draining')
-            for one in world.entries:
-                known = one.cluster.endpoints.get('i-desk')
-                assert known is not None
-                await machines.until(lambda known=known: known.listing.draining)
+            for running_entry in world.entries:
+                desk = running_entry.cluster.endpoints.get('i-desk')
+                assert desk is not None
+                await machines.until(lambda desk=desk: desk.listing.draining)
             await world.desk.restart()
             world.list_desk()
-            for one in world.entries:
-                await machines.until(lambda one=one: _usable(one, 'i-desk'))
+            for running_entry in world.entries:
+                await machines.until(
+                    lambda running_entry=running_entry: _usable(
+                        running_entry, 'i-desk'
+                    )
+                )
             self.assertEqual(200, await world.ask(0))
-            # A late word of the start before changes nothing.
+            # A late listing of the earlier incarnation changes nothing.
             world.list_desk(state='draining', born=1, sequence=99)
             world.configure({**machines.CONFIG, 'version': 2})
-            for one in world.entries:
-                await machines.until(lambda one=one: _version(one) == 2)
+            for running_entry in world.entries:
+                await machines.until(
+                    lambda running_entry=running_entry: (
+                        _version(running_entry) == 2
+                    )
+                )
             self.assertEqual(200, await world.ask(1))
 
-        run(play)
+        run(scenario)
 
     def test_other_writers(self) -> None:
-        """Another writer's records under ids of its own and a known one.
+        """Another writer's records under ids of its own and of an endpoint.
 
-        One had fields nested so deep that decoding gave up in a way that
-        nobody expected, and one a key that isn't text. Reading the list ended
-        there, and endpoints that came later were never seen.
+        Records nested too deeply for the decoder, or with keys that are not
+        text, must not end the reading of the list; otherwise later endpoints
+        are never seen.
         """
 
-        async def play(world: machines.Machines) -> None:
+        async def scenario(world: machines.Machines) -> None:
             nested = b'{"x":' + b'[' * 90000 + b']' * 90000 + b'}'
             for payload in (b'\xff\xfe', nested, b'{"address": 3}'):
                 world.store.put_raw('keyed.servers', b'i-odd', payload)
             world.store.put_raw('keyed.servers', b'\xff\xfe', b'{}')
             world.store.put_raw('keyed.entries', b'no\0number', b'1')
             world.list_desk(state='paused')
-            for one in world.entries:
-                await machines.until(lambda one=one: not _usable(one, 'i-desk'))
+            for running_entry in world.entries:
+                await machines.until(
+                    lambda running_entry=running_entry: (
+                        not _usable(running_entry, 'i-desk')
+                    )
+                )
             self.assertEqual(503, await world.ask(0))
             world.list_desk()
-            for one in world.entries:
-                await machines.until(lambda one=one: _usable(one, 'i-desk'))
-                self.assertIsNone(one.cluster.endpoints.get('i-odd'))
+            for running_entry in world.entries:
+                await machines.until(
+                    lambda running_entry=running_entry: _usable(
+                        running_entry, 'i-desk'
+                    )
+                )
+                self.assertIsNone(running_entry.cluster.endpoints.get('i-odd'))
             self.assertEqual(200, await world.ask(0))
 
-        run(play)
+        run(scenario)
 
 
-class _Refusing:
-    """A store that turns a process away."""
+class _RejectingStore:
+    """A store that never answers a process."""
 
     async def newest(self, topic: object) -> typing.Any:
-        """Answer nothing."""
+        """Wait without an answer."""
         await asyncio.Event().wait()
 
     async def changes(
@@ -279,7 +313,7 @@
         offset: int,
         wait: float,
     ) -> typing.Any:
-        """Answer nothing."""
+        """Wait without an answer."""
         await asyncio.Event().wait()
 
     async def put(self, topic: object, key: str, payload: bytes) -> None:
@@ -287,76 +321,80 @@
 
 
 class RestartTest(testtools.TestCase):
-    """What a process can't know that began after it happened."""
+    """State that was written before a process started."""
 
-    def test_version_named_before_start(self) -> None:
-        """All entries were killed four seconds after a version was named.
+    def test_desired_version_from_before_the_start(self) -> None:
+        """The bound of an earlier desired version counts from before the start.
 
-        Back again they held that it had been named just then, and sent
-        requests to older weights for eight seconds more. When it was is not
-        to be known; the bound counts from before the start.
+        All entries were killed four seconds after a version was written. When
+        they were back they took it for newly written, and sent requests to
+        older weights for eight seconds more. The actual time is unknown.
         """
 
-        async def play(world: machines.Machines) -> None:
-            named = {'model': 'm', 'version': 2}
-            world.store.put('keyed.op', 'version/m', named)
-            own = msgspec.structs.replace(
+        async def scenario(world: machines.Machines) -> None:
+            desired = {'model': 'm', 'version': 2}
+            world.store.put('keyed.op', 'version/m', desired)
+            local_node = msgspec.structs.replace(
                 world.entries[0]._own,
                 duties=node.Duties(version=8, settling=3),
             )
-            known = cluster_state.ClusterState(own)
-            follow = intake.Intake(known, machines.READERS).create_followers(
-                store.HttpStore(own.store),
+            cluster = cluster_state.ClusterState(local_node)
+            topic_follower = intake.Intake(
+                cluster, machines.READERS
+            ).create_followers(
+                store.HttpStore(local_node.store),
                 random.Random(1),
             )[records.Topic.OPERATOR]
-            task = asyncio.create_task(follow.run())
-            await machines.until(lambda: known.newest_desired_version('m') == 2)
+            task = asyncio.create_task(topic_follower.run())
+            await machines.until(
+                lambda: cluster.newest_desired_version('m') == 2
+            )
             task.cancel()
             now = asyncio.get_running_loop().time()
-            engine = known.routing.services_by_name['pool'].engine
-            settling = own.duties.settling
-            self.assertLess(known.start_deadline(engine, 1), now + settling)
-            (told,) = known.desired_versions(now)
-            self.assertTrue(told.guessed)
+            engine = cluster.routing.services_by_name['pool'].engine
+            settling = local_node.duties.settling
+            self.assertLess(cluster.start_deadline(engine, 1), now + settling)
+            (announced,) = cluster.desired_versions(now)
+            self.assertTrue(announced.guessed)
 
-        run(play)
+        run(scenario)
 
 
 class WeightsTest(testtools.TestCase):
-    """Agents bring engines to the version that is wanted."""
+    """Agents have their engines load the desired version."""
 
     def test_added_engine(self) -> None:
-        """An engine without weights gets what the others have."""
+        """An engine without weights loads the version of the others."""
 
-        async def play(world: machines.Machines) -> None:
+        async def scenario(world: machines.Machines) -> None:
             await machines.until(lambda: world.engines[2].version == 1)
             self.assertEqual([(1, True)], world.engines[2].orders)
             self.assertEqual(0, world.origin.sent)
 
-        run(play, (1, 1, 0))
+        run(scenario, (1, 1, 0))
 
-    def test_named_version(self) -> None:
-        """All engines load a named version whole, once."""
+    def test_desired_version(self) -> None:
+        """All engines load all layers of a desired version, once."""
 
-        async def play(world: machines.Machines) -> None:
+        async def scenario(world: machines.Machines) -> None:
             world.store.put(
                 'keyed.op',
                 'version/m',
                 {'model': 'm', 'version': 2},
             )
             await machines.until(
-                lambda: all(one.version == 2 for one in world.engines)
+                lambda: all(engine.version == 2 for engine in world.engines)
             )
-            for one in world.engines:
-                self.assertEqual([(2, True)], one.orders)
+            for engine in world.engines:
+                self.assertEqual([(2, True)], engine.orders)
             self.assertLessEqual(world.origin.sent, 2 * machines.CHUNKS + 4)
 
-        run(play, (1, 1, 1, 1))
+        run(scenario, (1, 1, 1, 1))
 
-    def test_spoilt_pieces(self) -> None:
-        """Pieces that come spoilt are got again, and never loaded."""
+    def test_corrupt_pieces(self) -> None:
+        """Corrupt pieces are fetched again and never loaded."""
 
-        async def play(world: machines.Machines) -> None:
+        async def scenario(world: machines.Machines) -> None:
             world.origin.spoilt.update((0, 5, machines.CHUNKS - 1))
             world.store.put(
                 'keyed.op',
@@ -364,55 +402,60 @@
                 {'model': 'm', 'version': 2},
             )
             await machines.until(
-                lambda: all(one.version == 2 for one in world.engines)
+                lambda: all(engine.version == 2 for engine in world.engines)
             )
-            for one in world.engines:
-                self.assertEqual([(2, True)], one.orders)
+            for engine in world.engines:
+                self.assertEqual([(2, True)], engine.orders)
 
-        run(play, (1, 1))
+        run(scenario, (1, 1))
 
     def test_engine_back_empty(self) -> None:
-        """An engine crashed and came back under its id, holding nothing.
+        """An engine that comes back without weights loads them again.
 
-        Entries went on believing that it held the named version, sent it
-        requests that it turned away, and were never told otherwise: its agent
-        tells only what has changed, and what it told last was right again.
+        An agent announces only changes. Entries went on sending requests that
+        the engine rejected, because the agent's last announcement named the
+        weights that the engine was about to load again.
         """
 
-        async def play(world: machines.Machines) -> None:
+        async def scenario(world: machines.Machines) -> None:
             world.store.put(
                 'keyed.op',
                 'version/m',
                 {'model': 'm', 'version': 2},
             )
             await machines.until(
-                lambda: all(one.version == 2 for one in world.engines)
+                lambda: all(engine.version == 2 for engine in world.engines)
+            )
+            before = _loaded_versions(world, 'i-0')
+            await machines.until(
+                lambda: _loaded_versions(world, 'i-0') == [2, 2]
             )
-            before = _held(world, 'i-0')
-            await machines.until(lambda: _held(world, 'i-0') == [2, 2])
-            loaded = len(world.engines[0].orders)
+            orders = len(world.engines[0].orders)
             world.engines[0].restart(keep_staged=False)
             world.list_engines()
             await machines.until(lambda: world.engines[0].version == 2)
-            self.assertEqual(loaded + 1, len(world.engines[0].orders))
+            self.assertEqual(orders + 1, len(world.engines[0].orders))
             self.assertEqual((2, True), world.engines[0].orders[-1])
-            await machines.until(lambda: _held(world, 'i-0') == [2, 2])
+            await machines.until(
+                lambda: _loaded_versions(world, 'i-0') == [2, 2]
+            )
             self.assertEqual(2, len(before))
-            # The list may be later than the agent.
+            # The listing may arrive after the agent's announcement.
             await machines.until(
                 lambda: all(
-                    one.cluster.endpoints.get('i-0').listing.started == 2
-                    for one in world.entries
+                    running_entry.cluster.endpoints.get('i-0').listing.started
+                    == 2
+                    for running_entry in world.entries
                 )
             )
-            self.assertEqual([2, 2], _held(world, 'i-0'))
+            self.assertEqual([2, 2], _loaded_versions(world, 'i-0'))
 
-        run(play, (1, 1))
+        run(scenario, (1, 1))
 
     def test_newer_version_at_once(self) -> None:
-        """Two versions right after one another: the newer is loaded."""
+        """Of two desired versions in quick succession the newer is loaded."""
 
-        async def play(world: machines.Machines) -> None:
+        async def scenario(world: machines.Machines) -> None:
             for version in (2, 3):
                 world.store.put(
                     'keyed.op',
@@ -420,94 +463,107 @@
                     {'model': 'm', 'version': version},
                 )
             await machines.until(
-                lambda: all(one.version == 3 for one in world.engines)
+                lambda: all(engine.version == 3 for engine in world.engines)
             )
-            for one in world.engines:
-                self.assertTrue(all(whole for _, whole in one.orders))
+            for engine in world.engines:
+                self.assertTrue(all(whole for _, whole in engine.orders))
 
-        run(play, (1, 1, 1))
+        run(scenario, (1, 1, 1))
 
 
 class AgentEndsTest(testtools.TestCase):
-    """An agent was stopped when it had said that its engine loads.
+    """An agent is stopped after it announced that its engine loads.
 
-    It says so before it lets the engine finish what runs, and orders after
-    that. Told to end in between it ordered nothing and said nothing, and
-    entries sent the engine no request until its agent was back.
+    It announces that, lets the engine finish its requests and then orders the
+    load. If it is stopped in between without withdrawing the announcement,
+    entries send the engine no requests until its agent is back.
     """
 
-    def test_word_of_loading(self) -> None:
-        """An engine that got no order is not taken to load."""
+    def test_loading_is_withdrawn(self) -> None:
+        """An engine without an order to load does not count as loading."""
 
-        async def played() -> None:
-            told_by_task = _signals(asyncio.get_running_loop())
+        async def scenario() -> None:
+            handler_by_task = _capture_handlers(asyncio.get_running_loop())
             engines = [
-                _Working(machines.LAYERS, machines.CHUNKS, 1) for _ in range(2)
+                _BusyEngine(machines.LAYERS, machines.CHUNKS, 1)
+                for _ in range(2)
             ]
-            there = machines.Machines(engines)
-            async with asyncio.timeout(30), there as world:
+            test_world = machines.Machines(engines)
+            async with asyncio.timeout(30), test_world as world:
                 await machines.until(
-                    lambda: all(one.ready for one in world.entries)
+                    lambda: all(
+                        running_entry.ready for running_entry in world.entries
+                    )
                 )
                 world.store.put(
                     'keyed.op',
                     'version/m',
                     {'model': 'm', 'version': 2},
                 )
-                known = world.entries[0].cluster.endpoints
-                await machines.until(lambda: any(one.loading for one in known))
-                (loading,) = (one for one in known if one.loading)
+                endpoints = world.entries[0].cluster.endpoints
+                await machines.until(
+                    lambda: any(endpoint.loading for endpoint in endpoints)
+                )
+                (loading,) = (
+                    endpoint for endpoint in endpoints if endpoint.loading
+                )
                 number = int(loading.listing.id.removeprefix('i-'))
                 agent = world._tasks[len(world.entries) + number]
-                told_by_task[agent]()
+                handler_by_task[agent]()
                 await agent
                 self.assertEqual([], world.engines[number].orders)
-                async with asyncio.timeout(_HEARD_SECONDS):
+                async with asyncio.timeout(_ANNOUNCEMENT_SECONDS):
                     await machines.until(lambda: not loading.loading)
 
-        asyncio.run(played())
+        asyncio.run(scenario())
 
 
-class _Working(weights_origin.LoadingEngine):
-    """An engine that always runs something."""
+class _BusyEngine(weights_origin.LoadingEngine):
+    """An engine that always runs a request."""
 
     def _report(self) -> dict[str, typing.Any]:
         return {**super()._report(), 'active': 1}
 
 
-def _signals(
+def _capture_handlers(
     loop: asyncio.AbstractEventLoop,
 ) -> dict[asyncio.Task[typing.Any] | None, typing.Callable[[], object]]:
-    """Return what each process does at SIGTERM, by its task.
+    """Return the SIGTERM handlers of the entries and agents, by their tasks.
 
-    All processes of the test are one to the system, which keeps only the last
-    handler of a signal.
+    They run in one operating system process, which keeps only the last handler
+    of a signal.
     """
-    told_by_task: dict[
+    handler_by_task: dict[
         asyncio.Task[typing.Any] | None,
         typing.Callable[[], object],
     ] = {}
 
     def handle(number: int, act: typing.Callable[[], object]) -> None:
         if number == signal.SIGTERM:
-            told_by_task[asyncio.current_task()] = act
+            handler_by_task[asyncio.current_task()] = act
 
     vars(loop)['add_signal_handler'] = handle
-    return told_by_task
+    return handler_by_task
 
 
-def _version(one: entry.Entry) -> int:
-    current = one.cluster.routing
+def _version(running_entry: entry.Entry) -> int:
+    current = running_entry.cluster.routing
     return 0 if current is None else current.version
 
 
-def _usable(one: entry.Entry, endpoint_id: str) -> bool:
-    known = one.cluster.endpoints.get(endpoint_id)
+def _usable(running_entry: entry.Entry, endpoint_id: str) -> bool:
+    endpoint = running_entry.cluster.endpoints.get(endpoint_id)
     now = asyncio.get_running_loop().time()
-    return known is not None and known.usable(now)
-
-
-def _held(world: machines.Machines, endpoint_id: str) -> list[int]:
-    """Return the version that each entry believes an engine to hold."""
-    known = [one.cluster.endpoints.get(endpoint_id) for one in world.entries]
-    return [0 if one is None else one.weights.version for one in known]
+    return endpoint is not None and endpoint.usable(now)
+
+
+def _loaded_versions(world: machines.Machines, endpoint_id: str) -> list[int]:
+    """Return the loaded version of an engine according to each entry."""
+    endpoints = [
+        running_entry.cluster.endpoints.get(endpoint_id)
+        for running_entry in world.entries
+    ]
+    return [
+        0 if endpoint is None else endpoint.weights.version
+        for endpoint in endpoints
+    ]
--- a/tests/direct/test_many_readers.py
+++ b/tests/direct/test_many_readers.py
@@ -1,10 +1,10 @@
 """Tests of a region in which many entries follow the store.
 
-Callers got 404 for five seconds on routes that had been added, requests reached
-engines up to five seconds after they were sent, and began on weights from before
-their bound. A configuration of 50 KB was written each quarter of a second, and
-each of thirteen entries of a region read each of them over the one link that the
-region has to the store's: 24 Mbit/s over a link of 12.
+If each of them reads the store, the region's link is saturated: a configuration
+of 50 KB was written every quarter of a second and read by each of thirteen
+entries, 24 Mbit/s over a link of 12 Mbit/s.  Callers got 404 for five seconds on
+routes that had been added, and requests reached engines up to five seconds after
+they were sent and started on weights beyond their bound.
 """
 
 from __future__ import annotations
@@ -19,11 +19,11 @@
 from standins import machines, skipped_time
 
 ENTRIES = 13
-#: Entries that read for the others, if none is gone: the first in order.
+#: The entries that read for the region while all are alive: the first in order.
 READERS = ('127.1.0.1', '127.1.0.10')
-#: Entries of a region that may read each change from the store.
-MOST_READERS = 3
-#: Seconds in which a change is in force.
+#: Most entries of a region that may read each change from the store.
+MAX_READERS = 3
+#: Seconds within which a change must be in force.
 IN_FORCE_SECONDS = 2.0
 
 
@@ -37,85 +37,88 @@
     :param gone: the IP numbers of entries that were killed.
     """
     loop = asyncio.get_running_loop()
-    begun = loop.time()
+    started_at = loop.time()
     world.configure({**machines.CONFIG, 'version': version})
-    for ip, one in zip(world.entry_ips, world.entries, strict=True):
+    for ip, entry in zip(world.entry_ips, world.entries, strict=True):
         if ip in gone:
             continue
         await machines.until(
-            lambda one=one: one.cluster.configuration_version == version,
+            lambda entry=entry: entry.cluster.configuration_version == version,
         )
-    return loop.time() - begun
+    return loop.time() - started_at
 
 
-def played(
-    play: typing.Callable[[machines.Machines], typing.Awaitable[None]],
+def run(
+    scenario: typing.Callable[[machines.Machines], typing.Awaitable[None]],
 ) -> None:
-    """Play with the entries of one region."""
+    """Run a scenario with the entries of one region."""
 
-    async def whole() -> None:
+    async def run_scenario() -> None:
         async with machines.Machines((), entries=ENTRIES) as world:
             await world.all_known()
             await asyncio.sleep(5)
-            await play(world)
+            await scenario(world)
 
-    skipped_time.run(whole())
+    skipped_time.run(run_scenario())
 
 
 class ManyReadersTest(testtools.TestCase):
-    """A change crosses to a region a few times, however many entries it has."""
+    """A region reads a change a few times, however many entries it has."""
 
-    def test_reads_of_a_storm(self) -> None:
-        """Changes follow one another, and few entries read each."""
+    def test_reads_of_many_changes(self) -> None:
+        """Of changes in quick succession each is read by a few entries."""
 
-        async def play(world: machines.Machines) -> None:
+        async def scenario(world: machines.Machines) -> None:
             handed_out = world.store.handed_out_by_topic
             before = handed_out['keyed.op']
-            late = []
+            delays = []
             for version in range(2, 12):
-                late.append(await _change(world, version))
+                delays.append(await _change(world, version))
                 await asyncio.sleep(0.2)
-            read = handed_out['keyed.op'] - before
-            self.assertThat(read, matchers.LessThan(10 * MOST_READERS + 1))
-            self.assertThat(max(late), matchers.LessThan(IN_FORCE_SECONDS))
+            reads = handed_out['keyed.op'] - before
+            self.assertThat(reads, matchers.LessThan(10 * MAX_READERS + 1))
+            self.assertThat(max(delays), matchers.LessThan(IN_FORCE_SECONDS))
 
-        played(play)
+        run(scenario)
 
     def test_readers_killed(self) -> None:
-        """Those who read for the others are killed, and a change follows.
+        """A change is in force in time after a region's readers were killed.
 
-        Just after, and when the others are about to notice.
+        It follows just after they were killed, and when the other entries are
+        about to notice it.
         """
 
-        async def play(world: machines.Machines) -> None:
+        async def scenario(world: machines.Machines) -> None:
             for ip in READERS:
                 world.kill_entry(ip)
-            await asyncio.sleep(killed_before)
-            late = await _change(world, 2, READERS)
-            self.assertThat(late, matchers.LessThan(IN_FORCE_SECONDS))
+            await asyncio.sleep(seconds_after_kill)
+            delay = await _change(world, 2, READERS)
+            self.assertThat(delay, matchers.LessThan(IN_FORCE_SECONDS))
 
-        for killed_before in (0.01, 0.5, 1.0, 3.0):
-            played(play)
+        for seconds_after_kill in (0.01, 0.5, 1.0, 3.0):
+            run(scenario)
 
     def test_lapsed_during_outage(self) -> None:
-        """An endpoint's listing lapses while the store is away.
+        """An endpoint is used on if its listing lapses in an outage.
 
-        All entries use it for a while longer, also those that others tell of
-        it: endpoints list themselves again within two seconds.
+        All entries use it for a while longer, also those that get the removal
+        from a peer: endpoints list themselves again within two seconds.
         """
 
-        async def play(world: machines.Machines) -> None:
+        async def scenario(world: machines.Machines) -> None:
             world.store.down = True
             await asyncio.sleep(9)
             world.store.put('keyed.servers', 'i-desk', None)
             world.store.down = False
             loop = asyncio.get_running_loop()
-            for one in world.entries:
-                follow = one._followers[records.Topic.ENDPOINTS]
+            for entry in world.entries:
+                topic_follower = entry._followers[records.Topic.ENDPOINTS]
                 await machines.until(
-                    lambda follow=follow: follow.state.next_offset == 2,
+                    lambda topic_follower=topic_follower: (
+                        topic_follower.state.next_offset == 2
+                    ),
                 )
-                (desk,) = one.cluster.endpoints
+                (desk,) = entry.cluster.endpoints
                 self.assertTrue(desk.usable(loop.time()))
 
-        played(play)
+        run(scenario)
--- a/tests/direct/test_record_server.py
+++ b/tests/direct/test_record_server.py
@@ -1,4 +1,4 @@
-"""Tests of handing records to peers."""
+"""Tests of serving records to peers."""
 
 from __future__ import annotations
 
@@ -20,7 +20,7 @@
 
 
 class _Reply:
-    """Keeps what is sent."""
+    """Keeps the body of the response."""
 
     def __init__(self) -> None:
         self.body = b''
@@ -36,7 +36,7 @@
 
 
 class RecordServerTest(testtools.TestCase):
-    """Peers ask for the records of a topic."""
+    """Peers send requests for the records of a topic."""
 
     def setUp(self) -> None:
         super().setUp()
@@ -48,17 +48,19 @@
         )
         self.server = record_server.RecordServer({TOPIC: self.follower})
 
-    def take(self, *offsets: int, outage_age: float | None = None) -> None:
-        """Take records."""
+    def apply(self, *offsets: int, outage_age: float | None = None) -> None:
+        """Apply records at some offsets."""
         page = records.Page(
-            tuple(test_follower.record(f'e{one}', one) for one in offsets),
+            tuple(
+                test_follower.record(f'e{offset}', offset) for offset in offsets
+            ),
             max(offsets) + 1,
             outage_age,
         )
         self.follower.apply(page)
 
-    def handed(self, offset: int, *, deflate: bool = True) -> records.Page:
-        """Return what a peer gets that has read so far."""
+    def request(self, offset: int, *, deflate: bool = True) -> records.Page:
+        """Return the page that a peer gets from an offset on."""
         pairs = [(b'accept-encoding', b'deflate')] if deflate else []
         request = messages.Request(
             b'GET',
@@ -75,67 +77,67 @@
         return wire_heartbeats.read_records(body, 'peer')
 
     def offsets(self, offset: int) -> list[int]:
-        """Return the offsets of what a peer gets."""
-        return [one.offset for one in self.handed(offset).records]
+        """Return the offsets of the records that a peer gets."""
+        return [record.offset for record in self.request(offset).records]
 
-    def test_written_once(self) -> None:
-        """A seed wrote and compressed its records anew for each of 300."""
+    def test_encoded_once(self) -> None:
+        """Records are encoded and compressed once for 300 requests."""
 
-        async def story() -> None:
-            self.take(1, 2, 3)
+        async def scenario() -> None:
+            self.apply(1, 2, 3)
             with mock.patch.object(
                 wire_heartbeats,
                 'write_records',
                 wraps=wire_heartbeats.write_records,
-            ) as written:
+            ) as write_records:
                 for _ in range(PEERS):
                     self.assertEqual([1, 2, 3], self.offsets(0))
                     self.assertEqual([3], self.offsets(3))
-            self.assertEqual(2, written.call_count)
+            self.assertEqual(2, write_records.call_count)
 
-        asyncio.run(story())
+        asyncio.run(scenario())
 
-    def test_news(self) -> None:
-        """A record that comes is in the next answer, also an older one."""
+    def test_new_record(self) -> None:
+        """A new record, also an older one, is in the next response."""
 
-        async def story() -> None:
-            self.take(1, 4)
+        async def scenario() -> None:
+            self.apply(1, 4)
             self.assertEqual([1, 4], self.offsets(0))
-            self.take(5)
+            self.apply(5)
             self.assertEqual([1, 4, 5], self.offsets(0))
-            self.take(2)
+            self.apply(2)
             self.assertEqual([1, 2, 4, 5], self.offsets(0))
 
-        asyncio.run(story())
+        asyncio.run(scenario())
 
-    def test_plain(self) -> None:
-        """A peer that can't decompress gets the same."""
+    def test_uncompressed(self) -> None:
+        """A peer that does not accept deflate gets the same records."""
 
-        async def story() -> None:
-            self.take(1, 2)
-            self.assertEqual(self.handed(0), self.handed(0, deflate=False))
+        async def scenario() -> None:
+            self.apply(1, 2)
+            self.assertEqual(self.request(0), self.request(0, deflate=False))
 
-        asyncio.run(story())
+        asyncio.run(scenario())
 
     def test_outage_age_is_current(self) -> None:
-        """How long ago an outage ended is reckoned for each answer."""
+        """The age of an outage is computed for each response."""
 
-        async def story() -> None:
-            self.take(1, outage_age=0.2)
-            first = self.handed(0).outage_age
+        async def scenario() -> None:
+            self.apply(1, outage_age=0.2)
+            first = self.request(0).outage_age
             await asyncio.sleep(0.05)
-            second = self.handed(0).outage_age
+            second = self.request(0).outage_age
             self.assertGreater(second or 0, first or 0)
 
-        asyncio.run(story())
+        asyncio.run(scenario())
 
-    def test_few_answers_kept(self) -> None:
-        """Peers that ask from many offsets don't fill the memory."""
+    def test_cache_is_bounded(self) -> None:
+        """Requests from many offsets do not fill the memory."""
 
-        async def story() -> None:
-            self.take(*range(1, 60))
+        async def scenario() -> None:
+            self.apply(*range(1, 60))
             for offset in range(60):
-                self.handed(offset)
+                self.request(offset)
             self.assertLess(len(self.server._responses_by_key), 6)
 
-        asyncio.run(story())
+        asyncio.run(scenario())
