--- a/tests/direct/test_cluster_state.py
+++ b/tests/direct/test_cluster_state.py
@@ -61,9 +61,9 @@
     @property
     def endpoint(self) -> endpoints.Endpoint:
         """Return the endpoint's current incarnation."""
-        endpoint = self.cluster.endpoints.get('i-1')
-        assert endpoint is not None
-        return endpoint
+        current = self.cluster.endpoints.get('i-1')
+        assert current is not None
+        return current
 
     def report(self, started: int, weights: endpoints.Weights) -> None:
         """Apply an agent's report."""
@@ -155,8 +155,8 @@
             self.cluster.apply_configuration(
                 routing.Routing(version, [], services, None, limits.Bounds()),
             )
-            candidates = self.cluster.candidates(service, 100)
-            self.assertEqual(len(services), len(candidates))
+            usable = self.cluster.candidates(service, 100)
+            self.assertEqual(len(services), len(usable))
 
 
 class BoundTest(testtools.TestCase):
--- a/tests/direct/test_gossip.py
+++ b/tests/direct/test_gossip.py
@@ -93,5 +93,5 @@
 
         loop.run_until_complete(scenario())
         for entry in peers_by_ip.values():
-            alive = len(entry.members.alive(loop.now))
-            self.assertGreater(alive, MIN_ALIVE_SHARE * (ENTRIES - 1))
+            alive_count = len(entry.members.alive(loop.now))
+            self.assertGreater(alive_count, MIN_ALIVE_SHARE * (ENTRIES - 1))
--- a/tests/direct/test_intake.py
+++ b/tests/direct/test_intake.py
@@ -57,8 +57,8 @@
 
     def usable(self) -> list[str]:
         """Return the ids of the usable endpoints."""
-        usable = self.cluster.endpoints.of_service('pool', 0)
-        return [endpoint.listing.id for endpoint in usable]
+        found = self.cluster.endpoints.of_service('pool', 0)
+        return [endpoint.listing.id for endpoint in found]
 
     def test_repeated_record(self) -> None:
         """A malformed record that is repeated is logged once.
--- a/tests/direct/test_machines.py
+++ b/tests/direct/test_machines.py
@@ -222,9 +222,11 @@
         async def scenario(world: machines.Machines) -> None:
             world.list_desk(state='draining')
             for running_entry in world.entries:
-                desk = running_entry.cluster.endpoints.get('i-desk')
-                assert desk is not None
-                await machines.until(lambda desk=desk: desk.listing.draining)
+                listed_desk = running_entry.cluster.endpoints.get('i-desk')
+                assert listed_desk is not None
+                await machines.until(
+                    lambda listed_desk=listed_desk: listed_desk.listing.draining
+                )
             self.assertEqual(503, await world.ask(0))
 
         run(scenario)
@@ -240,9 +242,11 @@
         async def scenario(world: machines.Machines) -> None:
             world.list_desk(state='draining')
             for running_entry in world.entries:
-                desk = running_entry.cluster.endpoints.get('i-desk')
-                assert desk is not None
-                await machines.until(lambda desk=desk: desk.listing.draining)
+                listed_desk = running_entry.cluster.endpoints.get('i-desk')
+                assert listed_desk is not None
+                await machines.until(
+                    lambda listed_desk=listed_desk: listed_desk.listing.draining
+                )
             await world.desk.restart()
             world.list_desk()
             for running_entry in world.entries:
@@ -430,11 +434,11 @@
             await machines.until(
                 lambda: _loaded_versions(world, 'i-0') == [2, 2]
             )
-            orders = len(world.engines[0].orders)
+            order_count = len(world.engines[0].orders)
             world.engines[0].restart(keep_staged=False)
             world.list_engines()
             await machines.until(lambda: world.engines[0].version == 2)
-            self.assertEqual(orders + 1, len(world.engines[0].orders))
+            self.assertEqual(order_count + 1, len(world.engines[0].orders))
             self.assertEqual((2, True), world.engines[0].orders[-1])
             await machines.until(
                 lambda: _loaded_versions(world, 'i-0') == [2, 2]
@@ -500,12 +504,14 @@
                     'version/m',
                     {'model': 'm', 'version': 2},
                 )
-                endpoints = world.entries[0].cluster.endpoints
+                known_endpoints = world.entries[0].cluster.endpoints
                 await machines.until(
-                    lambda: any(endpoint.loading for endpoint in endpoints)
+                    lambda: any(
+                        endpoint.loading for endpoint in known_endpoints
+                    )
                 )
                 (loading,) = (
-                    endpoint for endpoint in endpoints if endpoint.loading
+                    endpoint for endpoint in known_endpoints if endpoint.loading
                 )
                 number = int(loading.listing.id.removeprefix('i-'))
                 agent = world._tasks[len(world.entries) + number]
@@ -559,11 +565,11 @@
 
 def _loaded_versions(world: machines.Machines, endpoint_id: str) -> list[int]:
     """Return the loaded version of an engine according to each entry."""
-    endpoints = [
+    known_endpoints = [
         running_entry.cluster.endpoints.get(endpoint_id)
         for running_entry in world.entries
     ]
     return [
         0 if endpoint is None else endpoint.weights.version
-        for endpoint in endpoints
+        for endpoint in known_endpoints
     ]
--- a/tests/direct/test_many_readers.py
+++ b/tests/direct/test_many_readers.py
@@ -48,7 +48,7 @@
     return loop.time() - started_at
 
 
-def run(
+def run_with_entries(
     scenario: typing.Callable[[machines.Machines], typing.Awaitable[None]],
 ) -> None:
     """Run a scenario with the entries of one region."""
@@ -79,7 +79,7 @@
             self.assertThat(reads, matchers.LessThan(10 * MAX_READERS + 1))
             self.assertThat(max(delays), matchers.LessThan(IN_FORCE_SECONDS))
 
-        run(scenario)
+        run_with_entries(scenario)
 
     def test_readers_killed(self) -> None:
         """A change is in force in time after a region's readers were killed.
@@ -96,7 +96,7 @@
             self.assertThat(delay, matchers.LessThan(IN_FORCE_SECONDS))
 
         for seconds_after_kill in (0.01, 0.5, 1.0, 3.0):
-            run(scenario)
+            run_with_entries(scenario)
 
     def test_lapsed_during_outage(self) -> None:
         """An endpoint is used on if its listing lapses in an outage.
@@ -121,4 +121,4 @@
                 (desk,) = entry.cluster.endpoints
                 self.assertTrue(desk.usable(loop.time()))
 
-        run(scenario)
+        run_with_entries(scenario)
--- a/tests/direct/test_record_server.py
+++ b/tests/direct/test_record_server.py
@@ -59,7 +59,7 @@
         )
         self.follower.apply(page)
 
-    def request(self, offset: int, *, deflate: bool = True) -> records.Page:
+    def fetch(self, offset: int, *, deflate: bool = True) -> records.Page:
         """Return the page that a peer gets from an offset on."""
         pairs = [(b'accept-encoding', b'deflate')] if deflate else []
         request = messages.Request(
@@ -78,7 +78,7 @@
 
     def offsets(self, offset: int) -> list[int]:
         """Return the offsets of the records that a peer gets."""
-        return [record.offset for record in self.request(offset).records]
+        return [record.offset for record in self.fetch(offset).records]
 
     def test_encoded_once(self) -> None:
         """Records are encoded and compressed once for 300 requests."""
@@ -89,11 +89,11 @@
                 wire_heartbeats,
                 'write_records',
                 wraps=wire_heartbeats.write_records,
-            ) as write_records:
+            ) as spy:
                 for _ in range(PEERS):
                     self.assertEqual([1, 2, 3], self.offsets(0))
                     self.assertEqual([3], self.offsets(3))
-            self.assertEqual(2, write_records.call_count)
+            self.assertEqual(2, spy.call_count)
 
         asyncio.run(scenario())
 
@@ -115,7 +115,7 @@
 
         async def scenario() -> None:
             self.apply(1, 2)
-            self.assertEqual(self.request(0), self.request(0, deflate=False))
+            self.assertEqual(self.fetch(0), self.fetch(0, deflate=False))
 
         asyncio.run(scenario())
 
@@ -124,9 +124,9 @@
 
         async def scenario() -> None:
             self.apply(1, outage_age=0.2)
-            first = self.request(0).outage_age
+            first = self.fetch(0).outage_age
             await asyncio.sleep(0.05)
-            second = self.request(0).outage_age
+            second = self.fetch(0).outage_age
             self.assertGreater(second or 0, first or 0)
 
         asyncio.run(scenario())
@@ -137,7 +137,7 @@
         async def scenario() -> None:
             self.apply(*range(1, 60))
             for offset in range(60):
-                self.request(offset)
+                self.fetch(offset)
             self.assertLess(len(self.server._responses_by_key), 6)
 
         asyncio.run(scenario())
