--- a/clementinepass/direct/catching_up.py
+++ b/clementinepass/direct/catching_up.py
@@ -244,7 +244,7 @@
             self._fetch_task_by_topic.pop(topic_follower.topic, None)
         if not page.next_offset:
             # The peer has restarted since it announced its offset.
-            logger.bind(peer=ip).info('records not fetched: it has none')
+            logger.bind(peer=ip).info('records not fetched: the peer has none')
             return
         new_records = (
             topic_follower.reapply(page)
--- a/clementinepass/direct/cluster_state.py
+++ b/clementinepass/direct/cluster_state.py
@@ -110,7 +110,7 @@
         :param since: monotonic seconds at which it was written.
         :param guessed: whether that time is an estimate, because its source
             started after the version was written.
-        :returns: whether it is a newer version than was known.
+        :returns: whether it became the newest desired version.
         """
         versions = self._desired_by_model.get(model)
         if versions is None:
--- a/clementinepass/direct/follower.py
+++ b/clementinepass/direct/follower.py
@@ -271,11 +271,11 @@
         if page.outage_age is not None:
             ended = asyncio.get_running_loop().time() - page.outage_age
             self.outage_ended_at = max(self.outage_ended_at, ended)
-        news = 0
+        new_records = 0
         removed = self.state.implied_removals(page) if page.is_snapshot else ()
         for record in (*removed, *page.records):
             if self.state.apply(record):
-                news += 1
+                new_records += 1
                 self._listener(record)
         self.state.next_offset = max(self.state.next_offset, page.next_offset)
         if not self.is_initialized:
@@ -283,12 +283,12 @@
             logger.bind(
                 topic=self.topic.value,
                 source=source,
-                news=news,
+                news=new_records,
                 seconds=uptime.seconds(),
             ).info('topic known')
-        if news and self.on_changes is not None:
+        if new_records and self.on_changes is not None:
             self.on_changes()
-        return news
+        return new_records
 
     def reapply(self, page: records.Page) -> int:
         """Apply a page of records again, whatever their offsets.
@@ -314,16 +314,20 @@
         return self._read_changes
 
     async def _read_changes(self) -> typing.Any:
-        was_lost = not self.is_store_reachable
+        was_unreachable = not self.is_store_reachable
         page = await self._store.changes(
             self.topic,
             self.state.next_offset,
-            0 if was_lost else self._wait_seconds(),
+            0 if was_unreachable else self._wait_seconds(),
         )
         self._record_contact()
         self._has_changes = bool(page.records)
-        news = self.apply(page)
-        if was_lost and news and self.on_missed_changes is not None:
+        new_records = self.apply(page)
+        if (
+            was_unreachable
+            and new_records
+            and self.on_missed_changes is not None
+        ):
             self.on_missed_changes()
         if self._has_changes:
             await self._limit_read_rate()
