--- a/clementinepass/direct/cluster_state.py
+++ b/clementinepass/direct/cluster_state.py
@@ -201,7 +201,7 @@
         would count as its load.
         """
         before = self.endpoints.get(listing.id)
-        changed = self.endpoints.listed(listing)
+        changed = self.endpoints.apply_listing(listing)
         if before is not None and before is not self.endpoints.get(listing.id):
             self.ejector.forget(listing.id)
             self.loads.forget_endpoint(listing.id)
@@ -217,7 +217,7 @@
     ) -> None:
         """Apply an agent's report on the weights of its engine and its link."""
         host = status.address.rpartition(':')[0]
-        for endpoint in self.endpoints.at_host(host):
+        for endpoint in self.endpoints.at_ip(host):
             if endpoint.listing.address != status.address:
                 continue
             self._update_congestion(endpoint, status, now)
@@ -228,16 +228,18 @@
         self, ip: str, load: heartbeats.EngineLoad, now: float
     ) -> None:
         """Apply an agent's report on the load of its engine."""
-        for endpoint in self.endpoints.at_host(ip):
+        for endpoint in self.endpoints.at_ip(ip):
             if endpoint.weights.version and _is_current(endpoint, load.started):
-                endpoint.reported.tell(load.active, load.queued, now)
+                endpoint.reported_load.update(load.active, load.queued, now)
 
     def _update_weights(
         self,
         endpoint: endpoints.Endpoint,
         status: heartbeats.EngineStatus,
     ) -> None:
-        endpoint.weights_started = status.started or endpoint.weights_started
+        endpoint.weights_started_ms = (
+            status.started or endpoint.weights_started_ms
+        )
         weights = endpoints.Weights(status.version, status.first, status.end)
         if weights == endpoint.weights:
             return
@@ -272,7 +274,7 @@
         return {
             endpoint.listing.id: endpoint.in_flight
             for endpoint in self.endpoints
-            if endpoint.in_flight and not endpoint.reported.is_fresh(now)
+            if endpoint.in_flight and not endpoint.reported_load.is_fresh(now)
         }
 
     def candidates(
@@ -287,13 +289,15 @@
             return usable
         version = self.required_version(engine, now)
         return [
-            endpoint for endpoint in usable if endpoint.holds(engine, version)
+            endpoint
+            for endpoint in usable
+            if endpoint.has_weights(engine, version)
         ]
 
     def is_loading(self, service: routing.Service, now: float) -> bool:
         """Return whether some engine of a service is loading weights."""
         return any(
-            endpoint.loading
+            endpoint.is_loading
             for endpoint in self._usable_endpoints(service, now)
         )
 
@@ -311,12 +315,12 @@
         current = self.routing
         if current is None or service.name not in current.services_by_name:
             return []
-        return self.endpoints.of_service(service.name, now)
+        return self.endpoints.usable_for_service(service.name, now)
 
     def remove_expired(self, now: float) -> list[endpoints.Endpoint]:
         """Remove expired state; return the endpoints removed."""
-        self.loads.forget(now)
-        removed = self.endpoints.forget(now)
+        self.loads.remove_expired(now)
+        removed = self.endpoints.remove_expired(now)
         if removed:
             self.ejector.retain(
                 [endpoint.listing.id for endpoint in self.endpoints]
@@ -332,6 +336,6 @@
     that the engine no longer holds.
     """
     is_superseded = incarnations.is_superseded(
-        endpoint.weights_started, started
+        endpoint.weights_started_ms, started
     )
-    return not is_superseded and endpoint.gone_at is None
+    return not is_superseded and endpoint.unusable_at is None
--- a/clementinepass/direct/intake.py
+++ b/clementinepass/direct/intake.py
@@ -139,7 +139,7 @@
             listing = self._decoders.endpoint(record)
         except errors.MalformedMessageError as error:
             self._log_malformed(record, error)
-            self._cluster.endpoints.unreadable(record.key)
+            self._cluster.endpoints.mark_unreadable(record.key)
             return
         if listing is None:
             self._remove_endpoint(record.key)
@@ -153,7 +153,7 @@
                 version=listing.weights.version,
                 layers=listing.weights.end - listing.weights.first,
                 offset=record.offset,
-                started=listing.started,
+                started=listing.started_ms,
             ).info('endpoint listed')
 
     @property
@@ -177,7 +177,7 @@
             if age is None
             else min(_LAPSE_GRACE_SECONDS, _RELIST_SECONDS - age)
         )
-        if self._cluster.endpoints.removed(endpoint_id, now, grace):
+        if self._cluster.endpoints.mark_removed(endpoint_id, now, grace):
             logger.bind(endpoint=endpoint_id, used_for=grace).info(
                 'endpoint dropped from the list',
             )
--- a/clementinepass/direct/placing.py
+++ b/clementinepass/direct/selection.py
@@ -24,37 +24,37 @@
 
 #: Seconds that a request waits for an engine that loads: the time for it to
 #: finish what it runs, and to load.
-_LOADING_SECONDS = 1.2
-_LOOK_SECONDS = 0.03
-_UNKNOWN_PACE = first_event.ServiceRate(0, 0)
+_LOADING_WAIT_SECONDS = 1.2
+_POLL_SECONDS = 0.03
+_UNKNOWN_SERVICE_RATE = first_event.ServiceRate(0, 0)
 #: Engines with links that aren't congested that are enough to choose from.
-_LEAST_SWIFT = 2
+_MIN_UNCONGESTED = 2
 
 
-class Placing:
+class EndpointSelector:
     """Choose endpoints by the state of the cluster.
 
     :param own: who this entry is.
     :param known: configuration, versions, endpoints and loads.
     """
 
-    __slots__ = ('_cluster', '_log', '_own', '_rng')
+    __slots__ = ('_cluster', '_log', '_local_node', '_rng')
 
     def __init__(
         self,
-        own: node.Node,
-        known: cluster_state.ClusterState,
+        local_node: node.Node,
+        cluster: cluster_state.ClusterState,
         log: request_log.RequestLog,
         rng: random.Random,
     ) -> None:
-        self._own = own
-        self._cluster = known
+        self._local_node = local_node
+        self._cluster = cluster
         self._log = log
         self._rng = rng
 
-    async def first_place(
+    async def select_first(
         self,
-        admitted: serving.Serving,
+        admitted: serving.AdmittedRequest,
     ) -> endpoints.Endpoint | None:
         """Choose an endpoint, waiting a moment for engines that load.
 
@@ -63,39 +63,43 @@
         seconds, though an engine is there after half a second.
         """
         loop = asyncio.get_running_loop()
-        until = admitted.call.request.received + _LOADING_SECONDS
-        endpoint = self.place(admitted)
-        while endpoint is None and loop.time() < until:
+        wait_deadline = admitted.call.request.received + _LOADING_WAIT_SECONDS
+        endpoint = self.select(admitted)
+        while endpoint is None and loop.time() < wait_deadline:
             if self._cluster.candidates(admitted.service, loop.time()):
                 break
             if not self._cluster.is_loading(admitted.service, loop.time()):
                 break
-            await asyncio.sleep(_LOOK_SECONDS)
-            endpoint = self.place(admitted)
+            await asyncio.sleep(_POLL_SECONDS)
+            endpoint = self.select(admitted)
         return endpoint
 
-    def place(self, admitted: serving.Serving) -> endpoints.Endpoint | None:
+    def select(
+        self, admitted: serving.AdmittedRequest
+    ) -> endpoints.Endpoint | None:
         """Choose an endpoint; ``None`` if there is none with room."""
         now = asyncio.get_running_loop().time()
         candidates = self._cluster.candidates(admitted.service, now)
         untried = [
-            one
-            for one in candidates
-            if one.listing.id not in admitted.tried_ids
+            endpoint
+            for endpoint in candidates
+            if endpoint.listing.id not in admitted.tried_endpoint_ids
         ]
         engine = admitted.service.engine
-        options = self._options(self._sound(untried, now), engine, now)
-        timely = _timely(admitted, options)
-        choice = endpoint_choice.choose(timely, self._rng)
+        options = self._options(self._healthy(untried, now), engine, now)
+        startable = _startable_in_time(admitted, options)
+        choice = endpoint_choice.choose(startable, self._rng)
         if choice is None:
-            admitted.come_back = first_event.MAX_RETRY_AFTER
+            admitted.retry_after = first_event.MAX_RETRY_AFTER
             return None
-        if not admitted.attempts and not self._fits(admitted, choice, now):
-            self._log.overloaded(admitted, choice)
+        if not admitted.attempts and not self._answers_in_time(
+            admitted, choice, now
+        ):
+            self._log.log_overloaded(admitted, choice)
             return None
         return self._cluster.endpoints.get(choice.endpoint_id)
 
-    def _sound(
+    def _healthy(
         self,
         untried: list[endpoints.Endpoint],
         now: float,
@@ -105,39 +109,44 @@
         Where all do, each would be the wrong one to leave out.
         """
         ejected = self._cluster.ejector.ejected_endpoints(now)
-        sound = [
-            one
-            for one in untried
-            if one.listing.id not in ejected and not one.stalled(now)
+        healthy = [
+            endpoint
+            for endpoint in untried
+            if endpoint.listing.id not in ejected
+            and not endpoint.is_stalled(now)
         ]
-        return sound or untried
+        return healthy or untried
 
     def _options(
         self,
-        sound: list[endpoints.Endpoint],
+        healthy: list[endpoints.Endpoint],
         engine: routing.Engine | None,
         now: float,
     ) -> list[endpoint_choice.Candidate]:
         """Return what is compared: of engines a sample."""
-        newest = max((one.weights.version for one in sound), default=0)
-        compared = sound if engine is None else self._sampled(sound, now)
+        newest_version = max(
+            (endpoint.weights.version for endpoint in healthy), default=0
+        )
+        compared = (
+            healthy if engine is None else self._sample_engines(healthy, now)
+        )
         return [
             endpoint_choice.Candidate(
-                one.listing.id,
-                self._cluster.loads.total(one, now),
-                one.listing.slots,
-                is_same_domain=self._is_near(one),
-                has_old_version=one.weights.version < newest,
-                is_congested=one.congested_until > now,
-                unstarted=self._cluster.loads.unbegun(one, now),
-                usable_seconds=self._usable_for(one, engine, now),
+                endpoint.listing.id,
+                self._cluster.loads.total(endpoint, now),
+                endpoint.listing.slots,
+                is_same_domain=self._is_in_local_domain(endpoint),
+                has_old_version=endpoint.weights.version < newest_version,
+                is_congested=endpoint.congested_until > now,
+                unstarted=self._cluster.loads.unstarted(endpoint, now),
+                usable_seconds=self._usable_seconds(endpoint, engine, now),
             )
-            for one in compared
+            for endpoint in compared
         ]
 
-    def _sampled(
+    def _sample_engines(
         self,
-        sound: list[endpoints.Endpoint],
+        healthy: list[endpoints.Endpoint],
         now: float,
     ) -> Sequence[endpoints.Endpoint]:
         """Return a few of a service's engines.
@@ -147,20 +156,35 @@
         is full of weights they are late or lost, and requests met at the few
         engines whose agents were heard.
         """
-        swift = [one for one in sound if one.congested_until <= now]
-        if len(swift) < _LEAST_SWIFT:
-            swift = sound
-        far = [one for one in swift if not self._is_near(one)]
+        uncongested = [
+            endpoint for endpoint in healthy if endpoint.congested_until <= now
+        ]
+        if len(uncongested) < _MIN_UNCONGESTED:
+            uncongested = healthy
+        remote = [
+            endpoint
+            for endpoint in uncongested
+            if not self._is_in_local_domain(endpoint)
+        ]
         return endpoint_choice.sample(
-            [one for one in swift if self._is_near(one)],
-            [one for one in far if one.reported.is_fresh(now)] or far,
+            [
+                endpoint
+                for endpoint in uncongested
+                if self._is_in_local_domain(endpoint)
+            ],
+            [
+                endpoint
+                for endpoint in remote
+                if endpoint.reported_load.is_fresh(now)
+            ]
+            or remote,
             self._rng,
         )
 
-    def _is_near(self, endpoint: endpoints.Endpoint) -> bool:
-        return endpoint.listing.domain == self._own.domain
+    def _is_in_local_domain(self, endpoint: endpoints.Endpoint) -> bool:
+        return endpoint.listing.domain == self._local_node.domain
 
-    def _usable_for(
+    def _usable_seconds(
         self,
         endpoint: endpoints.Endpoint,
         engine: routing.Engine | None,
@@ -168,33 +192,37 @@
     ) -> float:
         if engine is None:
             return math.inf
-        begin_by = self._cluster.start_deadline(
+        start_deadline = self._cluster.start_deadline(
             engine, endpoint.weights.version
         )
-        return begin_by - now
+        return start_deadline - now
 
-    def _fits(
+    def _answers_in_time(
         self,
-        admitted: serving.Serving,
+        admitted: serving.AdmittedRequest,
         choice: endpoint_choice.Choice,
         now: float,
     ) -> bool:
         """Tell whether the best endpoint answers in time."""
         engine = admitted.service.engine
-        pace = _UNKNOWN_PACE if engine is None else engine.pace
-        admitted.come_back = first_event.retry_after(choice.queue_depth, pace)
-        wish = first_event.PendingRequest(
+        service_rate = (
+            _UNKNOWN_SERVICE_RATE if engine is None else engine.service_rate
+        )
+        admitted.retry_after = first_event.retry_after(
+            choice.queue_depth, service_rate
+        )
+        queued_request = first_event.PendingRequest(
             queue_depth=choice.queue_depth,
             slots=choice.slots,
             prompt_tokens=admitted.call.prompt_tokens,
-            latency_target=admitted.route.aim,
+            latency_target=admitted.route.latency_target,
             elapsed_seconds=now - admitted.call.request.received,
         )
-        return first_event.meets_target(wish, pace)
+        return first_event.meets_target(queued_request, service_rate)
 
 
-def _timely(
-    admitted: serving.Serving,
+def _startable_in_time(
+    admitted: serving.AdmittedRequest,
     options: list[endpoint_choice.Candidate],
 ) -> list[endpoint_choice.Candidate]:
     """Return the endpoints whose weights are allowed when it begins there."""
@@ -203,6 +231,6 @@
         return options
     request = timely_start.Request(
         admitted.call.prompt_tokens,
-        engine.usual_prompt,
+        engine.mean_prompt_tokens,
     )
-    return timely_start.filter_timely(request, options, engine.pace)
+    return timely_start.filter_timely(request, options, engine.service_rate)
--- a/clementinepass/direct/subscribing.py
+++ b/clementinepass/direct/subscribing.py
@@ -84,7 +84,7 @@
         the other entries learn it from the store's list, two seconds later.
         """
         usable = self._cluster.candidates(service, now)
-        listed = self._cluster.endpoints.of_service(service.name, now)
+        listed = self._cluster.endpoints.usable_for_service(service.name, now)
         waiting = [endpoint for endpoint in listed if endpoint not in usable]
         domain = self._local_node.domain
         near, far = _split(usable, domain)
--- a/tests/direct/test_cluster_state.py
+++ b/tests/direct/test_cluster_state.py
@@ -27,7 +27,7 @@
     regions_by_domain={'a': 'a'},
     first_port=1,
     store='',
-    duties=node.Duties(),
+    duties=node.SystemLimits(),
 )
 
 
@@ -46,7 +46,7 @@
         draining=False,
         heartbeat=heartbeat,
         weights=weights,
-        started=started,
+        started_ms=started,
     )
 
 
@@ -103,7 +103,7 @@
         Its start time is ignored, too: otherwise the earlier weights would
         count as those of the new incarnation.
         """
-        self.cluster.endpoints.removed('i-1', now=90, grace=0)
+        self.cluster.endpoints.mark_removed('i-1', now=90, grace=0)
         self.report(2000, EMPTY)
         self.cluster.update_listing(listing(2000, 1))
         self.assertEqual(EMPTY, self.endpoint.weights)
@@ -137,7 +137,9 @@
 
     def test_load_reported_by_peers(self) -> None:
         """Peers' requests at an earlier incarnation are no load of the new."""
-        self.cluster.loads.heard('10.0.0.8', {'i-1': 9, 'i-2': 1}, 100)
+        self.cluster.loads.update_peer_counts(
+            '10.0.0.8', {'i-1': 9, 'i-2': 1}, 100
+        )
         self.endpoint.in_flight = 3
         self.assertEqual(12, self.cluster.loads.total(self.endpoint, 100))
         self.cluster.update_listing(listing(2000, 1))
--- a/tests/direct/test_intake.py
+++ b/tests/direct/test_intake.py
@@ -57,7 +57,7 @@
 
     def usable(self) -> list[str]:
         """Return the ids of the usable endpoints."""
-        found = self.cluster.endpoints.of_service('pool', 0)
+        found = self.cluster.endpoints.usable_for_service('pool', 0)
         return [endpoint.listing.id for endpoint in found]
 
     def test_repeated_record(self) -> None:
@@ -152,7 +152,7 @@
             removal = records.Record('i-1', 1, None)
             topic_follower.apply(records.Page((removal,), 2), 'peer')
             (endpoint,) = cluster.endpoints
-            gone_at = endpoint.gone_at
+            gone_at = endpoint.unusable_at
             return None if gone_at is None else round(gone_at - now(), 2)
 
         return skipped_time.run(scenario())
--- a/tests/direct/test_machines.py
+++ b/tests/direct/test_machines.py
@@ -47,7 +47,7 @@
         async with asyncio.timeout(60), test_world as world:
             await machines.until(
                 lambda: all(
-                    running_entry.ready for running_entry in world.entries
+                    running_entry.is_ready for running_entry in world.entries
                 )
             )
             await scenario(world)
@@ -85,7 +85,7 @@
         async def scenario(world: machines.Machines) -> None:
             first, second = await world.all_known()
             loop = asyncio.get_running_loop()
-            first._departure.begin(loop.time() - 60)
+            first._drain_state.start(loop.time() - 60)
             for running_entry in world.entries:
                 running_entry.peers.phase = members.Phase.DRAINING
                 running_entry.peers.send_heartbeat()
@@ -93,7 +93,9 @@
             await machines.until(
                 lambda: not first.peers.members.ready(loop.time())
             )
-            self.assertEqual([second.callers], first.offered(loop.time()))
+            self.assertEqual(
+                [second.callers_address], first.listed_addresses(loop.time())
+            )
 
         run(scenario)
 
@@ -110,7 +112,7 @@
         async def scenario(world: machines.Machines) -> None:
             first, second = await world.all_known()
             loop = asyncio.get_running_loop()
-            plan = first._departure.begin(loop.time())
+            plan = first._drain_state.start(loop.time())
             _announce_draining(world)
             await machines.until(
                 lambda: not second.peers.members.ready(loop.time())
@@ -118,10 +120,10 @@
             offered = [
                 plan.started_at + step * 0.01
                 for step in range(1000)
-                if first.callers
-                in second.offered(plan.started_at + step * 0.01)
+                if first.callers_address
+                in second.listed_addresses(plan.started_at + step * 0.01)
             ]
-            kept = max(offered) + _LIST_LIFETIME_FACTOR * second.told(
+            kept = max(offered) + _LIST_LIFETIME_FACTOR * second.list_max_age(
                 plan.started_at
             )
             self.assertGreaterEqual(
@@ -145,14 +147,16 @@
             first, second = await world.all_known()
             loop = asyncio.get_running_loop()
             now = loop.time()
-            first._departure.begin(now - 60)
-            second._departure.begin(now)
+            first._drain_state.start(now - 60)
+            second._drain_state.start(now)
             _announce_draining(world)
             await machines.until(
                 lambda: not first.peers.members.ready(loop.time())
             )
             self.assertEqual(200, await world.ask(1))
-            self.assertEqual([second.callers], first.offered(loop.time()))
+            self.assertEqual(
+                [second.callers_address], first.listed_addresses(loop.time())
+            )
 
         run(scenario, config=config)
 
@@ -339,8 +343,8 @@
             desired = {'model': 'm', 'version': 2}
             world.store.put('keyed.op', 'version/m', desired)
             local_node = msgspec.structs.replace(
-                world.entries[0]._own,
-                duties=node.Duties(version=8, settling=3),
+                world.entries[0]._local_node,
+                duties=node.SystemLimits(version=8, settling=3),
             )
             cluster = cluster_state.ClusterState(local_node)
             topic_follower = intake.Intake(
@@ -447,7 +451,9 @@
             # The listing may arrive after the agent's announcement.
             await machines.until(
                 lambda: all(
-                    running_entry.cluster.endpoints.get('i-0').listing.started
+                    running_entry.cluster.endpoints.get(
+                        'i-0'
+                    ).listing.started_ms
                     == 2
                     for running_entry in world.entries
                 )
@@ -496,7 +502,8 @@
             async with asyncio.timeout(30), test_world as world:
                 await machines.until(
                     lambda: all(
-                        running_entry.ready for running_entry in world.entries
+                        running_entry.is_ready
+                        for running_entry in world.entries
                     )
                 )
                 world.store.put(
@@ -507,11 +514,13 @@
                 known_endpoints = world.entries[0].cluster.endpoints
                 await machines.until(
                     lambda: any(
-                        endpoint.loading for endpoint in known_endpoints
+                        endpoint.is_loading for endpoint in known_endpoints
                     )
                 )
                 (loading,) = (
-                    endpoint for endpoint in known_endpoints if endpoint.loading
+                    endpoint
+                    for endpoint in known_endpoints
+                    if endpoint.is_loading
                 )
                 number = int(loading.listing.id.removeprefix('i-'))
                 agent = world._tasks[len(world.entries) + number]
@@ -519,7 +528,7 @@
                 await agent
                 self.assertEqual([], world.engines[number].orders)
                 async with asyncio.timeout(_ANNOUNCEMENT_SECONDS):
-                    await machines.until(lambda: not loading.loading)
+                    await machines.until(lambda: not loading.is_loading)
 
         asyncio.run(scenario())
 
@@ -560,7 +569,7 @@
 def _usable(running_entry: entry.Entry, endpoint_id: str) -> bool:
     endpoint = running_entry.cluster.endpoints.get(endpoint_id)
     now = asyncio.get_running_loop().time()
-    return endpoint is not None and endpoint.usable(now)
+    return endpoint is not None and endpoint.is_usable(now)
 
 
 def _loaded_versions(world: machines.Machines, endpoint_id: str) -> list[int]:
--- a/tests/direct/test_many_readers.py
+++ b/tests/direct/test_many_readers.py
@@ -119,6 +119,6 @@
                     ),
                 )
                 (desk,) = entry.cluster.endpoints
-                self.assertTrue(desk.usable(loop.time()))
+                self.assertTrue(desk.is_usable(loop.time()))
 
         run_with_entries(scenario)
