--- a/clementinepass/direct/attempt.py
+++ b/clementinepass/direct/attempt.py
@@ -123,7 +123,7 @@
         except channel.ChannelBrokenError as error:
             attempt.refused()
             now = asyncio.get_running_loop().time()
-            self._cluster.failed(endpoint, now)
+            self._cluster.record_failure(endpoint, now)
             self._log.log_attempt_failed(admitted, endpoint, error)
             return serving.AttemptResult.NOT_RUN
         admitted.channel = connection
@@ -314,7 +314,7 @@
         engine = admitted.service.engine
         if engine is None:
             return math.inf
-        return self._cluster.begin_by(engine, endpoint.weights.version)
+        return self._cluster.start_deadline(engine, endpoint.weights.version)
 
     def _attempt_parameters(
         self,
@@ -391,7 +391,7 @@
             and not endpoint.is_loading
         ):
             # An engine that takes up new weights cuts what still runs.
-            self._cluster.failed(endpoint, now)
+            self._cluster.record_failure(endpoint, now)
 
 
 def _urgency(admitted: serving.AdmittedRequest) -> int:
--- a/clementinepass/direct/turns.py
+++ b/clementinepass/direct/turns.py
@@ -1,4 +1,4 @@
-"""Which entries read the store, and when their reads end, as they tell it."""
+"""Schedule reads of the store among the entries by their announcements."""
 
 from __future__ import annotations
 
@@ -11,53 +11,53 @@
     from clementinepass.direct import node
 
 
-class Turns:
-    """Choose whether this entry reads one topic, and how long reads wait.
+class ReadTurns:
+    """Decides whether this entry reads a topic, and how long reads wait.
 
-    :param own: who this process is.
-    :param known: the entries that are there.
+    :param local_node: the local node.
+    :param entries: the other entries.
     """
 
-    __slots__ = ('_end_by_ip', '_known', '_own')
+    __slots__ = ('_read_end_by_ip', '_members', '_local_node')
 
-    def __init__(self, own: node.Node, known: members.Members) -> None:
-        self._own = own
-        self._known = known
-        #: Monotonic seconds at which the read of an entry that reads ends.
-        self._end_by_ip: dict[str, float] = {}
+    def __init__(self, local_node: node.Node, entries: members.Members) -> None:
+        self._local_node = local_node
+        self._members = entries
+        #: Monotonic seconds at which the pending read of an entry ends.
+        self._read_end_by_ip: dict[str, float] = {}
 
-    def heard(self, ip: str, seconds: float, now: float) -> None:
-        """Take it that an entry's read ends in some seconds; 0 for none."""
+    def update(self, ip: str, seconds: float, now: float) -> None:
+        """Record the seconds until an entry's pending read ends; 0 for none."""
         if seconds:
-            self._end_by_ip[ip] = now + seconds
+            self._read_end_by_ip[ip] = now + seconds
         else:
-            self._end_by_ip.pop(ip, None)
+            self._read_end_by_ip.pop(ip, None)
 
-    def reads(self, now: float) -> bool:
-        """Tell whether this entry reads; else others of its region do."""
-        relied = self._known.heard_within(
+    def should_read(self, now: float) -> bool:
+        """Return whether this entry reads, or else others of its region."""
+        recent = self._members.seen_within(
             now, region_readers.MAX_SILENCE_SECONDS
         )
         near = [
-            one.ip
-            for one in relied
-            if one.region == self._own.region
-            and one.phase is members.Phase.READY
+            member.ip
+            for member in recent
+            if member.region == self._local_node.region
+            and member.phase is members.Phase.READY
         ]
-        return region_readers.is_reader(self._own.ip, near)
+        return region_readers.is_reader(self._local_node.ip, near)
 
-    def wait(self, now: float, *, has_news: bool) -> float:
-        """Return the seconds that a read which begins now waits.
+    def wait_seconds(self, now: float, *, has_changes: bool) -> float:
+        """Return for how long a read that starts now waits for changes.
 
-        :param has_news: whether the one before brought records.
+        :param has_changes: whether the previous read returned records.
         """
-        alive = {one.ip for one in self._known.alive(now)}
-        self._end_by_ip = {
-            ip: end for ip, end in self._end_by_ip.items() if ip in alive
+        alive = {member.ip for member in self._members.alive(now)}
+        self._read_end_by_ip = {
+            ip: end for ip, end in self._read_end_by_ip.items() if ip in alive
         }
-        before = sum(ip < self._own.ip for ip in self._end_by_ip)
-        turn = reading_turns.Turn(before, len(self._end_by_ip) + 1)
-        if has_news:
+        before = sum(ip < self._local_node.ip for ip in self._read_end_by_ip)
+        turn = reading_turns.Turn(before, len(self._read_end_by_ip) + 1)
+        if has_changes:
             return reading_turns.wait_after_change(turn)
-        ends = [end - now for end in self._end_by_ip.values() if end > now]
+        ends = [end - now for end in self._read_end_by_ip.values() if end > now]
         return reading_turns.wait_after_empty_read(turn, ends)
--- a/clementinepass/direct/version_selector.py
+++ b/clementinepass/direct/version_selector.py
@@ -91,7 +91,7 @@
         engine = self._neighbours.engine()
         if engine is None:
             return '', 0
-        desired_version = self._cluster.wanted_version(engine.model)
+        desired_version = self._cluster.newest_desired_version(engine.model)
         is_next = (
             bool(self._current_version)
             and desired_version > self._current_version
@@ -111,7 +111,7 @@
         newest_loaded = max(
             (endpoint.weights.version for endpoint in endpoints), default=0
         )
-        desired_version = self._cluster.wanted_version(engine.model)
+        desired_version = self._cluster.newest_desired_version(engine.model)
         return 0 < version <= max(newest_loaded, desired_version)
 
     def _target_version(
@@ -123,7 +123,7 @@
 
         Without a desired version, it is the newest that other engines hold.
         """
-        desired_version = self._cluster.wanted_version(engine.model)
+        desired_version = self._cluster.newest_desired_version(engine.model)
         if not desired_version:
             endpoints = self._neighbours.service_endpoints()
             versions = [endpoint.weights.version for endpoint in endpoints]
@@ -148,7 +148,9 @@
             or current >= newest
         ):
             return False
-        current_seconds_left = self._cluster.seconds_left(engine.model, current)
+        current_seconds_left = self._cluster.seconds_until_required(
+            engine.model, current
+        )
         if current_seconds_left is None:
             return False
         should_finish = superseding.should_finish_first(
@@ -158,7 +160,7 @@
             ),
             superseding.Transfer(
                 self._transfer_seconds(engine, engine.chunks),
-                self._cluster.seconds_left(engine.model, newest) or 0,
+                self._cluster.seconds_until_required(engine.model, newest) or 0,
             ),
             is_decided=self._postponed_version == newest,
         )
