--- a/benchmarks/direct_path.py
+++ b/benchmarks/direct_path.py
@@ -48,7 +48,7 @@
                 b'{}',
             ),
         )
-        await used.answer_head()
+        await used.read_head()
         await used.read()
         return loop.time() - begun
     finally:
--- a/clementinepass/direct/attempt.py
+++ b/clementinepass/direct/attempt.py
@@ -116,8 +116,8 @@
         admitted.begin_by = self._begin_by(admitted, endpoint)
         repeatable = admitted.route.repeatable
         try:
-            used = await peers.take(
-                longest_idle=math.inf if repeatable else _FRESH_SECONDS,
+            used = await peers.acquire(
+                max_idle_seconds=math.inf if repeatable else _FRESH_SECONDS,
                 seconds=_CONNECT_SECONDS,
             )
         except channel.ChannelBrokenError as error:
@@ -143,7 +143,7 @@
             used.abort()
             raise
         finally:
-            peers.give_back(used)
+            peers.release(used)
             if not self._is_kept(endpoint):
                 # It has started anew meanwhile: no more requests here.
                 peers.close()
@@ -171,13 +171,13 @@
         attempt.sent()
         used.send(payload)
         async with _patience(admitted, used):
-            head = await used.answer_head()
+            head = await used.read_head()
             facts = self._dialect.answer(admitted.call, head)
             if facts.verdict is calls.Verdict.FOREIGN:
                 logger.bind(request=admitted.call.id).warning(
                     'passed over the answer to another request',
                 )
-                head = await used.next_answer()
+                head = await used.skip_to_next_answer()
                 facts = self._dialect.answer(admitted.call, head)
         if facts.verdict is calls.Verdict.MISDIRECTED:
             attempt.refused()
@@ -229,7 +229,7 @@
         if facts.verdict is calls.Verdict.FAILURE:
             admitted.failure = serving.Failure(status, facts.pairs, body)
             return serving.Tried.FAILED
-        if admitted.reply.begun:
+        if admitted.reply.is_started:
             raise channel.ChannelBrokenError('no stream', peer=used.peer)
         admitted.first_event_at = asyncio.get_running_loop().time()
         admitted.reply.send(status, facts.pairs, body)
@@ -246,17 +246,17 @@
     ) -> serving.Tried:
         """Hand on whole events as they come."""
         reply = admitted.reply
-        endpoint.heard = used.heard
+        endpoint.heard = used.last_received_at
         while True:
             async with _patience(admitted, used):
                 part = await used.read()
-            endpoint.heard = used.heard
+            endpoint.heard = used.last_received_at
             if not part:
                 break
             for event in admitted.splitter.feed(part):
                 self._first(admitted, facts, status)
                 reply.write(event.payload)
-            await reply.writable()
+            await reply.wait_writable()
         if admitted.splitter.partial:
             raise events.StreamBrokenError('the last event is cut short')
         self._first(admitted, facts, status)
@@ -279,8 +279,8 @@
         old weights after their bound, since its caller had events already.
         """
         admitted.begin_by = math.inf
-        if not admitted.reply.begun:
-            admitted.reply.begin(status, facts.pairs)
+        if not admitted.reply.is_started:
+            admitted.reply.start(status, facts.pairs)
             admitted.first_event_at = asyncio.get_running_loop().time()
 
     def _begin_by(
@@ -364,7 +364,7 @@
         now = asyncio.get_running_loop().time()
         if tried is serving.Tried.ANSWERED:
             first = admitted.first_event_at or now
-            seconds = first - admitted.call.request.received
+            seconds = first - admitted.call.request.received_at
             self._cluster.ejector.observe(endpoint.listing.id, seconds, now)
         elif tried is not serving.Tried.NOT_RUN and not endpoint.loading:
             # An engine that takes up new weights cuts what still runs.
@@ -392,7 +392,7 @@
     route = admitted.route
     if not route.repeatable or admitted.runs >= route.most_attempts:
         return math.inf
-    if admitted.reply.begun:
+    if admitted.reply.is_started:
         return now + route.longest_gap + _SILENT_GAP
     if route.kind is routing.RouteKind.STREAM:
         return now + route.aim + _SILENT_FIRST
--- a/clementinepass/direct/calls.py
+++ b/clementinepass/direct/calls.py
@@ -141,7 +141,7 @@
 
 def first_event_by(call: Call, route: routing.Route) -> float:
     """Return the monotonic seconds until which a stream's caller waits."""
-    return call.request.received + longest_silence(route)
+    return call.request.received_at + longest_silence(route)
 
 
 def longest_silence(route: routing.Route) -> float:
@@ -162,4 +162,4 @@
     seconds = route.timeout
     if call.patience is not None:
         seconds = min(seconds, call.patience)
-    return call.request.received + seconds
+    return call.request.received_at + seconds
--- a/clementinepass/direct/catching_up.py
+++ b/clementinepass/direct/catching_up.py
@@ -239,7 +239,7 @@
         ).info('records taken from a peer')
 
 
-def _decompressed(fetched: pool.Fetched, peer: str) -> bytes:
+def _decompressed(fetched: pool.Answer, peer: str) -> bytes:
     """Return the body of an answer as it was before it was compressed.
 
     :raises MalformedMessageError: it can't be.
--- a/clementinepass/direct/leaving.py
+++ b/clementinepass/direct/leaving.py
@@ -58,15 +58,15 @@
         plan = self._departure.begin(loop.time())
         self._peers.phase = members.Phase.LEAVING
         self._peers.speak()
-        self._front.leaving = True
+        self._front.is_draining = True
         self._path.end_by(plan.last_answer_at)
         logger.bind(
             connections=len(self._front.connections),
-            open=self._front.busy(),
+            open=self._front.busy_count(),
             lists_end=round(plan.lists_expire_at - plan.started_at, 3),
             last=round(plan.last_answer_at - plan.started_at, 3),
         ).info('leaving')
-        while not plan.may_end(loop.time(), self._front.busy()):
+        while not plan.may_end(loop.time(), self._front.busy_count()):
             await asyncio.sleep(_LOOK_SECONDS)
         self._front.stop_listening()
         for _ in range(_LAST_LOOKS):
@@ -75,7 +75,7 @@
             await asyncio.sleep(_LOOK_SECONDS)
         logger.bind(
             seconds=round(loop.time() - plan.started_at, 3),
-            open=self._front.busy(),
+            open=self._front.busy_count(),
             taken=self._departure.taken,
             refused=self._departure.refused,
         ).info('stopped')
--- a/clementinepass/direct/path.py
+++ b/clementinepass/direct/path.py
@@ -101,7 +101,7 @@
         admitted = self._admit(call, reply)
         if admitted is None:
             return
-        since = self._departure.since(request.received)
+        since = self._departure.since(request.received_at)
         if since is not None:
             self._log.taken_while_leaving(admitted, since)
         timeout = asyncio.timeout_at(admitted.final_at)
@@ -311,11 +311,11 @@
     ) -> None:
         """Give the final answer to a request that has none."""
         reply = admitted.reply
-        if reply.done:
+        if reply.is_done:
             return
-        if reply.begun:
+        if reply.is_started:
             self._log.ended(admitted, ending, 0)
-            reply.break_off()
+            reply.abort()
             return
         if admitted.failure is not None:
             failure = admitted.failure
@@ -351,7 +351,7 @@
     """
     left = admitted.final_at - now
     is_stream = admitted.route.kind is routing.RouteKind.STREAM
-    if not is_stream or admitted.reply.begun:
+    if not is_stream or admitted.reply.is_started:
         return left
     by = calls.first_event_by(admitted.call, admitted.route)
     return min(left, by - now - _FIRST_EVENT_SECONDS)
--- a/clementinepass/direct/peer_source.py
+++ b/clementinepass/direct/peer_source.py
@@ -36,7 +36,7 @@
     @property
     def last_received_at(self) -> float:
         """Return the monotonic seconds at which a byte of it last came."""
-        return self._pool.heard
+        return self._pool.last_received_at
 
     async def manifest(
         self,
@@ -114,7 +114,7 @@
         response = await self._request(target, seconds)
         return response.body if response.status == _OK else None
 
-    async def _request(self, target: str, seconds: float) -> pool.Fetched:
+    async def _request(self, target: str, seconds: float) -> pool.Answer:
         request = messages.request_bytes(
             b'GET',
             target.encode(),
--- a/clementinepass/direct/placing.py
+++ b/clementinepass/direct/placing.py
@@ -63,7 +63,7 @@
         seconds, though an engine is there after half a second.
         """
         loop = asyncio.get_running_loop()
-        until = admitted.call.request.received + _LOADING_SECONDS
+        until = admitted.call.request.received_at + _LOADING_SECONDS
         endpoint = self.place(admitted)
         while endpoint is None and loop.time() < until:
             if self._cluster.candidates(admitted.service, loop.time()):
@@ -186,7 +186,7 @@
             slots=choice.slots,
             prompt_tokens=admitted.call.prompt_tokens,
             latency_target=admitted.route.aim,
-            elapsed_seconds=now - admitted.call.request.received,
+            elapsed_seconds=now - admitted.call.request.received_at,
         )
         return first_event.meets_target(wish, pace)
 
--- a/clementinepass/direct/request_log.py
+++ b/clementinepass/direct/request_log.py
@@ -251,7 +251,7 @@
     def answered(self, admitted: serving.Serving) -> None:
         """Tell of a whole answer."""
         self._endings.inc({'ending': 'answered'})
-        received = admitted.call.request.received
+        received = admitted.call.request.received_at
         seconds = _now() - received
         labels = {'route': admitted.route.kind.value}
         self._whole.observe(labels, seconds)
@@ -326,9 +326,9 @@
         logger.bind(
             request=admitted.call.id,
             since=round(since, 3),
-            connected_for=round(request.received - request.connected, 3),
+            connected_for=round(request.received_at - request.connected_at, 3),
             number=request.number,
-            left=round(admitted.final_at - request.received, 3),
+            left=round(admitted.final_at - request.received_at, 3),
         ).info('taken while leaving')
 
 
@@ -342,16 +342,16 @@
     With these a caller that gave up is told from one that left of its own
     accord, and whose silence it was that it gave up on.
     """
-    received = admitted.call.request.received
+    received = admitted.call.request.received_at
     first = admitted.first_event_at
-    written = admitted.reply.written_at
+    written = admitted.reply.last_written_at
     patience = None
     if admitted.route.kind is routing.RouteKind.STREAM:
         patience = calls.longest_silence(admitted.route)
     return {
         'seconds': round(now - received, 3),
         'left': round(admitted.final_at - now, 3),
-        'events': admitted.reply.pieces,
+        'events': admitted.reply.written_chunks,
         'first': None if first is None else round(first - received, 3),
         'waited': round(now - (written or received), 3),
         'patience': patience,
@@ -376,7 +376,7 @@
     if outcome in _CUT and endpoint.loading:
         return serving.Outcome.LOADING
     silent = outcome is serving.Outcome.SILENT
-    if silent and not admitted.reply.begun and _now() >= admitted.begin_by:
+    if silent and not admitted.reply.is_started and _now() >= admitted.begin_by:
         return serving.Outcome.TOO_OLD
     return outcome
 
--- a/clementinepass/direct/serving.py
+++ b/clementinepass/direct/serving.py
@@ -191,7 +191,7 @@
         """Return whose time it is that is over at ``final_at``."""
         if self.ends_early:
             return Ending.LEAVING
-        if self.reply.blocked:
+        if self.reply.is_blocked:
             return Ending.SLOW_READER
         patience = self.call.patience
         if patience is not None and patience <= self.route.timeout:
@@ -215,7 +215,7 @@
             return None
         since = self.begun_at
         if self.channel is not None:
-            since = max(since, self.channel.heard)
+            since = max(since, self.channel.last_received_at)
         return now - since
 
     @property
--- a/clementinepass/direct/uplink.py
+++ b/clementinepass/direct/uplink.py
@@ -64,7 +64,7 @@
         :param pairs: headers that say what else there is here.
         """
         async with self._lock:
-            reply.begin(_OK, headers)
+            reply.start(_OK, headers)
             for start in range(0, len(piece), _PART_BYTES):
                 part = piece[start : start + _PART_BYTES]
                 reply.write(part)
--- a/clementinepass/endpoints/answers.py
+++ b/clementinepass/endpoints/answers.py
@@ -252,7 +252,7 @@
         self._line.close()
 
     def _parts(self) -> Iterator[bytes]:
-        pieces = http_bodies.pieces(self._response)
+        pieces = http_bodies.iter_body(self._response)
         while piece := self._next_piece(pieces):
             part = self._reader.feed(piece)
             if part:
--- a/clementinepass/http/endings.py
+++ b/clementinepass/http/endings.py
@@ -35,7 +35,7 @@
     NOT_KNOWN = 'not_known'
 
 
-def by_error(error: Exception | None) -> End:
+def classify_error(error: Exception | None) -> End:
     """Return why a connection ended that this process did not end."""
     if isinstance(error, ConnectionError):
         return End.CALLER_RESET
--- a/clementinepass/http/front.py
+++ b/clementinepass/http/front.py
@@ -16,7 +16,7 @@
 
 #: Seconds between lines on input that was refused. Each connection can cause
 #: one, and whoever sends garbage would crowd out the lines of requests.
-_TOLD_EACH = 1.0
+_LOG_INTERVAL_SECONDS = 1.0
 
 
 class Front:
@@ -27,13 +27,13 @@
     """
 
     __slots__ = (
-        '_refused',
+        '_refused_count',
         '_server',
-        '_told_at',
+        '_logged_at',
         'bounds',
         'connections',
         'handler',
-        'leaving',
+        'is_draining',
     )
 
     def __init__(
@@ -46,10 +46,10 @@
         #: The connections that are open.
         self.connections: set[connection.Connection] = set()
         #: Whether answers tell callers to use the connection no more.
-        self.leaving = False
+        self.is_draining = False
         self._server: asyncio.Server | None = None
-        self._refused = 0
-        self._told_at = -math.inf
+        self._refused_count = 0
+        self._logged_at = -math.inf
 
     async def listen(self, host: str, port: int) -> int:
         """Listen and return the port that was bound."""
@@ -70,29 +70,33 @@
 
     def close_idle(self) -> int:
         """End the connections without a request; return how many remain."""
-        for one in list(self.connections):
-            if one.idle:
-                one.close()
+        for open_connection in list(self.connections):
+            if open_connection.is_idle:
+                open_connection.close_for_shutdown()
         return len(self.connections)
 
-    def busy(self) -> int:
+    def busy_count(self) -> int:
         """Return how many connections have a request in progress."""
-        return sum(not one.idle for one in self.connections)
+        return sum(
+            not open_connection.is_idle for open_connection in self.connections
+        )
 
-    def refused_input(self, status: int) -> None:
+    def report_refused_input(self, status: int) -> None:
         """Tell of input that is no request to serve, in bounded number."""
-        self._refused += 1
+        self._refused_count += 1
         now = asyncio.get_running_loop().time()
-        if now - self._told_at < _TOLD_EACH:
+        if now - self._logged_at < _LOG_INTERVAL_SECONDS:
             return
-        logger.bind(status=status, refused=self._refused).info('input refused')
-        self._told_at = now
-        self._refused = 0
+        logger.bind(status=status, refused=self._refused_count).info(
+            'input refused'
+        )
+        self._logged_at = now
+        self._refused_count = 0
 
     async def close(self) -> None:
         """End all connections at once."""
         self.stop_listening()
-        for one in list(self.connections):
-            one.cut()
+        for open_connection in list(self.connections):
+            open_connection.abort_for_shutdown()
         with contextlib.suppress(asyncio.CancelledError):
             await asyncio.sleep(0)
--- a/clementinepass/http/messages.py
+++ b/clementinepass/http/messages.py
@@ -55,35 +55,35 @@
         """
         if self._by_name is None:
             self._by_name = {}
-            for own_name, field in self.pairs:
-                self._by_name.setdefault(own_name.lower(), field)
+            for pair_name, field in self.pairs:
+                self._by_name.setdefault(pair_name.lower(), field)
         return self._by_name.get(name)
 
     def count(self, name: bytes) -> int:
         """Tell how often a header stands there."""
-        return sum(own_name.lower() == name for own_name, _ in self.pairs)
+        return sum(pair_name.lower() == name for pair_name, _ in self.pairs)
 
     def tokens(self, name: bytes) -> frozenset[bytes]:
         """Return the comma-separated tokens of all headers of a name."""
         return frozenset(
             token.strip().lower()
-            for own_name, field in self.pairs
-            if own_name.lower() == name
+            for pair_name, field in self.pairs
+            if pair_name.lower() == name
             for token in field.split(b',')
         )
 
-    def end_to_end(self, dropped: frozenset[bytes]) -> list[Pair]:
+    def end_to_end(self, excluded: frozenset[bytes]) -> list[Pair]:
         """Return the headers to pass on.
 
-        :param dropped: further names, in lower case, to leave out.
+        :param excluded: further names, in lower case, to leave out.
         """
-        named = self.tokens(b'connection')
+        connection_names = self.tokens(b'connection')
         return [
             pair
             for pair in self.pairs
             if pair[0].lower() not in HOP_BY_HOP
-            and pair[0].lower() not in dropped
-            and pair[0].lower() not in named
+            and pair[0].lower() not in excluded
+            and pair[0].lower() not in connection_names
         ]
 
 
@@ -92,12 +92,12 @@
 
     __slots__ = (
         'body',
-        'connected',
+        'connected_at',
         'headers',
         'is_last',
         'method',
         'number',
-        'received',
+        'received_at',
         'target',
     )
 
@@ -107,10 +107,10 @@
         target: bytes,
         headers: Headers,
         body: bytes,
-        received: float,
+        received_at: float,
         *,
         is_last: bool = False,
-        connected: float = 0,
+        connected_at: float = 0,
         number: int = 1,
     ) -> None:
         self.method = method
@@ -119,12 +119,12 @@
         self.headers = headers
         self.body = body
         #: Monotonic seconds at which its head was whole.
-        self.received = received
+        self.received_at = received_at
         #: Whether the caller wants the connection to end after it.
         self.is_last = is_last
         #: Monotonic seconds at which its connection was opened, and its number
         #: there, from 1.
-        self.connected = connected
+        self.connected_at = connected_at
         self.number = number
 
     @property
--- a/clementinepass/http/replies.py
+++ b/clementinepass/http/replies.py
@@ -9,7 +9,7 @@
     from clementinepass.http import endings, messages
 
 
-class Wire(typing.Protocol):
+class ReplyConnection(typing.Protocol):
     """What a reply needs of its connection."""
 
     def write_head(self, status: int, pairs: list[messages.Pair]) -> None:
@@ -26,10 +26,10 @@
         """Return why the connection ended."""
 
     @property
-    def blocked(self) -> bool:
+    def is_blocked(self) -> bool:
         """Tell whether the caller has yet to read what was written."""
 
-    async def writable(self) -> None:
+    async def wait_writable(self) -> None:
         """Wait until there is room for more."""
 
 
@@ -38,25 +38,25 @@
 
     __slots__ = (
         '_connection',
-        'begun',
-        'done',
-        'pieces',
+        'is_started',
+        'is_done',
+        'written_chunks',
         'status',
-        'written_at',
+        'last_written_at',
     )
 
-    def __init__(self, connection: Wire) -> None:
+    def __init__(self, connection: ReplyConnection) -> None:
         self._connection = connection
         #: Whether the head went out.
-        self.begun = False
+        self.is_started = False
         #: Whether the answer is whole, or broken off for good.
-        self.done = False
+        self.is_done = False
         #: The status sent; 0 before that.
         self.status = 0
         #: Pieces of the body that went out.
-        self.pieces = 0
+        self.written_chunks = 0
         #: Monotonic seconds at which the last of them did.
-        self.written_at: float | None = None
+        self.last_written_at: float | None = None
 
     def send(
         self,
@@ -65,30 +65,30 @@
         body: bytes,
     ) -> None:
         """Send a whole answer."""
-        self.begun = True
-        self.done = True
+        self.is_started = True
+        self.is_done = True
         self.status = status
         framed = [*pairs, (b'Content-Length', b'%d' % len(body))]
         self._connection.write_head(status, framed)
         if body:
             self._connection.write(body)
 
-    def begin(self, status: int, pairs: list[messages.Pair]) -> None:
+    def start(self, status: int, pairs: list[messages.Pair]) -> None:
         """Send the head of an answer whose length isn't known yet."""
-        self.begun = True
+        self.is_started = True
         self.status = status
         framed = [*pairs, (b'Transfer-Encoding', b'chunked')]
         self._connection.write_head(status, framed)
 
     def write(self, payload: bytes) -> None:
         """Send one piece of the body."""
-        self.pieces += 1
-        self.written_at = asyncio.get_running_loop().time()
+        self.written_chunks += 1
+        self.last_written_at = asyncio.get_running_loop().time()
         self._connection.write(b'%x\r\n%b\r\n' % (len(payload), payload))
 
     def end(self) -> None:
         """Send the mark by which the caller knows the answer to be whole."""
-        self.done = True
+        self.is_done = True
         self._connection.write(b'0\r\n\r\n')
 
     @property
@@ -97,15 +97,15 @@
         return self._connection.ending
 
     @property
-    def blocked(self) -> bool:
+    def is_blocked(self) -> bool:
         """Tell whether the caller reads too slowly for more to be sent."""
-        return self._connection.blocked
+        return self._connection.is_blocked
 
-    def break_off(self) -> None:
+    def abort(self) -> None:
         """End the connection, so that the answer can't be taken for whole."""
-        self.done = True
+        self.is_done = True
         self._connection.abort()
 
-    async def writable(self) -> None:
+    async def wait_writable(self) -> None:
         """Wait until the caller has read most of what was sent."""
-        await self._connection.writable()
+        await self._connection.wait_writable()
--- a/clementinepass/http_bodies.py
+++ b/clementinepass/http_bodies.py
@@ -9,10 +9,10 @@
 
     import urllib3
 
-_PIECE = 65536
+_READ_BYTES = 65536
 #: A piece of a chunk is awaited whole, so that small pieces keep the moments
 #: at which a reader looks at the clock close together.
-_CHUNK_PIECE = 4096
+_CHUNK_READ_BYTES = 4096
 
 
 def has_end(response: urllib3.BaseHTTPResponse) -> bool:
@@ -24,14 +24,16 @@
     return response.chunked or response.length_remaining is not None
 
 
-def pieces(response: urllib3.BaseHTTPResponse) -> Iterator[bytes]:
+def iter_body(response: urllib3.BaseHTTPResponse) -> Iterator[bytes]:
     """Yield a body piece by piece as it arrives.
 
     :raises urllib3.exceptions.HTTPError: the body was cut short, or fell
         silent.
     """
     if response.chunked:
-        yield from response.read_chunked(_CHUNK_PIECE, decode_content=False)
+        yield from response.read_chunked(
+            _CHUNK_READ_BYTES, decode_content=False
+        )
         return
-    while piece := response.read1(_PIECE, decode_content=False):
+    while piece := response.read1(_READ_BYTES, decode_content=False):
         yield piece
--- a/clementinepass/lifecycle.py
+++ b/clementinepass/lifecycle.py
@@ -18,29 +18,29 @@
     from collections.abc import Awaitable, Callable
 
 #: Exit code after a second SIGTERM, as a shell reports it.
-_EXIT_AT_ONCE = 128 + signal.SIGTERM
+_EXIT_CODE_SIGTERM = 128 + signal.SIGTERM
 
 
 class Lifecycle:
     """Run until SIGTERM, then drain.
 
     :param path: the settings file, for reading the log level anew.
-    :param end: ends the process at once, with an exit code.
+    :param exit_process: ends the process at once, with an exit code.
     """
 
     def __init__(
         self,
         path: pathlib.Path,
-        end: Callable[[int], object] = os._exit,
+        exit_process: Callable[[int], object] = os._exit,
     ) -> None:
         self._path = path
-        self._end = end
-        self._stopping = asyncio.Event()
-        self._terminated = False
+        self._exit_process = exit_process
+        self._stop_requested = asyncio.Event()
+        self._is_terminated = False
 
     def stop(self) -> None:
         """Begin to drain, or go on with it, as told by the command."""
-        self._stopping.set()
+        self._stop_requested.set()
 
     def terminate(self) -> None:
         """Take a SIGTERM: drain on the first, end at once on the second.
@@ -49,11 +49,11 @@
         one SIGTERM after a drain command ended the process and cut off the
         answers in progress.
         """
-        if self._terminated:
+        if self._is_terminated:
             logger.bind(step='stop').warning('ending at once')
-            self._end(_EXIT_AT_ONCE)
-        self._terminated = True
-        self._stopping.set()
+            self._exit_process(_EXIT_CODE_SIGTERM)
+        self._is_terminated = True
+        self._stop_requested.set()
 
     async def run(
         self,
@@ -62,19 +62,19 @@
     ) -> None:
         """Do the work until told to stop, then drain and end."""
         self._install()
-        working = asyncio.ensure_future(work)
-        stopping = asyncio.ensure_future(self._stopping.wait())
+        work_task = asyncio.ensure_future(work)
+        stop_task = asyncio.ensure_future(self._stop_requested.wait())
         await asyncio.wait(
-            {working, stopping},
+            {work_task, stop_task},
             return_when=asyncio.FIRST_COMPLETED,
         )
-        if working.done():
-            working.result()
+        if work_task.done():
+            work_task.result()
             return
         await drain()
-        working.cancel()
+        work_task.cancel()
         with contextlib.suppress(asyncio.CancelledError):
-            await working
+            await work_task
 
     def _install(self) -> None:
         loop = asyncio.get_running_loop()
--- a/clementinepass/machines.py
+++ b/clementinepass/machines.py
@@ -31,10 +31,10 @@
 
 _EXIT_BAD_SETTINGS = 2
 #: Seconds between looks whether the settings file has changed.
-_LOOK_SECONDS = 2.0
+_POLL_SECONDS = 2.0
 #: Objects made between collections of garbage. The defaults collect some ten
 #: times a second under load; what is made at start is never collected.
-_COLLECT_EVERY = 20000
+_GC_THRESHOLD = 20000
 
 
 def main() -> None:
@@ -42,103 +42,105 @@
     lines = output.Output()
     lines.install()
     try:
-        own = node_settings.read(os.environ[node_settings.VARIABLE])
+        local_node = node_settings.read(os.environ[node_settings.VARIABLE])
     except (KeyError, errors.SettingsError) as error:
         logger.bind(step='start').critical('no settings: {}', error)
         lines.flush()
         sys.exit(_EXIT_BAD_SETTINGS)
     try:
-        asyncio.run(_run(sys.argv[1], own))
+        asyncio.run(_run(sys.argv[1], local_node))
     finally:
         lines.flush()
 
 
-async def _run(role: str, own: node.Node) -> None:
+async def _run(role: str, local_node: node.Node) -> None:
     path = pathlib.Path(os.environ[node_settings.VARIABLE])
-    following = asyncio.create_task(
-        background.keep_running(lambda: _follow_settings(path, own)),
+    settings_watcher = asyncio.create_task(
+        background.keep_running(lambda: _watch_settings(path, local_node)),
     )
     try:
-        await (_entry(own) if role == 'entry' else _agent(own))
+        await (_entry(local_node) if role == 'entry' else _agent(local_node))
     finally:
-        following.cancel()
+        settings_watcher.cancel()
 
 
-async def _follow_settings(path: pathlib.Path, own: node.Node) -> None:
+async def _watch_settings(path: pathlib.Path, local_node: node.Node) -> None:
     """Read the settings anew when told to, and when the file has changed.
 
     The platform changes them with a signal and without one. Without a
     handler the signal would end the process, and all that it serves.
     """
     loop = asyncio.get_running_loop()
-    told = asyncio.Event()
-    loop.add_signal_handler(signal.SIGHUP, told.set)
-    written = _written(path)
+    reload_requested = asyncio.Event()
+    loop.add_signal_handler(signal.SIGHUP, reload_requested.set)
+    modified_at_ns = _modified_at_ns(path)
     while True:
         with contextlib.suppress(TimeoutError):
-            async with asyncio.timeout(_LOOK_SECONDS):
-                await told.wait()
-        if told.is_set() or _written(path) != written:
-            told.clear()
-            written = _written(path)
-            _reload(path, own)
+            async with asyncio.timeout(_POLL_SECONDS):
+                await reload_requested.wait()
+        if reload_requested.is_set() or _modified_at_ns(path) != modified_at_ns:
+            reload_requested.clear()
+            modified_at_ns = _modified_at_ns(path)
+            _reload(path, local_node)
 
 
-def _written(path: pathlib.Path) -> int:
+def _modified_at_ns(path: pathlib.Path) -> int:
     try:
         return path.stat().st_mtime_ns
     except OSError:
         return 0
 
 
-def _reload(path: pathlib.Path, own: node.Node) -> None:
+def _reload(path: pathlib.Path, local_node: node.Node) -> None:
     try:
         newer = node_settings.read(str(path))
     except errors.SettingsError as error:
         logger.bind(step='reload').error('settings stay as they are: {}', error)
         return
-    changed = own.duties.take(newer.duties)
+    changed = local_node.duties.take(newer.duties)
     logger.bind(step='reload', changed=changed).info('settings read')
 
 
-async def _entry(own: node.Node) -> None:
+async def _entry(local_node: node.Node) -> None:
     from clementinepass.direct import entry  # noqa: PLC0415
     from clementinepass.platform import dialect, directory  # noqa: PLC0415
 
     boundary = entry.Boundary(
-        store=store.HttpStore(own.store),
+        store=store.HttpStore(local_node.store),
         dialect=dialect.HeaderDialect(),
-        spelling=directory.DirectorySpelling(),
+        spelling=directory.HttpDirectory(),
         readers=_readers(),
     )
-    registry_of_metrics = aioprometheus.Registry()
+    metrics_registry = aioprometheus.Registry()
     process = entry.Entry(
-        own,
+        local_node,
         boundary,
-        registry_of_metrics,
+        metrics_registry,
         random.Random(),
     )
-    shown = exposition.Exposition(registry_of_metrics, process.gauges.update)
-    await shown.listen(own.ip)
-    _settle()
+    metrics = exposition.Exposition(metrics_registry, process.gauges.update)
+    await metrics.listen(local_node.ip)
+    _tune_garbage_collector()
     await process.run()
 
 
-async def _agent(own: node.Node) -> None:
+async def _agent(local_node: node.Node) -> None:
     from clementinepass.direct import agent  # noqa: PLC0415
     from clementinepass.platform import engine  # noqa: PLC0415
 
     boundary = agent.Boundary(
-        store=store.HttpStore(own.store),
-        engine=engine.HttpEngine(own.endpoint),
+        store=store.HttpStore(local_node.store),
+        engine=engine.HttpEngine(local_node.endpoint),
         origin=engine.HttpOrigin,
         readers=_readers(),
     )
-    registry_of_metrics = aioprometheus.Registry()
-    process = agent.Agent(own, boundary, registry_of_metrics, random.Random())
-    shown = exposition.Exposition(registry_of_metrics, process.gauges.update)
-    await shown.listen(own.ip)
-    _settle()
+    metrics_registry = aioprometheus.Registry()
+    process = agent.Agent(
+        local_node, boundary, metrics_registry, random.Random()
+    )
+    metrics = exposition.Exposition(metrics_registry, process.gauges.update)
+    await metrics.listen(local_node.ip)
+    _tune_garbage_collector()
     await process.run()
 
 
@@ -146,11 +148,11 @@
     return intake.Readers(operator=operator.read, endpoint=registry.read)
 
 
-def _settle() -> None:
+def _tune_garbage_collector() -> None:
     """Set garbage collection to how these processes make objects."""
     gc.collect()
     gc.freeze()
-    gc.set_threshold(_COLLECT_EVERY, 20, 20)
+    gc.set_threshold(_GC_THRESHOLD, 20, 20)
 
 
 if __name__ == '__main__':
--- a/clementinepass/platform/decoding.py
+++ b/clementinepass/platform/decoding.py
@@ -12,21 +12,21 @@
 from clementinepass.wire import addresses
 
 #: Characters of an error that are kept: it may quote what was sent.
-_LONGEST_ERROR = 200
+_MAX_ERROR_LENGTH = 200
 #: Ids and names go into request heads, heartbeats and lines of the log.
 _ID = re.compile('[!-~]{1,128}')
 _IP_VERSION = 4
-_LARGEST_COUNT = 2**31 - 1
-_LARGEST_WHOLE = 2**63 - 1
+_MAX_INT32 = 2**31 - 1
+_MAX_INT64 = 2**63 - 1
 
 #: A number that counts things, from nothing on.
-Count = typing.Annotated[int, msgspec.Meta(ge=0, le=_LARGEST_COUNT)]
+Count = typing.Annotated[int, msgspec.Meta(ge=0, le=_MAX_INT32)]
 #: A whole number that is at least one.
-Positive = typing.Annotated[int, msgspec.Meta(ge=1, le=_LARGEST_COUNT)]
+Positive = typing.Annotated[int, msgspec.Meta(ge=1, le=_MAX_INT32)]
 #: A whole number that keeps growing.
-Growing = typing.Annotated[int, msgspec.Meta(ge=0, le=_LARGEST_WHOLE)]
+Counter = typing.Annotated[int, msgspec.Meta(ge=0, le=_MAX_INT64)]
 #: Milliseconds of Unix time.
-Moment = typing.Annotated[int, msgspec.Meta(ge=1, le=_LARGEST_WHOLE)]
+UnixMilliseconds = typing.Annotated[int, msgspec.Meta(ge=1, le=_MAX_INT64)]
 #: Layers of a model; heartbeats carry 16 bits of them.
 LayerNumber = typing.Annotated[int, msgspec.Meta(ge=0, le=65535)]
 Name = typing.Annotated[str, msgspec.Meta(min_length=1, max_length=200)]
@@ -34,7 +34,7 @@
 _T = typing.TypeVar('_T')
 
 
-def decode(payload: bytes, kind: type[_T], step: str, peer: str) -> _T:
+def decode(payload: bytes, body_type: type[_T], step: str, peer: str) -> _T:
     """Decode JSON of any origin.
 
     Failure: a record nested a hundred thousand deep in a field that nobody
@@ -44,9 +44,9 @@
     :raises MalformedMessageError: it is something else.
     """
     try:
-        return msgspec.json.decode(payload, type=kind)
+        return msgspec.json.decode(payload, type=body_type)
     except (msgspec.MsgspecError, RecursionError) as error:
-        raise malformed(str(error), step, peer) from error
+        raise malformed_error(str(error), step, peer) from error
 
 
 def check_id(text: str, step: str) -> None:
@@ -55,7 +55,7 @@
     :raises MalformedMessageError: it isn't short and printable.
     """
     if _ID.fullmatch(text) is None:
-        raise malformed(f'{text!r} is no id', step, 'id')
+        raise malformed_error(f'{text!r} is no id', step, 'id')
 
 
 def check_address(text: str, step: str) -> None:
@@ -65,25 +65,25 @@
         of version 4, of one machine.
     """
     try:
-        found = addresses.Address.from_text(text)
+        address = addresses.Address.from_text(text)
     except errors.MalformedMessageError as error:
-        raise malformed(error.detail, step, 'address') from error
-    number = ipaddress.ip_address(found.host)
-    is_one = not (
+        raise malformed_error(error.detail, step, 'address') from error
+    number = ipaddress.ip_address(address.host)
+    is_unicast = not (
         number.is_unspecified or number.is_multicast or number.is_reserved
     )
-    if number.version != _IP_VERSION or not is_one:
-        raise malformed(f'{text!r} is no machine', step, 'address')
+    if number.version != _IP_VERSION or not is_unicast:
+        raise malformed_error(f'{text!r} is no machine', step, 'address')
 
 
-def malformed(
+def malformed_error(
     detail: str,
     step: str,
     peer: str,
 ) -> errors.MalformedMessageError:
     """Return an error of bounded length."""
     return errors.MalformedMessageError(
-        detail[:_LONGEST_ERROR],
+        detail[:_MAX_ERROR_LENGTH],
         step=step,
-        peer=peer[:_LONGEST_ERROR],
+        peer=peer[:_MAX_ERROR_LENGTH],
     )
--- a/clementinepass/platform/dialect.py
+++ b/clementinepass/platform/dialect.py
@@ -34,11 +34,11 @@
 _INSTANCE_NAME = b'x-instance-id'
 _MISDIRECTED = 421
 _SUCCESS = range(200, 300)
-_EVENTS = b'text/event-stream'
-_LONGEST_ID = 200
-_PRIVATE = frozenset((_KEY_NAME,))
+_EVENT_STREAM = b'text/event-stream'
+_MAX_ID_LENGTH = 200
+_PRIVATE_HEADERS = frozenset((_KEY_NAME,))
 #: Headers that the system sets itself, whatever the caller sent.
-_SET_HERE = frozenset(
+_OVERWRITTEN_HEADERS = frozenset(
     (
         _KEY_NAME,
         _DEADLINE_NAME,
@@ -64,35 +64,42 @@
         :raises BadCallError: it has no id, or one of its numbers is none.
         """
         headers = request.headers
-        name = headers.get(_ID_NAME) or b''
-        if not 0 < len(name) <= _LONGEST_ID or headers.count(_ID_NAME) != 1:
+        call_id = headers.get(_ID_NAME) or b''
+        if (
+            not 0 < len(call_id) <= _MAX_ID_LENGTH
+            or headers.count(_ID_NAME) != 1
+        ):
             raise calls.BadCallError('a request needs one id')
         try:
-            return self._named(name.decode('latin-1'), request)
+            return self._decode_call(call_id.decode('latin-1'), request)
         except calls.BadCallError as error:
-            error.request_id = name.decode('latin-1')
+            error.request_id = call_id.decode('latin-1')
             raise
 
-    def _named(self, name: str, request: messages.Request) -> calls.Call:
+    def _decode_call(
+        self, call_id: str, request: messages.Request
+    ) -> calls.Call:
         headers = request.headers
-        prompt, answer = _usage(headers.get(_USAGE_NAME))
+        prompt, answer = _parse_usage(headers.get(_USAGE_NAME))
         return calls.Call(
-            id=name,
+            id=call_id,
             request=request,
             host=headers.get(b'host') or b'',
             key=headers.get(_KEY_NAME) or b'',
-            patience=_number(headers.get(_DEADLINE_NAME), _seconds),
+            patience=_parse_number(headers.get(_DEADLINE_NAME), _parse_seconds),
             prompt_tokens=prompt,
             answer_tokens=answer,
-            resume_after=_number(headers.get(_RESUME_NAME), _event_id),
+            resume_after=_parse_number(
+                headers.get(_RESUME_NAME), _parse_event_id
+            ),
         )
 
     def attempt(self, call: calls.Call, sending: calls.Sending) -> bytes:
         """Return the request for an endpoint as it goes on the wire."""
         request = call.request
-        pairs = request.headers.end_to_end(_SET_HERE)
-        left = max(int(sending.seconds * _MS), 1)
-        pairs.append((_DEADLINE, b'%d' % left))
+        pairs = request.headers.end_to_end(_OVERWRITTEN_HEADERS)
+        remaining_ms = max(int(sending.seconds * _MS), 1)
+        pairs.append((_DEADLINE, b'%d' % remaining_ms))
         pairs.append((_EXPECT_INSTANCE, sending.endpoint_id.encode()))
         pairs.append((_URGENCY, b'%d' % sending.urgency))
         if sending.team:
@@ -118,8 +125,8 @@
         content_type = headers.get(b'content-type') or b''
         return calls.AnswerFacts(
             verdict=_verdict(call, head),
-            is_stream=content_type.lower().startswith(_EVENTS),
-            pairs=headers.end_to_end(_PRIVATE),
+            is_stream=content_type.lower().startswith(_EVENT_STREAM),
+            pairs=headers.end_to_end(_PRIVATE_HEADERS),
             instance=(headers.get(_INSTANCE_NAME) or b'').decode('latin-1'),
         )
 
@@ -132,22 +139,24 @@
 
 def _verdict(call: calls.Call, head: messages.AnswerHead) -> calls.Verdict:
     headers = head.headers
-    echoed = headers.get(_ID_NAME)
-    if echoed is not None and echoed != call.id.encode('latin-1'):
+    echoed_id = headers.get(_ID_NAME)
+    if echoed_id is not None and echoed_id != call.id.encode('latin-1'):
         return calls.Verdict.FOREIGN
     if head.status == _MISDIRECTED:
         return calls.Verdict.MISDIRECTED
     if headers.get(_NOT_RUN_NAME) is not None:
         return calls.Verdict.NOT_RUN
-    encoded = headers.get(b'content-encoding') not in {None, b'identity'}
-    if echoed is None or encoded or headers.get(_STAMP_NAME) is None:
+    is_encoded = headers.get(b'content-encoding') not in {None, b'identity'}
+    if echoed_id is None or is_encoded or headers.get(_STAMP_NAME) is None:
         return calls.Verdict.SPOILED
     if head.status in _SUCCESS:
         return calls.Verdict.SUCCESS
     return calls.Verdict.FAILURE
 
 
-def _number(field: bytes | None, read: Callable[[bytes], _T]) -> _T | None:
+def _parse_number(
+    field: bytes | None, parse: Callable[[bytes], _T]
+) -> _T | None:
     """Read a number, if there is one.
 
     :raises BadCallError: there is something else.
@@ -155,25 +164,25 @@
     if field is None:
         return None
     try:
-        return read(field)
+        return parse(field)
     except ValueError as error:
         raise calls.BadCallError('a header holds no number') from error
 
 
-def _seconds(field: bytes) -> float:
+def _parse_seconds(field: bytes) -> float:
     seconds = float(field) / _MS
     if not math.isfinite(seconds) or seconds < 0:
         raise ValueError(field)
     return seconds
 
 
-def _event_id(field: bytes) -> int:
+def _parse_event_id(field: bytes) -> int:
     if not field.isdigit():
         raise ValueError(field)
     return int(field)
 
 
-def _usage(field: bytes | None) -> tuple[int, int]:
+def _parse_usage(field: bytes | None) -> tuple[int, int]:
     """Return tokens to read and to write; zeros where it isn't said.
 
     An estimate of the load only, so that a strange one refuses nobody.
--- a/clementinepass/platform/directory.py
+++ b/clementinepass/platform/directory.py
@@ -18,7 +18,7 @@
 _UNAVAILABLE = 503
 _JSON = [(b'Content-Type', b'application/json')]
 #: Addresses in one answer; callers take no more.
-_MOST_ADDRESSES = 64
+_MAX_ADDRESSES = 64
 
 
 class _Resolved(msgspec.Struct, rename='camel'):
@@ -28,7 +28,7 @@
     ttl_s: float = msgspec.field(name='ttlS')
 
 
-class DirectorySpelling:
+class HttpDirectory:
     """Speak the two questions' protocol."""
 
     __slots__ = ()
@@ -51,6 +51,6 @@
 
     def _resolve(self, offers: directory.Offers, reply: replies.Reply) -> None:
         now = asyncio.get_running_loop().time()
-        found = offers.offered(now)[:_MOST_ADDRESSES]
-        resolved = _Resolved(found, offers.told(now))
+        addresses = offers.offered(now)[:_MAX_ADDRESSES]
+        resolved = _Resolved(addresses, offers.told(now))
         reply.send(_OK, _JSON, msgspec.json.encode(resolved))
--- a/clementinepass/platform/engine.py
+++ b/clementinepass/platform/engine.py
@@ -17,19 +17,19 @@
 _GONE = 410
 #: Seconds for a call to the engine beside; it answers in a millisecond, and
 #: later when the machine is slow.
-_LOCAL_SECONDS = 2.0
+_ENGINE_TIMEOUT_SECONDS = 2.0
 #: Seconds for a piece from the origin: a sixth of a second when half its link
 #: is free, and many times that when its link is narrow.
-_ORIGIN_SECONDS = 2.5
-_MANIFEST_SECONDS = 1.5
+_PIECE_TIMEOUT_SECONDS = 2.5
+_MANIFEST_TIMEOUT_SECONDS = 1.5
 _T = typing.TypeVar('_T')
 
 
-class _Camel(msgspec.Struct, rename='camel'):
+class _CamelStruct(msgspec.Struct, rename='camel'):
     """A body in the engines' spelling; unknown fields are passed over."""
 
 
-class _Report(_Camel):
+class _Report(_CamelStruct):
     """All that is needed must be there.
 
     Failure: a report without its fields read as that of an engine that holds
@@ -46,21 +46,21 @@
     queued: decoding.Count
     layers: registry.Layers | list[registry.Layers] | None = None
     #: Milliseconds of Unix time at its start; older engines don't tell it.
-    born: decoding.Moment | msgspec.UnsetType = msgspec.UNSET
+    born: decoding.UnixMilliseconds | msgspec.UnsetType = msgspec.UNSET
 
 
-class _Held(_Camel):
+class _StagedPieces(_CamelStruct):
     #: Numbers of the pieces that lie staged.
     held: list[decoding.Count]
 
 
-class _Manifest(_Camel):
+class _Manifest(_CamelStruct):
     model: decoding.Name
     version: decoding.Positive
     digests: list[str]
 
 
-class _Order(_Camel):
+class _Order(_CamelStruct):
     op: str
     model: str
     version: int
@@ -72,28 +72,28 @@
     fencing_token: int
 
 
-class _Caller:
+class _Client:
     """Exchange whole messages with one address."""
 
     __slots__ = ('_address', '_pool')
 
-    def __init__(self, address: str, most: int) -> None:
+    def __init__(self, address: str, max_connections: int) -> None:
         self._address = address
-        self._pool = pool.Pool.from_address(address, most)
+        self._pool = pool.Pool.from_address(address, max_connections)
 
     @property
-    def heard(self) -> float:
+    def last_received_at(self) -> float:
         """Return the monotonic seconds at which a byte of it last came."""
-        return self._pool.heard
+        return self._pool.last_received_at
 
     async def call(
         self,
         method: bytes,
         target: str,
         body: bytes = b'',
-        seconds: float = _LOCAL_SECONDS,
+        seconds: float = _ENGINE_TIMEOUT_SECONDS,
         content_type: bytes = b'application/json',
-    ) -> pool.Fetched:
+    ) -> pool.Answer:
         """Return the answer.
 
         :raises PeerUnavailableError: there is none.
@@ -111,7 +111,7 @@
                 peer=self._address,
             ) from error
 
-    def check(self, fetched: pool.Fetched, step: str) -> None:
+    def check(self, fetched: pool.Answer, step: str) -> None:
         """Raise an error for any answer but success.
 
         :raises PeerUnavailableError: the answer is something else.
@@ -125,15 +125,15 @@
 
     def decode(
         self,
-        fetched: pool.Fetched,
-        kind: type[_T],
+        fetched: pool.Answer,
+        body_type: type[_T],
         step: str,
     ) -> _T:
         """Decode a body.
 
         :raises MalformedMessageError: it is something else.
         """
-        return decoding.decode(fetched.body, kind, step, self._address)
+        return decoding.decode(fetched.body, body_type, step, self._address)
 
 
 class HttpEngine:
@@ -142,26 +142,26 @@
     :param address: ``host:port`` of the engine.
     """
 
-    __slots__ = ('_caller',)
+    __slots__ = ('_client',)
 
     def __init__(self, address: str) -> None:
-        self._caller = _Caller(address, most=4)
+        self._client = _Client(address, max_connections=4)
 
     async def report(self) -> weights.EngineReport:
         """Return the engine's state.
 
         :raises PeerUnavailableError: it doesn't answer.
         """
-        fetched = await self._caller.call(b'GET', '/api/report')
-        self._caller.check(fetched, 'report')
-        report = self._caller.decode(fetched, _Report, 'report')
+        fetched = await self._client.call(b'GET', '/api/report')
+        self._client.check(fetched, 'report')
+        report = self._client.decode(fetched, _Report, 'report')
         return weights.EngineReport(
-            registry.weights(report.models, report.layers),
+            registry.loaded_weights(report.models, report.layers),
             report.busy,
             report.sequence,
             report.active,
             report.queued,
-            registry.started(report.born),
+            registry.start_time(report.born),
         )
 
     async def staged_numbers(self, model: str) -> frozenset[int]:
@@ -169,25 +169,27 @@
 
         :raises PeerUnavailableError: the engine doesn't answer.
         """
-        fetched = await self._caller.call(b'GET', f'/api/stage-get/{model}')
+        fetched = await self._client.call(b'GET', f'/api/stage-get/{model}')
         if fetched.status == _NOT_FOUND:
             return frozenset()
-        self._caller.check(fetched, 'list what is staged')
-        held = self._caller.decode(fetched, _Held, 'list what is staged')
-        return frozenset(held.held)
+        self._client.check(fetched, 'list what is staged')
+        staged = self._client.decode(
+            fetched, _StagedPieces, 'list what is staged'
+        )
+        return frozenset(staged.held)
 
     async def stage(self, model: str, number: int, piece: bytes) -> None:
         """Stage a piece, in place of what lies there.
 
         :raises PeerUnavailableError: the engine doesn't answer.
         """
-        fetched = await self._caller.call(
+        fetched = await self._client.call(
             b'PUT',
             f'/api/stage-put/{model}?num={number}',
             piece,
             content_type=b'application/octet-stream',
         )
-        self._caller.check(fetched, 'stage')
+        self._client.check(fetched, 'stage')
 
     async def staged_piece(self, model: str, number: int) -> bytes | None:
         """Return a staged piece as it is now; ``None`` if there is none.
@@ -195,10 +197,10 @@
         :raises PeerUnavailableError: the engine doesn't answer.
         """
         target = f'/api/stage-get/{model}?num={number}'
-        fetched = await self._caller.call(b'GET', target)
+        fetched = await self._client.call(b'GET', target)
         if fetched.status == _NOT_FOUND:
             return None
-        self._caller.check(fetched, 'read what is staged')
+        self._client.check(fetched, 'read what is staged')
         return fetched.body
 
     async def load(
@@ -217,7 +219,7 @@
         )
         body = msgspec.json.encode(order)
         try:
-            fetched = await self._caller.call(b'POST', '/api/order', body)
+            fetched = await self._client.call(b'POST', '/api/order', body)
         except errors.PeerUnavailableError:
             return weights.OrderResult.UNKNOWN
         if fetched.status == _ACCEPTED:
@@ -233,15 +235,15 @@
     :param address: ``host:port``.
     """
 
-    __slots__ = ('_caller',)
+    __slots__ = ('_client',)
 
     def __init__(self, address: str) -> None:
-        self._caller = _Caller(address, most=4)
+        self._client = _Client(address, max_connections=4)
 
     @property
     def last_received_at(self) -> float:
         """Return the monotonic seconds at which a byte of it last came."""
-        return self._caller.heard
+        return self._client.last_received_at
 
     async def manifest(
         self,
@@ -254,15 +256,15 @@
         :raises MalformedMessageError: it answers with something else.
         """
         target = f'/api/manifest/{model}?version={version}'
-        fetched = await self._caller.call(
+        fetched = await self._client.call(
             b'GET',
             target,
-            seconds=_MANIFEST_SECONDS,
+            seconds=_MANIFEST_TIMEOUT_SECONDS,
         )
         if fetched.status in {_GONE, _NOT_FOUND}:
             return None
-        self._caller.check(fetched, 'manifest')
-        manifest = self._caller.decode(fetched, _Manifest, 'manifest')
+        self._client.check(fetched, 'manifest')
+        manifest = self._client.decode(fetched, _Manifest, 'manifest')
         return weights.Manifest(
             manifest.model,
             manifest.version,
@@ -289,12 +291,12 @@
         :raises PeerUnavailableError: the origin doesn't answer.
         """
         target = f'/api/piece/{model}?num={number}&version={version}'
-        fetched = await self._caller.call(
+        fetched = await self._client.call(
             b'GET',
             target,
-            seconds=_ORIGIN_SECONDS,
+            seconds=_PIECE_TIMEOUT_SECONDS,
         )
         if fetched.status in {_GONE, _NOT_FOUND}:
             return weights.Piece(None)
-        self._caller.check(fetched, 'piece')
+        self._client.check(fetched, 'piece')
         return weights.Piece(fetched.body, seconds=fetched.seconds)
--- a/clementinepass/platform/instance_list.py
+++ b/clementinepass/platform/instance_list.py
@@ -59,19 +59,19 @@
         reply = self._transport.exchange('GET', '/v1/instances', step=_STEP)
         answer = self._transport.decode(reply, InstancesAnswer, _STEP)
         instances_by_id = {
-            instance.id: self._checked(instance)
+            instance.id: self._validated(instance)
             for instance in answer.instances
         }
         if len(instances_by_id) != len(answer.instances):
-            raise self._transport.malformed(_STEP, 'an id stands twice')
+            raise self._transport.malformed_error(_STEP, 'an id stands twice')
         return tuple(instances_by_id.values())
 
-    def _checked(self, instance: InstanceAnswer) -> protocols.Instance:
+    def _validated(self, instance: InstanceAnswer) -> protocols.Instance:
         """Check an instance's addresses and return it."""
-        wanted = [instance.address]
+        texts = [instance.address]
         if instance.role is protocols.Role.ENTRY and instance.callers_address:
-            wanted.append(instance.callers_address)
-        for address in wanted:
+            texts.append(instance.callers_address)
+        for address in texts:
             self._check_address(instance.id, address)
         return msgspec.convert(
             instance,
@@ -84,4 +84,4 @@
             addresses.Address.from_text(address)
         except errors.MalformedMessageError as error:
             detail = f'instance {instance_id}: no address: {address!r}'
-            raise self._transport.malformed(_STEP, detail) from error
+            raise self._transport.malformed_error(_STEP, detail) from error
--- a/clementinepass/platform/log_service.py
+++ b/clementinepass/platform/log_service.py
@@ -16,7 +16,7 @@
 _GONE = 410
 _MS_PER_SECOND = 1000
 #: By how much a page shrinks that was too long.
-_FEWER = 4
+_LIMIT_DIVISOR = 4
 
 
 class AppendBody(msgspec.Struct, frozen=True):
@@ -122,7 +122,7 @@
                 # get past it. Reading has no effect, so fewer are asked for.
                 if count <= 1:
                     raise
-                count = max(1, count // _FEWER)
+                count = max(1, count // _LIMIT_DIVISOR)
 
     def _read_page(
         self,
@@ -145,7 +145,7 @@
             expected=frozenset((200, _GONE)),
         )
         if reply.status == _GONE:
-            raise self._expired(reply, offset)
+            raise self._expired_error(reply, offset)
         answer = self._transport.decode(reply, ReadAnswer, 'read')
         self._check_page(answer, offset, limit)
         return protocols.RecordPage(
@@ -158,7 +158,7 @@
             ),
         )
 
-    def _expired(
+    def _expired_error(
         self,
         reply: transport.Reply,
         offset: int,
@@ -167,7 +167,7 @@
         # A reader begins again at the oldest offset; one that isn't above
         # the offset asked for would send it round in a circle.
         if answer.oldest <= offset:
-            return self._transport.malformed('read', 'expired, yet kept')
+            return self._transport.malformed_error('read', 'expired, yet kept')
         return errors.RecordsExpiredError(
             step='read',
             peer=self._transport.peer,
@@ -178,7 +178,9 @@
         """Check that each record has an offset, and that they grow."""
         ordered = sorted(set(offsets))
         if len(offsets) != count or ordered != list(offsets) or ordered[0] < 0:
-            raise self._transport.malformed('append', 'offsets do not fit')
+            raise self._transport.malformed_error(
+                'append', 'offsets do not fit'
+            )
 
     def _check_page(
         self,
@@ -195,11 +197,11 @@
         offsets = [record.offset for record in page.records]
         contiguous = list(range(offset, offset + count))
         if offsets != contiguous or page.next_offset != offset + count:
-            raise self._transport.malformed('read', 'offsets do not fit')
+            raise self._transport.malformed_error('read', 'offsets do not fit')
         if count > limit or not 0 <= page.oldest <= page.end:
-            raise self._transport.malformed('read', 'page does not fit')
+            raise self._transport.malformed_error('read', 'page does not fit')
         if count and (offset < page.oldest or page.end < page.next_offset):
-            raise self._transport.malformed('read', 'page does not fit')
+            raise self._transport.malformed_error('read', 'page does not fit')
 
 
 def _records_path(stream: str) -> str:
--- a/clementinepass/platform/node_settings.py
+++ b/clementinepass/platform/node_settings.py
@@ -18,11 +18,11 @@
 _STEP = 'read settings'
 
 
-class _Camel(msgspec.Struct, rename='camel'):
+class _CamelStruct(msgspec.Struct, rename='camel'):
     """A table in the platform's spelling; unknown fields are passed over."""
 
 
-class _Listen(_Camel):
+class _Listen(_CamelStruct):
     #: Callers' requests.
     front: str = ''
     #: The platform's question whether the process is ready.
@@ -47,16 +47,16 @@
     ttl_max_s: float = 5
 
 
-class _Platform(_Camel):
+class _Platform(_CamelStruct):
     address: str
 
 
-class _Limits(_Camel):
+class _Limits(_CamelStruct):
     #: What the machine's link carries.
     link_mbps: float = 1000
 
 
-class _Settings(_Camel):
+class _Settings(_CamelStruct):
     node_name: str
     ip: str
     zone: str
--- a/clementinepass/platform/operator.py
+++ b/clementinepass/platform/operator.py
@@ -26,16 +26,16 @@
 }
 
 
-class _Camel(msgspec.Struct, rename='camel'):
+class _CamelStruct(msgspec.Struct, rename='camel'):
     """A body in the operator's spelling; unknown fields are passed over."""
 
 
-class _Backend(_Camel):
+class _Backend(_CamelStruct):
     service: str
     weight: float = 1
 
 
-class _Route(_Camel):
+class _Route(_CamelStruct):
     name: str
     host: str
     path_prefix: str
@@ -54,11 +54,11 @@
     gap_target_ms: float = 0
 
 
-class _EngineModel(_Camel):
+class _EngineModel(_CamelStruct):
     name: str
 
 
-class _Usual(_Camel):
+class _Usual(_CamelStruct):
     prompt: float = 0
     answer: float = 0
 
@@ -78,7 +78,7 @@
     usual: _Usual | None = None
 
 
-class _Service(_Camel):
+class _Service(_CamelStruct):
     name: str
     max_conns: decoding.Positive = 64
     engine: _Engine | None = None
@@ -87,28 +87,28 @@
     link_mbps: float = 0
 
 
-class _Limits(_Camel):
+class _Limits(_CamelStruct):
     max_header_bytes: int = 16384
     max_body_bytes: int = 4194304
     header_timeout_ms: float = 3000
     idle_timeout_ms: float = 15000
 
 
-class _Tenant(_Camel):
+class _Tenant(_CamelStruct):
     name: str
     api_keys: list[str] = []
     priority: int = 0
 
 
-class _Config(_Camel):
-    version: decoding.Growing
+class _Config(_CamelStruct):
+    version: decoding.Counter
     routes: list[_Route] = []
     services: list[_Service] = []
     limits: _Limits | None = None
     tenants: list[_Tenant] | None = None
 
 
-class _Version(_Camel):
+class _Version(_CamelStruct):
     model: decoding.Name
     version: decoding.Positive
 
@@ -127,8 +127,8 @@
         config = decoding.decode(record.payload, _Config, _STEP, peer)
         return _routing(config)
     if record.key.startswith(_VERSION_PREFIX):
-        named = decoding.decode(record.payload, _Version, _STEP, peer)
-        return intake.NamedVersion(named.model, named.version)
+        desired = decoding.decode(record.payload, _Version, _STEP, peer)
+        return intake.NamedVersion(desired.model, desired.version)
     return None
 
 
@@ -200,10 +200,10 @@
     )
 
 
-def _bounds(told: _Limits) -> limits.Bounds:
+def _bounds(bounds: _Limits) -> limits.Bounds:
     return limits.Bounds(
-        header_bytes=told.max_header_bytes,
-        body_bytes=told.max_body_bytes,
-        header_seconds=told.header_timeout_ms / _MS,
-        idle_seconds=told.idle_timeout_ms / _MS,
+        header_bytes=bounds.max_header_bytes,
+        body_bytes=bounds.max_body_bytes,
+        header_seconds=bounds.header_timeout_ms / _MS,
+        idle_seconds=bounds.idle_timeout_ms / _MS,
     )
--- a/clementinepass/platform/registry.py
+++ b/clementinepass/platform/registry.py
@@ -21,14 +21,14 @@
 _STEP = 'decode'
 _DRAINING = 'draining'
 #: An address is an IP number, a colon and a port.
-_LONGEST_ADDRESS = 21
+_MAX_ADDRESS_LENGTH = 21
 
 
-class _Camel(msgspec.Struct, rename='camel'):
+class _CamelStruct(msgspec.Struct, rename='camel'):
     """A body in the endpoints' spelling; unknown fields are passed over."""
 
 
-class Model(_Camel):
+class Model(_CamelStruct):
     name: decoding.Name
     version: decoding.Count = 0
 
@@ -41,17 +41,17 @@
     version: decoding.Count = 0
 
 
-class _Entry(_Camel):
+class _EndpointRecord(_CamelStruct):
     service: decoding.Name
-    address: typing.Annotated[str, msgspec.Meta(max_length=_LONGEST_ADDRESS)]
+    address: typing.Annotated[str, msgspec.Meta(max_length=_MAX_ADDRESS_LENGTH)]
     zone: decoding.Name
     slots: decoding.Positive
     state: typing.Literal['ready', 'draining']
     #: Grows with each heartbeat of one start; says nothing of orders, unlike
     #: the field of the same name in a report.
-    sequence: decoding.Growing
+    sequence: decoding.Counter
     #: Milliseconds of Unix time at its start; older writers don't tell it.
-    born: decoding.Moment | msgspec.UnsetType = msgspec.UNSET
+    born: decoding.UnixMilliseconds | msgspec.UnsetType = msgspec.UNSET
     models: list[Model] = []
     layers: Layers | list[Layers] | None = None
     #: Of no use here; of another type they show another writer.
@@ -67,35 +67,35 @@
     if record.payload is None:
         return None
     decoding.check_id(record.key, _STEP)
-    entry = decoding.decode(
+    endpoint = decoding.decode(
         record.payload,
-        _Entry,
+        _EndpointRecord,
         _STEP,
         f'endpoint record {record.key}',
     )
-    decoding.check_address(entry.address, _STEP)
+    decoding.check_address(endpoint.address, _STEP)
     return endpoints.Listing(
         id=record.key,
-        service=entry.service,
-        address=entry.address,
-        domain=entry.zone,
-        slots=entry.slots,
-        draining=entry.state == _DRAINING,
-        heartbeat=entry.sequence,
-        weights=weights(entry.models, entry.layers),
-        started=started(entry.born),
+        service=endpoint.service,
+        address=endpoint.address,
+        domain=endpoint.zone,
+        slots=endpoint.slots,
+        draining=endpoint.state == _DRAINING,
+        heartbeat=endpoint.sequence,
+        weights=loaded_weights(endpoint.models, endpoint.layers),
+        started=start_time(endpoint.born),
         written=record.offset,
     )
 
 
-def started(born: int | msgspec.UnsetType) -> int:
+def start_time(born: int | msgspec.UnsetType) -> int:
     """Return when a process started, as far as it tells."""
     if isinstance(born, msgspec.UnsetType):
         return incarnations.UNKNOWN_START
     return born
 
 
-def weights(
+def loaded_weights(
     models: list[Model],
     layers: Layers | list[Layers] | None,
 ) -> endpoints.Weights:
--- a/clementinepass/platform/store.py
+++ b/clementinepass/platform/store.py
@@ -24,20 +24,20 @@
 _OFFSET_BYTES = 8
 _MS = 1000
 _GONE = 410
-_TOO_MANY = 429
+_TOO_MANY_REQUESTS = 429
 _OK = 200
 #: Seconds for a read that doesn't wait. The store answers in milliseconds;
 #: eighty times that when it is slow.
-_ANSWER_SECONDS = 1.0
+_READ_TIMEOUT_SECONDS = 1.0
 #: Seconds beyond the time that a read waits until it is overdue. Less than the
 #: above: its connection may have fallen silent, and one more read finds out.
-_OVERDUE_SECONDS = 0.6
+_LONG_READ_GRACE_SECONDS = 0.6
 #: Seconds for a write or the newest records; a slow store needs most of it.
-_CALL_SECONDS = 2.5
+_CALL_TIMEOUT_SECONDS = 2.5
 _DEFAULT_RETRY_AFTER = 1.0
 
 
-class _NewestEntry(msgspec.Struct):
+class _NewestRecord(msgspec.Struct):
     """One record among the newest; its value in base64."""
 
     key: str
@@ -45,10 +45,10 @@
     value: str = ''
 
 
-class _NewestAnswer(msgspec.Struct, rename='camel'):
+class _NewestPage(msgspec.Struct, rename='camel'):
     """A page of the newest records; ``after`` its last key there is more."""
 
-    entries: list[_NewestEntry]
+    entries: list[_NewestRecord]
     end_offset: int
     has_more: bool = False
 
@@ -61,13 +61,13 @@
     :param address: the store's address, ``host:port``.
     """
 
-    __slots__ = ('_address', '_pool', 'calls')
+    __slots__ = ('_address', '_pool', 'call_count')
 
     def __init__(self, address: str) -> None:
         self._address = address
         self._pool = pool.Pool.from_address(address)
         #: Calls made so far.
-        self.calls = 0
+        self.call_count = 0
 
     async def newest(self, topic: records.Topic) -> records.Page:
         """Return the newest record of each key.
@@ -78,13 +78,13 @@
 
         :raises PlatformUnavailableError: the store did not answer.
         """
-        before = await self._newest_page(topic, '')
-        end = before.end_offset
+        first_page = await self._newest_page(topic, '')
+        end = first_page.end_offset
         after = ''
         found: list[records.Record] = []
         while True:
             answer = await self._newest_page(topic, after)
-            found.extend(map(_record, answer.entries))
+            found.extend(map(_decode_newest, answer.entries))
             if not (answer.has_more and answer.entries):
                 return records.Page(tuple(found), end, is_snapshot=True)
             after = answer.entries[-1].key
@@ -110,7 +110,9 @@
             'GET',
             'log-read',
             query,
-            seconds=wait + _OVERDUE_SECONDS if wait else _ANSWER_SECONDS,
+            seconds=wait + _LONG_READ_GRACE_SECONDS
+            if wait
+            else _READ_TIMEOUT_SECONDS,
         )
         if fetched.status == _GONE:
             raise errors.RecordsExpiredError(
@@ -120,9 +122,9 @@
             )
         self._check(fetched, 'read')
         try:
-            return _page(fetched.body, offset)
+            return _decode_page(fetched.body, offset)
         except (ValueError, IndexError) as error:
-            raise self._malformed('read', error) from error
+            raise self._malformed_error('read', error) from error
 
     async def put(
         self,
@@ -144,7 +146,7 @@
             'log-append',
             query,
             body=framed,
-            seconds=_CALL_SECONDS,
+            seconds=_CALL_TIMEOUT_SECONDS,
         )
         self._check(fetched, 'append')
 
@@ -152,7 +154,7 @@
         self,
         topic: records.Topic,
         after: str,
-    ) -> _NewestAnswer:
+    ) -> _NewestPage:
         query = {'topic': _NAME_BY_TOPIC[topic], 'part': 0}
         if after:
             query['after'] = after
@@ -160,12 +162,12 @@
             'GET',
             'log-newest',
             query,
-            seconds=_CALL_SECONDS,
+            seconds=_CALL_TIMEOUT_SECONDS,
         )
         self._check(fetched, 'newest')
         return decoding.decode(
             fetched.body,
-            _NewestAnswer,
+            _NewestPage,
             'newest',
             self._address,
         )
@@ -178,7 +180,7 @@
         *,
         seconds: float,
         body: bytes = b'',
-    ) -> pool.Fetched:
+    ) -> pool.Answer:
         target = f'/api/{call}?{urllib.parse.urlencode(query)}'
         request = messages.request_bytes(
             method.encode(),
@@ -186,7 +188,7 @@
             [(b'Host', self._address.encode())],
             body,
         )
-        self.calls += 1
+        self.call_count += 1
         try:
             return await pool.fetch(self._pool, request, seconds)
         except channel.ChannelBrokenError as error:
@@ -196,10 +198,10 @@
                 peer=self._address,
             ) from error
 
-    def _check(self, fetched: pool.Fetched, step: str) -> None:
+    def _check(self, fetched: pool.Answer, step: str) -> None:
         if fetched.status == _OK:
             return
-        if fetched.status == _TOO_MANY:
+        if fetched.status == _TOO_MANY_REQUESTS:
             raise errors.ThrottledError(
                 step=step,
                 peer=self._address,
@@ -211,7 +213,7 @@
             peer=self._address,
         )
 
-    def _malformed(self, step: str, error: Exception) -> Exception:
+    def _malformed_error(self, step: str, error: Exception) -> Exception:
         return errors.MalformedMessageError(
             str(error),
             step=step,
@@ -219,7 +221,7 @@
         )
 
 
-def _record(entry: _NewestEntry) -> records.Record:
+def _decode_newest(entry: _NewestRecord) -> records.Record:
     try:
         payload = base64.b64decode(entry.value)
     except ValueError:
@@ -229,35 +231,35 @@
     return records.Record(entry.key, entry.offset, payload or None)
 
 
-def _page(body: bytes, offset: int) -> records.Page:
+def _decode_page(body: bytes, offset: int) -> records.Page:
     """Read the end and the first offset, then the records from ``offset``."""
     position = 2 * _OFFSET_BYTES
     found = []
-    following = offset
+    next_offset = offset
     while position < len(body):
         length = int.from_bytes(
             body[position : position + _LENGTH_BYTES], 'big'
         )
         position += _LENGTH_BYTES
-        whole = body[position : position + length]
-        if len(whole) != length:
+        content = body[position : position + length]
+        if len(content) != length:
             raise ValueError('a record is cut short')
-        keyed = _keyed(whole, following)
-        if keyed is not None:
-            found.append(keyed)
+        record = _decode_record(content, next_offset)
+        if record is not None:
+            found.append(record)
         position += length
-        following += 1
-    return records.Page(tuple(found), following)
+        next_offset += 1
+    return records.Page(tuple(found), next_offset)
 
 
-def _keyed(whole: bytes, offset: int) -> records.Record | None:
+def _decode_record(content: bytes, offset: int) -> records.Record | None:
     """Read a record's key and value; ``None`` if there is no whole key.
 
     Failure: another writer's record had a key that isn't text. It made each
     read of the topic fail from then on, and no later record was seen.
     """
-    end = 1 + whole[0] if whole else 1
-    if len(whole) < end:
+    end = 1 + content[0] if content else 1
+    if len(content) < end:
         return None
-    key = whole[1:end].decode(errors='backslashreplace')
-    return records.Record(key, offset, whole[end:] or None)
+    key = content[1:end].decode(errors='backslashreplace')
+    return records.Record(key, offset, content[end:] or None)
--- a/clementinepass/platform/transport.py
+++ b/clementinepass/platform/transport.py
@@ -17,7 +17,7 @@
 _NOT_FOUND = 404
 _TOO_MANY_REQUESTS = 429
 _DEFAULT_RETRY_AFTER = 1.0
-_LONGEST_RETRY_AFTER = 3600.0
+_MAX_RETRY_AFTER = 3600.0
 _JSON_HEADERS = {'Content-Type': 'application/json'}
 
 
@@ -53,10 +53,10 @@
     body: bytes
 
 
-class _Patience:
+class _SlownessGuard:
     """Tell when an answer that is not silent has become too slow."""
 
-    __slots__ = ('_begun', '_clock', '_limits', '_wait')
+    __slots__ = ('_started_at', '_clock', '_limits', '_wait')
 
     def __init__(
         self,
@@ -67,14 +67,14 @@
         self._limits = limits
         self._clock = timer
         self._wait = wait
-        self._begun = timer.now()
+        self._started_at = timer.now()
 
-    def ended(self, received: int) -> bool:
+    def is_too_slow(self, received_bytes: int) -> bool:
         """Tell whether to give an answer up after so many bytes."""
-        elapsed = self._clock.now() - self._begun - self._wait
+        elapsed = self._clock.now() - self._started_at - self._wait
         if elapsed <= self._limits.total_timeout:
             return False
-        return received < elapsed * self._limits.least_rate
+        return received_bytes < elapsed * self._limits.least_rate
 
 
 class Transport:
@@ -128,27 +128,29 @@
         :raises MalformedMessageError: the answer has no end by which it could
             be told to be whole.
         """
-        patience = _Patience(self._limits, self._clock, wait)
+        slowness_guard = _SlownessGuard(self._limits, self._clock, wait)
         try:
             response = self._send(method, path, body, wait)
         except (
             urllib3.exceptions.NewConnectionError,
             urllib3.exceptions.ConnectTimeoutError,
         ) as error:
-            raise self._unavailable(error, step, sent=False) from error
+            raise self._unavailable_error(error, step, sent=False) from error
         except urllib3.exceptions.HTTPError as error:
-            raise self._unavailable(error, step) from error
+            raise self._unavailable_error(error, step) from error
         try:
-            content = self._read(response, step, patience)
+            content = self._read(response, step, slowness_guard)
         except urllib3.exceptions.HTTPError as error:
-            raise self._unavailable(error, step) from error
+            raise self._unavailable_error(error, step) from error
         finally:
             response.close()
         if response.status not in expected:
-            raise self._refusal(response, step)
+            raise self._status_error(response, step)
         return Reply(response.status, content)
 
-    def malformed(self, step: str, detail: str) -> errors.ClementinepassError:
+    def malformed_error(
+        self, step: str, detail: str
+    ) -> errors.ClementinepassError:
         """Return the error for an answer that contradicts the protocol."""
         return errors.MalformedMessageError(detail, step=step, peer=self.peer)
 
@@ -160,7 +162,7 @@
         try:
             return msgspec.json.decode(reply.body, type=answer_type)
         except (msgspec.MsgspecError, ValueError, RecursionError) as error:
-            raise self.malformed(step, str(error)) from error
+            raise self.malformed_error(step, str(error)) from error
 
     def _send(
         self,
@@ -191,33 +193,33 @@
         self,
         response: urllib3.BaseHTTPResponse,
         step: str,
-        patience: _Patience,
+        slowness_guard: _SlownessGuard,
     ) -> bytes:
         """Read a whole body within the limits of size and time."""
         if not http_bodies.has_end(response):
-            raise self.malformed(step, 'answer has no end mark')
+            raise self.malformed_error(step, 'answer has no end mark')
         # Without a limit a broken service could fill our memory: an instance
         # has little of it, and all that it runs would die with us.
         limit = self._limits.answer_bytes
         if (response.length_remaining or 0) > limit:
-            raise self._too_long(step)
+            raise self._too_long_error(step)
         content = bytearray()
-        for piece in http_bodies.pieces(response):
+        for piece in http_bodies.iter_body(response):
             content += piece
             if len(content) > limit:
-                raise self._too_long(step)
-            if patience.ended(len(content)):
-                raise self._unavailable('answer took too long', step)
+                raise self._too_long_error(step)
+            if slowness_guard.is_too_slow(len(content)):
+                raise self._unavailable_error('answer took too long', step)
         return bytes(content)
 
-    def _too_long(self, step: str) -> errors.MessageTooLongError:
+    def _too_long_error(self, step: str) -> errors.MessageTooLongError:
         return errors.MessageTooLongError(
             f'answer over {self._limits.answer_bytes} bytes',
             step=step,
             peer=self.peer,
         )
 
-    def _refusal(
+    def _status_error(
         self,
         response: urllib3.BaseHTTPResponse,
         step: str,
@@ -236,9 +238,9 @@
                 step=step,
                 peer=self.peer,
             )
-        return self._unavailable(detail, step)
+        return self._unavailable_error(detail, step)
 
-    def _unavailable(
+    def _unavailable_error(
         self,
         cause: object,
         step: str,
@@ -259,6 +261,6 @@
         seconds = float(header or '')
     except ValueError:
         return _DEFAULT_RETRY_AFTER
-    if not 0 <= seconds <= _LONGEST_RETRY_AFTER:
+    if not 0 <= seconds <= _MAX_RETRY_AFTER:
         return _DEFAULT_RETRY_AFTER
     return seconds
--- a/standins/direct_endpoint.py
+++ b/standins/direct_endpoint.py
@@ -159,7 +159,7 @@
         fault: Fault | None,
     ) -> None:
         if fault is Fault.LOST:
-            reply.break_off()
+            reply.abort()
         elif fault is Fault.MUTE:
             await asyncio.Event().wait()
         elif fault is Fault.ERROR:
@@ -178,7 +178,7 @@
         fault: Fault | None,
     ) -> None:
         pairs = self._marked(request, fault)
-        reply.begin(_OK, [*pairs, (b'Content-Type', b'text/event-stream')])
+        reply.start(_OK, [*pairs, (b'Content-Type', b'text/event-stream')])
         last = request.headers.get(b'last-event-id')
         first = 0 if last is None else int(last) + 1
         for number in range(first, self.events):
@@ -190,7 +190,7 @@
             if fault is Fault.CUT and number == 1:
                 reply.write(event[:-4])
                 await asyncio.sleep(0)
-                reply.break_off()
+                reply.abort()
                 return
             reply.write(event)
         reply.end()
--- a/standins/following_callers.py
+++ b/standins/following_callers.py
@@ -135,7 +135,7 @@
         used: channel.Channel,
         answer: int,
     ) -> _Attempt:
-        head = await used.answer_head()
+        head = await used.read_head()
         if head.headers.get(b'x-attempt-id') != name.encode():
             self.broken.append(f'MIXED {name}: the answer is of another')
         if head.status in _PROMISES:
--- a/standins/machines.py
+++ b/standins/machines.py
@@ -237,7 +237,7 @@
         boundary = entry.Boundary(
             store=store.HttpStore(own.store),
             dialect=dialect.HeaderDialect(),
-            spelling=directory.DirectorySpelling(),
+            spelling=directory.HttpDirectory(),
             readers=READERS,
         )
         one = entry.Entry(
--- a/standins/stepping_engine.py
+++ b/standins/stepping_engine.py
@@ -180,11 +180,11 @@
             if event is None:
                 break
             if not event:
-                reply.break_off()
+                reply.abort()
                 return
-            if not reply.begun:
+            if not reply.is_started:
                 pairs = [(b'Content-Type', b'text/event-stream')]
-                reply.begin(_OK, self._marked(request) + pairs)
+                reply.start(_OK, self._marked(request) + pairs)
             reply.write(b'id: %d\ndata: %d\n\n' % (number, number))
             number += 1
         reply.end()
--- a/standins/weights_origin.py
+++ b/standins/weights_origin.py
@@ -71,7 +71,7 @@
         number = int(query['num'])
         if self.left is not None:
             if self.left <= 0:
-                reply.break_off()
+                reply.abort()
                 return
             self.left -= 1
         self.sent += 1
--- a/tests/direct/path_world.py
+++ b/tests/direct/path_world.py
@@ -173,7 +173,7 @@
         target: str,
         body: bytes = b'body',
         **headers: str,
-    ) -> pool.Fetched:
+    ) -> pool.Answer:
         """Send a request as a caller and return the whole answer."""
         assert self._callers is not None
         return await pool.fetch(
--- a/tests/direct/test_path.py
+++ b/tests/direct/test_path.py
@@ -80,7 +80,7 @@
                 world.fail_first(*([fault] if fault else []))
                 used = await channel.Channel.connect(HOST, world.port, 5)
                 used.send(path_world.request('/once/a'))
-                head = await used.answer_head()
+                head = await used.read_head()
                 stamp = head.headers.get(b'x-server-stamp')
                 self.assertEqual(stamped, stamp is not None)
                 self.assertEqual(b'r-1', head.headers.get(b'x-attempt-id'))
@@ -95,7 +95,7 @@
             world.fail_first(Fault.CUT)
             used = await channel.Channel.connect(HOST, world.port, 5)
             used.send(path_world.request('/stream/a'))
-            head = await used.answer_head()
+            head = await used.read_head()
             first = next(one for one in world.endpoints if one.ran)
             self.assertEqual(
                 b'stamp-%b' % first.id.encode(),
@@ -420,7 +420,7 @@
             second = world.endpoints[1]
             world.listed(second, draining=True)
             connected = asyncio.Event()
-            take = pool.Pool.take
+            take = pool.Pool.acquire
 
             async def slow(peers: pool.Pool, **limits: float) -> object:
                 used = await take(peers, **limits)
@@ -428,7 +428,7 @@
                     await connected.wait()
                 return used
 
-            self.patch(pool.Pool, 'take', slow)
+            self.patch(pool.Pool, 'acquire', slow)
             asked = asyncio.create_task(world.ask('/once/a'))
             now = asyncio.get_running_loop().time
             while not world.cluster.in_flight_by_endpoint(now()):
@@ -459,7 +459,7 @@
                     weights=endpoints.Weights(2, 0, 0),
                 )
             asked = asyncio.create_task(world.ask('/plain/a'))
-            while not world.front.busy():
+            while not world.front.busy_count():
                 await asyncio.sleep(0)
             self.assertEqual([], world.came)
             world.listed(
--- a/tests/direct/test_piece_server.py
+++ b/tests/direct/test_piece_server.py
@@ -28,9 +28,9 @@
     def __init__(self, log: list[tuple[str, bytes]], name: str) -> None:
         self._log = log
         self._name = name
-        self.done = False
+        self.is_done = False
 
-    def begin(self, status: int, pairs: list[typing.Any]) -> None:
+    def start(self, status: int, pairs: list[typing.Any]) -> None:
         """Send the head."""
 
     def write(self, payload: bytes) -> None:
@@ -39,7 +39,7 @@
 
     def end(self) -> None:
         """Send the mark of the end."""
-        self.done = True
+        self.is_done = True
 
 
 class UplinkTest(testtools.TestCase):
@@ -75,7 +75,7 @@
             parts = [part for who, part in self.log if who == name]
             self.assertEqual(PIECE, b''.join(parts))
             self.assertLessEqual(max(map(len, parts)), len(PIECE) // 4)
-            self.assertTrue(reply.done)
+            self.assertTrue(reply.is_done)
 
     def test_one_at_a_time(self) -> None:
         """Two that ask at once get their pieces one after the other."""
--- a/tests/http/test_channel.py
+++ b/tests/http/test_channel.py
@@ -129,10 +129,10 @@
         peer = Peer(b'HTTP/1.1 200 OK\r\n\r\npart', resets=True)
 
         async def play(peers: pool.Pool) -> None:
-            used = await peers.take()
+            used = await peers.acquire()
             used.send(REQUEST)
             with testtools.ExpectedException(channel.ChannelBrokenError):
-                await used.answer_head()
+                await used.read_head()
                 await body_of(used)
 
         run(peer, play)
@@ -142,7 +142,7 @@
         peer = Peer(whole(b'abc')[:-1], ends=True)
 
         async def play(peers: pool.Pool) -> None:
-            used = await peers.take()
+            used = await peers.acquire()
             used.send(REQUEST)
             with testtools.ExpectedException(channel.ChannelBrokenError):
                 await body_of(used)
@@ -154,10 +154,10 @@
         peer = Peer(b'\x00\x01garbage\r\n\r\n')
 
         async def play(peers: pool.Pool) -> None:
-            used = await peers.take()
+            used = await peers.acquire()
             used.send(REQUEST)
             with testtools.ExpectedException(channel.ChannelBrokenError):
-                await used.answer_head()
+                await used.read_head()
 
         run(peer, play)
 
@@ -183,11 +183,11 @@
         peer = Peer(whole(b'theirs', b'other'), whole(b'ours', b'own'))
 
         async def play(peers: pool.Pool) -> None:
-            used = await peers.take()
+            used = await peers.acquire()
             used.send(REQUEST)
-            head = await used.answer_head()
+            head = await used.read_head()
             self.assertEqual(b'other', head.headers.get(b'x-name'))
-            following = asyncio.create_task(used.next_answer())
+            following = asyncio.create_task(used.skip_to_next_answer())
             await asyncio.sleep(0)
             used._transport.write(REQUEST)  # The peer's script goes on.
             head = await following
@@ -238,9 +238,9 @@
 
         async def play(peers: pool.Pool) -> None:
             await pool.fetch(peers, REQUEST, 5)
-            used = await peers.take(longest_idle=-1)
+            used = await peers.acquire(max_idle_seconds=-1)
             used.send(REQUEST)
-            await used.answer_head()
+            await used.read_head()
 
         run(peer, play)
         self.assertEqual(2, peer.connections)
@@ -251,9 +251,9 @@
 
         async def play(peers: pool.Pool) -> None:
             await pool.fetch(peers, REQUEST, 5)
-            used = await peers.take()
-            self.assertEqual(5, used.kept_for)
+            used = await peers.acquire()
+            self.assertEqual(5, used.keep_alive_seconds)
             used.abort()
-            peers.give_back(used)
+            peers.release(used)
 
         run(Peer(answer), play)
--- a/tests/http/test_front.py
+++ b/tests/http/test_front.py
@@ -240,7 +240,7 @@
         """A leaving front ends each connection with its next answer."""
 
         async def play(world: Served) -> None:
-            world.front.leaving = True
+            world.front.is_draining = True
             answer = await world.exchange(HEAD + b'\r\n')
             self.assertIn(b'Connection: close', answer)
             self.assertTrue(answer.endswith(b'GET/a'))
--- a/tests/observability/test_causes.py
+++ b/tests/observability/test_causes.py
@@ -283,8 +283,8 @@
     hold(world)
     await connected(world, '/stream/a')
     (one,) = world.front.connections
-    assert one._serving is not None
-    one._serving.cancel()
+    assert one._serve_task is not None
+    one._serve_task.cancel()
     await asyncio.sleep(0.01)
 
 
@@ -573,7 +573,7 @@
             (OSError(113, 'no route'), endings.End.TRANSPORT_FAULT),
             (None, endings.End.NOT_KNOWN),
         ):
-            self.assertEqual(end, endings.by_error(error))
+            self.assertEqual(end, endings.classify_error(error))
 
     def test_own_ends(self) -> None:
         """An end of ours is known as ours, and why we ended it."""
@@ -620,7 +620,7 @@
             for _ in range(5):
                 used = await channel.Channel.connect(HOST, world.port, 5)
                 used.send(b'\0\0\r\n\r\n')
-                self.assertEqual(400, (await used.answer_head()).status)
+                self.assertEqual(400, (await used.read_head()).status)
                 used.abort()
             late = await pool.fetch(
                 pool.Pool(HOST, world.port),
--- a/tests/observability/test_causes_mixed.py
+++ b/tests/observability/test_causes_mixed.py
@@ -100,7 +100,7 @@
         self._end(used)
 
     async def _read(self, used: channel.Channel) -> None:
-        self.status = (await used.answer_head()).status
+        self.status = (await used.read_head()).status
         while await used.read():
             """Read to the end."""
         self.whole = True
--- a/tests/platform/test_engine.py
+++ b/tests/platform/test_engine.py
@@ -18,7 +18,7 @@
     request: messages.Request,
     reply: replies.Reply,
 ) -> None:
-    reply.begin(200, [])
+    reply.start(200, [])
     reply.write(b'half')
     await asyncio.sleep(PAUSE)
     reply.write(b'half')
--- a/tests/platform/test_machines.py
+++ b/tests/platform/test_machines.py
@@ -558,7 +558,7 @@
     def test_answers(self) -> None:
         """Each question has its answer, anything else none."""
         offers = self.Offers()
-        handler = directory.DirectorySpelling().handler(offers)
+        handler = directory.HttpDirectory().handler(offers)
         sent: list[tuple[int, bytes]] = []
 
         class Reply:
--- a/tests/test_machines_daemon.py
+++ b/tests/test_machines_daemon.py
@@ -84,7 +84,7 @@
                 return found
 
 
-async def get(port: int, target: bytes) -> pool.Fetched:
+async def get(port: int, target: bytes) -> pool.Answer:
     """Ask the daemon."""
     request = messages.request_bytes(b'GET', target, [(b'Host', b'h')], b'')
     return await pool.fetch(pool.Pool(IP, port), request, 10)
