--- a/clementinepass/machines.py
+++ b/clementinepass/machines.py
@@ -97,7 +97,7 @@
     except errors.SettingsError as error:
         logger.bind(step='reload').error('settings stay as they are: {}', error)
         return
-    changed = local_node.duties.take(newer.duties)
+    changed = local_node.duties.update(newer.duties)
     logger.bind(step='reload', changed=changed).info('settings read')
 
 
@@ -105,10 +105,10 @@
     from clementinepass.direct import entry  # noqa: PLC0415
     from clementinepass.platform import dialect, directory  # noqa: PLC0415
 
-    boundary = entry.Boundary(
+    boundary = entry.PlatformAdapters(
         store=store.HttpStore(local_node.store),
         dialect=dialect.HeaderDialect(),
-        spelling=directory.HttpDirectory(),
+        directory_handlers=directory.HttpDirectory(),
         readers=_readers(),
     )
     metrics_registry = aioprometheus.Registry()
@@ -118,7 +118,7 @@
         metrics_registry,
         random.Random(),
     )
-    metrics = exposition.Exposition(metrics_registry, process.gauges.update)
+    metrics = exposition.MetricsServer(metrics_registry, process.gauges.update)
     await metrics.listen(local_node.ip)
     _tune_garbage_collector()
     await process.run()
@@ -138,7 +138,7 @@
     process = agent.Agent(
         local_node, boundary, metrics_registry, random.Random()
     )
-    metrics = exposition.Exposition(metrics_registry, process.gauges.update)
+    metrics = exposition.MetricsServer(metrics_registry, process.gauges.update)
     await metrics.listen(local_node.ip)
     _tune_garbage_collector()
     await process.run()
--- a/clementinepass/platform/dialect.py
+++ b/clementinepass/platform/dialect.py
@@ -58,10 +58,10 @@
 
     __slots__ = ()
 
-    def call(self, request: messages.Request) -> calls.Call:
+    def decode_request(self, request: messages.Request) -> calls.Call:
         """Decode a caller's request.
 
-        :raises BadCallError: it has no id, or one of its numbers is none.
+        :raises InvalidRequestError: it has no id, or one of its numbers is none.
         """
         headers = request.headers
         call_id = headers.get(_ID_NAME) or b''
@@ -69,10 +69,10 @@
             not 0 < len(call_id) <= _MAX_ID_LENGTH
             or headers.count(_ID_NAME) != 1
         ):
-            raise calls.BadCallError('a request needs one id')
+            raise calls.InvalidRequestError('a request needs one id')
         try:
             return self._decode_call(call_id.decode('latin-1'), request)
-        except calls.BadCallError as error:
+        except calls.InvalidRequestError as error:
             error.request_id = call_id.decode('latin-1')
             raise
 
@@ -86,7 +86,9 @@
             request=request,
             host=headers.get(b'host') or b'',
             key=headers.get(_KEY_NAME) or b'',
-            patience=_parse_number(headers.get(_DEADLINE_NAME), _parse_seconds),
+            timeout_seconds=_parse_number(
+                headers.get(_DEADLINE_NAME), _parse_seconds
+            ),
             prompt_tokens=prompt,
             answer_tokens=answer,
             resume_after=_parse_number(
@@ -94,20 +96,22 @@
             ),
         )
 
-    def attempt(self, call: calls.Call, sending: calls.Sending) -> bytes:
+    def encode_attempt(
+        self, call: calls.Call, parameters: calls.AttemptParameters
+    ) -> bytes:
         """Return the request for an endpoint as it goes on the wire."""
         request = call.request
         pairs = request.headers.end_to_end(_OVERWRITTEN_HEADERS)
-        remaining_ms = max(int(sending.seconds * _MS), 1)
+        remaining_ms = max(int(parameters.timeout_seconds * _MS), 1)
         pairs.append((_DEADLINE, b'%d' % remaining_ms))
-        pairs.append((_EXPECT_INSTANCE, sending.endpoint_id.encode()))
-        pairs.append((_URGENCY, b'%d' % sending.urgency))
-        if sending.team:
-            pairs.append((_TEAM, sending.team.encode()))
-        if sending.version:
-            pairs.append((_EXPECT_VERSION, b'%d' % sending.version))
-        if sending.resume_after is not None:
-            pairs.append((_RESUME, b'%d' % sending.resume_after))
+        pairs.append((_EXPECT_INSTANCE, parameters.endpoint_id.encode()))
+        pairs.append((_URGENCY, b'%d' % parameters.urgency))
+        if parameters.team:
+            pairs.append((_TEAM, parameters.team.encode()))
+        if parameters.version:
+            pairs.append((_EXPECT_VERSION, b'%d' % parameters.version))
+        if parameters.resume_after is not None:
+            pairs.append((_RESUME, b'%d' % parameters.resume_after))
         return messages.request_bytes(
             request.method,
             request.target,
@@ -115,22 +119,22 @@
             request.body,
         )
 
-    def answer(
+    def decode_head(
         self,
         call: calls.Call,
         head: messages.AnswerHead,
-    ) -> calls.AnswerFacts:
+    ) -> calls.DecodedHead:
         """Decode the head of an endpoint's answer."""
         headers = head.headers
         content_type = headers.get(b'content-type') or b''
-        return calls.AnswerFacts(
+        return calls.DecodedHead(
             verdict=_verdict(call, head),
             is_stream=content_type.lower().startswith(_EVENT_STREAM),
             pairs=headers.end_to_end(_PRIVATE_HEADERS),
             instance=(headers.get(_INSTANCE_NAME) or b'').decode('latin-1'),
         )
 
-    def refusal(self, call: calls.Call | None) -> list[messages.Pair]:
+    def refusal_headers(self, call: calls.Call | None) -> list[messages.Pair]:
         """Return the headers of an answer of the system's own."""
         if call is None:
             return []
@@ -141,14 +145,14 @@
     headers = head.headers
     echoed_id = headers.get(_ID_NAME)
     if echoed_id is not None and echoed_id != call.id.encode('latin-1'):
-        return calls.Verdict.FOREIGN
+        return calls.Verdict.OTHER_REQUEST
     if head.status == _MISDIRECTED:
         return calls.Verdict.MISDIRECTED
     if headers.get(_NOT_RUN_NAME) is not None:
         return calls.Verdict.NOT_RUN
     is_encoded = headers.get(b'content-encoding') not in {None, b'identity'}
     if echoed_id is None or is_encoded or headers.get(_STAMP_NAME) is None:
-        return calls.Verdict.SPOILED
+        return calls.Verdict.INVALID
     if head.status in _SUCCESS:
         return calls.Verdict.SUCCESS
     return calls.Verdict.FAILURE
@@ -159,14 +163,14 @@
 ) -> _T | None:
     """Read a number, if there is one.
 
-    :raises BadCallError: there is something else.
+    :raises InvalidRequestError: there is something else.
     """
     if field is None:
         return None
     try:
         return parse(field)
     except ValueError as error:
-        raise calls.BadCallError('a header holds no number') from error
+        raise calls.InvalidRequestError('a header holds no number') from error
 
 
 def _parse_seconds(field: bytes) -> float:
--- a/clementinepass/platform/registry.py
+++ b/clementinepass/platform/registry.py
@@ -83,8 +83,8 @@
         draining=endpoint.state == _DRAINING,
         heartbeat=endpoint.sequence,
         weights=loaded_weights(endpoint.models, endpoint.layers),
-        started=start_time(endpoint.born),
-        written=record.offset,
+        started_ms=start_time(endpoint.born),
+        record_offset=record.offset,
     )
 
 
