--- a/clementinepass/direct/attempt.py
+++ b/clementinepass/direct/attempt.py
@@ -116,8 +116,10 @@
         admitted.start_deadline = self._start_deadline(admitted, endpoint)
         is_repeatable = admitted.route.is_repeatable
         try:
-            connection = await connections.take(
-                longest_idle=math.inf if is_repeatable else _MAX_IDLE_SECONDS,
+            connection = await connections.acquire(
+                max_idle_seconds=math.inf
+                if is_repeatable
+                else _MAX_IDLE_SECONDS,
                 seconds=_CONNECT_TIMEOUT_SECONDS,
             )
         except channel.ChannelBrokenError as error:
@@ -145,7 +147,7 @@
             connection.abort()
             raise
         finally:
-            connections.give_back(connection)
+            connections.release(connection)
             if not self._has_pool(endpoint):
                 # It has started anew meanwhile: no more requests here.
                 connections.close()
@@ -173,13 +175,13 @@
         attempt.sent()
         connection.send(payload)
         async with _silence_timeout(admitted, connection):
-            head = await connection.answer_head()
+            head = await connection.read_head()
             decoded_head = self._dialect.decode_head(admitted.call, head)
             if decoded_head.verdict is calls.Verdict.OTHER_REQUEST:
                 logger.bind(request=admitted.call.id).warning(
                     'passed over the answer to another request',
                 )
-                head = await connection.next_answer()
+                head = await connection.skip_to_next_answer()
                 decoded_head = self._dialect.decode_head(admitted.call, head)
         if decoded_head.verdict is calls.Verdict.MISDIRECTED:
             attempt.refused()
@@ -246,7 +248,7 @@
                 status, decoded_head.pairs, body
             )
             return serving.AttemptResult.FAILED
-        if admitted.reply.begun:
+        if admitted.reply.is_started:
             raise channel.ChannelBrokenError('no stream', peer=connection.peer)
         admitted.first_event_at = asyncio.get_running_loop().time()
         admitted.reply.send(status, decoded_head.pairs, body)
@@ -263,17 +265,17 @@
     ) -> serving.AttemptResult:
         """Hand on whole events as they come."""
         reply = admitted.reply
-        endpoint.last_received_at = connection.heard
+        endpoint.last_received_at = connection.last_received_at
         while True:
             async with _silence_timeout(admitted, connection):
                 part = await connection.read()
-            endpoint.last_received_at = connection.heard
+            endpoint.last_received_at = connection.last_received_at
             if not part:
                 break
             for event in admitted.splitter.feed(part):
                 self._start_reply(admitted, decoded_head, status)
                 reply.write(event.payload)
-            await reply.writable()
+            await reply.wait_writable()
         if admitted.splitter.has_partial_event:
             raise events.StreamBrokenError('the last event is cut short')
         self._start_reply(admitted, decoded_head, status)
@@ -296,8 +298,8 @@
         old weights after their bound, since its caller had events already.
         """
         admitted.start_deadline = math.inf
-        if not admitted.reply.begun:
-            admitted.reply.begin(status, decoded_head.pairs)
+        if not admitted.reply.is_started:
+            admitted.reply.start(status, decoded_head.pairs)
             admitted.first_event_at = asyncio.get_running_loop().time()
 
     def _start_deadline(
@@ -384,7 +386,7 @@
         now = asyncio.get_running_loop().time()
         if result is serving.AttemptResult.ANSWERED:
             answered_at = admitted.first_event_at or now
-            seconds = answered_at - admitted.call.request.received
+            seconds = answered_at - admitted.call.request.received_at
             self._cluster.ejector.observe(endpoint.listing.id, seconds, now)
         elif (
             result is not serving.AttemptResult.NOT_RUN
@@ -419,7 +421,7 @@
     route = admitted.route
     if not route.is_repeatable or admitted.run_count >= route.max_runs:
         return math.inf
-    if admitted.reply.begun:
+    if admitted.reply.is_started:
         return now + route.max_event_gap + _EVENT_GAP_GRACE_SECONDS
     if route.kind is routing.RouteKind.STREAM:
         return now + route.latency_target + _FIRST_EVENT_GRACE_SECONDS
--- a/clementinepass/direct/calls.py
+++ b/clementinepass/direct/calls.py
@@ -143,7 +143,7 @@
 
 def first_event_deadline(call: Call, route: routing.Route) -> float:
     """Return the monotonic seconds until which a stream's caller waits."""
-    return call.request.received + max_event_wait(route)
+    return call.request.received_at + max_event_wait(route)
 
 
 def max_event_wait(route: routing.Route) -> float:
@@ -164,4 +164,4 @@
     seconds = route.timeout
     if call.timeout_seconds is not None:
         seconds = min(seconds, call.timeout_seconds)
-    return call.request.received + seconds
+    return call.request.received_at + seconds
--- a/clementinepass/direct/catching_up.py
+++ b/clementinepass/direct/catching_up.py
@@ -259,7 +259,7 @@
         ).info('records taken from a peer')
 
 
-def _decompress(fetched: pool.Fetched, peer: str) -> bytes:
+def _decompress(fetched: pool.Answer, peer: str) -> bytes:
     """Return the decompressed body of a response.
 
     :raises MalformedMessageError: the body is corrupt, truncated or too long.
--- a/clementinepass/direct/selection.py
+++ b/clementinepass/direct/selection.py
@@ -63,7 +63,9 @@
         seconds, though an engine is there after half a second.
         """
         loop = asyncio.get_running_loop()
-        wait_deadline = admitted.call.request.received + _LOADING_WAIT_SECONDS
+        wait_deadline = (
+            admitted.call.request.received_at + _LOADING_WAIT_SECONDS
+        )
         endpoint = self.select(admitted)
         while endpoint is None and loop.time() < wait_deadline:
             if self._cluster.candidates(admitted.service, loop.time()):
@@ -216,7 +218,7 @@
             slots=choice.slots,
             prompt_tokens=admitted.call.prompt_tokens,
             latency_target=admitted.route.latency_target,
-            elapsed_seconds=now - admitted.call.request.received,
+            elapsed_seconds=now - admitted.call.request.received_at,
         )
         return first_event.meets_target(queued_request, service_rate)
 
--- a/clementinepass/direct/serving.py
+++ b/clementinepass/direct/serving.py
@@ -191,7 +191,7 @@
         """Return whose time it is that is over at ``final_at``."""
         if self.is_cut_short_by_drain:
             return Ending.DRAINING
-        if self.reply.blocked:
+        if self.reply.is_blocked:
             return Ending.SLOW_READER
         caller_timeout = self.call.timeout_seconds
         if caller_timeout is not None and caller_timeout <= self.route.timeout:
@@ -215,7 +215,9 @@
             return None
         last_activity_at = self.attempt_started_at
         if self.channel is not None:
-            last_activity_at = max(last_activity_at, self.channel.heard)
+            last_activity_at = max(
+                last_activity_at, self.channel.last_received_at
+            )
         return now - last_activity_at
 
     @property
--- a/standins/machines.py
+++ b/standins/machines.py
@@ -239,7 +239,7 @@
         boundary = entry.PlatformAdapters(
             store=store.HttpStore(own.store),
             dialect=dialect.HeaderDialect(),
-            directory_handlers=directory.DirectorySpelling(),
+            directory_handlers=directory.HttpDirectory(),
             readers=READERS,
         )
         one = entry.Entry(
--- a/tests/platform/test_machines.py
+++ b/tests/platform/test_machines.py
@@ -562,7 +562,7 @@
     def test_answers(self) -> None:
         """Each question has its answer, anything else none."""
         offers = self.Offers()
-        handler = directory.DirectorySpelling().create_handler(offers)
+        handler = directory.HttpDirectory().create_handler(offers)
         sent: list[tuple[int, bytes]] = []
 
         class Reply:
