--- a/clementinepass/platform/dialect.py
+++ b/clementinepass/platform/dialect.py
@@ -61,7 +61,8 @@
     def decode_request(self, request: messages.Request) -> calls.Call:
         """Decode a caller's request.
 
-        :raises InvalidRequestError: it has no id, or one of its numbers is none.
+        :raises InvalidRequestError: the request does not have exactly one
+            valid id, or a header that should hold a number does not.
         """
         headers = request.headers
         call_id = headers.get(_ID_NAME) or b''
