--- a/clementinepass/direct/catching_up.py
+++ b/clementinepass/direct/catching_up.py
@@ -246,7 +246,7 @@
             # The peer has restarted since it announced its offset.
             logger.bind(peer=ip).info('records not fetched: the peer has none')
             return
-        new_records = (
+        new_count = (
             topic_follower.reapply(page)
             if from_start
             else topic_follower.apply(page, ip)
@@ -254,7 +254,7 @@
         logger.bind(
             peer=ip,
             topic=topic_follower.topic.value,
-            news=new_records,
+            news=new_count,
             offset=page.next_offset,
         ).info('records taken from a peer')
 
--- a/clementinepass/direct/cluster_state.py
+++ b/clementinepass/direct/cluster_state.py
@@ -221,7 +221,7 @@
             if endpoint.listing.address != status.address:
                 continue
             self._update_congestion(endpoint, status, now)
-            if _is_current(endpoint, status.started):
+            if _is_current(endpoint, status.started_ms):
                 self._update_weights(endpoint, status)
 
     def update_engine_load(
@@ -229,7 +229,9 @@
     ) -> None:
         """Apply an agent's report on the load of its engine."""
         for endpoint in self.endpoints.at_ip(ip):
-            if endpoint.weights.version and _is_current(endpoint, load.started):
+            if endpoint.weights.version and _is_current(
+                endpoint, load.started_ms
+            ):
                 endpoint.reported_load.update(load.active, load.queued, now)
 
     def _update_weights(
@@ -238,7 +240,7 @@
         status: heartbeats.EngineStatus,
     ) -> None:
         endpoint.weights_started_ms = (
-            status.started or endpoint.weights_started_ms
+            status.started_ms or endpoint.weights_started_ms
         )
         weights = endpoints.Weights(status.version, status.first, status.end)
         if weights == endpoint.weights:
--- a/clementinepass/direct/entry.py
+++ b/clementinepass/direct/entry.py
@@ -132,7 +132,9 @@
 
     def listed_addresses(self, now: float) -> list[str]:
         """Return the callers' addresses of entries to use."""
-        addresses = [member.callers for member in self.peers.members.ready(now)]
+        addresses = [
+            member.callers_address for member in self.peers.members.ready(now)
+        ]
         if self.is_ready:
             addresses.append(self._local_node.callers)
         return addresses or self._draining_addresses(now)
@@ -148,7 +150,7 @@
         draining_members = self.peers.members.recently_draining(
             now, offer_seconds
         )
-        addresses = [member.callers for member in draining_members]
+        addresses = [member.callers_address for member in draining_members]
         if not addresses or self._drain_state.is_listed(now):
             addresses.append(self._local_node.callers)
             self._drain_state.log_listed(now)
--- a/clementinepass/direct/follower.py
+++ b/clementinepass/direct/follower.py
@@ -271,11 +271,11 @@
         if page.outage_age is not None:
             ended = asyncio.get_running_loop().time() - page.outage_age
             self.outage_ended_at = max(self.outage_ended_at, ended)
-        new_records = 0
+        new_count = 0
         removed = self.state.implied_removals(page) if page.is_snapshot else ()
         for record in (*removed, *page.records):
             if self.state.apply(record):
-                new_records += 1
+                new_count += 1
                 self._listener(record)
         self.state.next_offset = max(self.state.next_offset, page.next_offset)
         if not self.is_initialized:
@@ -283,12 +283,12 @@
             logger.bind(
                 topic=self.topic.value,
                 source=source,
-                news=new_records,
+                news=new_count,
                 seconds=uptime.seconds(),
             ).info('topic known')
-        if new_records and self.on_changes is not None:
+        if new_count and self.on_changes is not None:
             self.on_changes()
-        return new_records
+        return new_count
 
     def reapply(self, page: records.Page) -> int:
         """Apply a page of records again, whatever their offsets.
@@ -303,8 +303,8 @@
 
     async def _wait_for_peers(self) -> None:
         loop = asyncio.get_running_loop()
-        until = loop.time() + self.peer_wait_seconds
-        while not self.is_initialized and loop.time() < until:
+        deadline = loop.time() + self.peer_wait_seconds
+        while not self.is_initialized and loop.time() < deadline:
             await asyncio.sleep(_PEER_POLL_SECONDS)
 
     async def _read_newest(self) -> typing.Any:
@@ -322,12 +322,8 @@
         )
         self._record_contact()
         self._has_changes = bool(page.records)
-        new_records = self.apply(page)
-        if (
-            was_unreachable
-            and new_records
-            and self.on_missed_changes is not None
-        ):
+        new_count = self.apply(page)
+        if was_unreachable and new_count and self.on_missed_changes is not None:
             self.on_missed_changes()
         if self._has_changes:
             await self._limit_read_rate()
@@ -336,13 +332,13 @@
     async def _limit_read_rate(self) -> None:
         """Pause after a read that returned changes of endpoints."""
         loop = asyncio.get_running_loop()
-        since = loop.time() - self._last_change_at
+        elapsed = loop.time() - self._last_change_at
         if (
             self.topic is records.Topic.ENDPOINTS
-            and since < _MIN_READ_INTERVAL_SECONDS
+            and elapsed < _MIN_READ_INTERVAL_SECONDS
         ):
             self._read_ends_at = 0
-            await asyncio.sleep(_MIN_READ_INTERVAL_SECONDS - since)
+            await asyncio.sleep(_MIN_READ_INTERVAL_SECONDS - elapsed)
         self._last_change_at = loop.time()
 
     async def _read_if_scheduled(self, read: typing.Any) -> typing.Any:
--- a/clementinepass/direct/heartbeats.py
+++ b/clementinepass/direct/heartbeats.py
@@ -29,12 +29,12 @@
 
     :param active: requests that the engine runs.
     :param queued: requests that wait in its queue.
-    :param started: start time of the engine, as in its listing.
+    :param started_ms: start of the engine in Unix time, as in its listing.
     """
 
     active: int
     queued: int
-    started: int = incarnations.UNKNOWN_START
+    started_ms: int = incarnations.UNKNOWN_START
 
 
 class EngineStatus(typing.NamedTuple):
@@ -43,7 +43,7 @@
     :param first: the first layer loaded.
     :param end: the layer after the last one loaded.
     :param congested: whether the link of its machine is slow at present.
-    :param started: start time of the engine, as in its listing.
+    :param started_ms: start of the engine in Unix time, as in its listing.
     """
 
     address: str
@@ -51,7 +51,7 @@
     first: int
     end: int
     congested: bool = False
-    started: int = incarnations.UNKNOWN_START
+    started_ms: int = incarnations.UNKNOWN_START
 
 
 class Heartbeat(msgspec.Struct, kw_only=True):
--- a/clementinepass/direct/members.py
+++ b/clementinepass/direct/members.py
@@ -35,7 +35,7 @@
 
     :param boot: a number that grows from one start of the entry to the next.
     :param heartbeat: the number of heartbeats sent since then.
-    :param callers: ``host:port`` where callers connect.
+    :param callers_address: ``host:port`` where callers connect.
     :param domain: its failure domain.
     """
 
@@ -43,7 +43,7 @@
     boot: int
     heartbeat: int
     phase: Phase
-    callers: str
+    callers_address: str
     domain: str
     region: str
 
--- a/clementinepass/wire/heartbeats.py
+++ b/clementinepass/wire/heartbeats.py
@@ -120,7 +120,7 @@
     slot.boot = member.boot
     slot.heartbeat = member.heartbeat
     slot.phase = _PHASES.index(member.phase)
-    slot.callers = member.callers
+    slot.callers = member.callers_address
     slot.domain = member.domain
     slot.region = member.region
 
@@ -158,7 +158,7 @@
         slot.first = status.first
         slot.end = status.end
         slot.congested = status.congested
-        slot.started = status.started
+        slot.started = status.started_ms
 
 
 def _read_heartbeat_fields(message: typing.Any) -> heartbeats.Heartbeat:
@@ -193,7 +193,7 @@
 def _write_load(slot: typing.Any, load: heartbeats.EngineLoad) -> None:
     slot.active = min(load.active, _MAX_COUNT)
     slot.queued = min(load.queued, _MAX_COUNT)
-    slot.started = load.started
+    slot.started = load.started_ms
 
 
 def _read_load(slot: typing.Any) -> heartbeats.EngineLoad:
@@ -226,7 +226,7 @@
         boot=slot.boot,
         heartbeat=slot.heartbeat,
         phase=_PHASES[slot.phase],
-        callers=slot.callers,
+        callers_address=slot.callers,
         domain=slot.domain,
         region=slot.region,
     )
--- a/tests/direct/test_announcer.py
+++ b/tests/direct/test_announcer.py
@@ -102,7 +102,7 @@
 
         announcements = self.announce(scenario)
         self.assertEqual(
-            {1000}, {announcement.started for announcement in announcements}
+            {1000}, {announcement.started_ms for announcement in announcements}
         )
         sent = wire_heartbeats.write_heartbeat(
             heartbeats.Heartbeat(engine_statuses=tuple(announcements[-1:]))
@@ -167,7 +167,7 @@
         asyncio.run(main())
         self.assertEqual(
             {1000},
-            {announcement.started for announcement in peers.announcements},
+            {announcement.started_ms for announcement in peers.announcements},
         )
         self.assertEqual(
             HELD, endpoints.Weights(*peers.engine_statuses[0][1:4])
--- a/tests/direct/test_cluster_state.py
+++ b/tests/direct/test_cluster_state.py
@@ -68,7 +68,7 @@
     def report(self, started: int, weights: endpoints.Weights) -> None:
         """Apply an agent's report."""
         self.cluster.update_engine_status(
-            heartbeats.EngineStatus(ADDRESS, *weights, started=started),
+            heartbeats.EngineStatus(ADDRESS, *weights, started_ms=started),
             100,
         )
 
