--- a/clementinepass/clock.py
+++ b/clementinepass/clock.py
@@ -1,4 +1,4 @@
-"""Clocks, passed in so that tests can run without waiting."""
+"""Injectable clocks, so that tests can run without waiting."""
 
 from __future__ import annotations
 
@@ -7,14 +7,14 @@
 
 
 class Clock(typing.Protocol):
-    """Tell the time; monotonic, in seconds."""
+    """Interface of a monotonic clock."""
 
     def now(self) -> float:
         """Return monotonic seconds."""
 
 
 class MonotonicClock:
-    """Tell the time of the operating system's monotonic clock."""
+    """The operating system's monotonic clock."""
 
     __slots__ = ()
 
@@ -24,7 +24,7 @@
 
 
 class ManualClock:
-    """Tell the time that a test has set."""
+    """Clock whose time is set by a test."""
 
     __slots__ = ('_now',)
 
@@ -32,9 +32,9 @@
         self._now = start
 
     def now(self) -> float:
-        """Return the time set, in seconds."""
+        """Return the time that was set, in seconds."""
         return self._now
 
     def advance(self, seconds: float) -> None:
-        """Move the time forward by ``seconds``."""
+        """Advance the time by ``seconds``."""
         self._now += seconds
--- a/clementinepass/errors.py
+++ b/clementinepass/errors.py
@@ -1,4 +1,4 @@
-"""Error classes, each carrying the step and the peer at which it arose."""
+"""Exception classes; each carries the step and the peer of the failure."""
 
 from __future__ import annotations
 
@@ -6,7 +6,7 @@
 
 
 class Execution(enum.Enum):
-    """What the system can say about whether a request was executed."""
+    """What is known about whether a request was executed."""
 
     #: The dispatch provably never reached the endpoint.
     NOT_RUN = 'not_run'
@@ -19,18 +19,18 @@
 class ClementinepassError(Exception):
     """Base of all errors of this package.
 
-    :param detail: what went wrong, for a person to read.
-    :param step: the step at which it arose, such as ``'append'``.
-    :param peer: the peer it arose with, as ``host:port`` or a name.
+    :param detail: human-readable description of the failure.
+    :param step: the step that failed, such as ``'append'``.
+    :param peer: the peer involved, as ``host:port`` or a name.
     """
 
     def __init__(self, detail: str, *, step: str, peer: str) -> None:
         super().__init__(detail)
-        #: What went wrong, for a person to read.
+        #: Human-readable description of the failure.
         self.detail = detail
-        #: The step at which the error arose.
+        #: The step that failed.
         self.step = step
-        #: The peer with which the error arose.
+        #: The peer involved, as ``host:port`` or a name.
         self.peer = peer
 
     def __str__(self) -> str:
@@ -39,7 +39,7 @@
 
 
 class FileFaultError(ClementinepassError):
-    """A fault in a file that an operator wrote.
+    """An error in a file that an operator wrote.
 
     :param file: the file's name.
     :param line: the line, counted from 1; 0 for the file as a whole.
@@ -68,19 +68,19 @@
 
 
 class SettingsError(FileFaultError):
-    """A fault in the settings of a daemon; raised in an exception group."""
+    """An error in a daemon's settings; raised in an exception group."""
 
 
 class ConfigurationError(FileFaultError):
-    """A fault in the operators' files; raised in an exception group."""
+    """An error in the operators' files; raised in an exception group."""
 
 
 class PublicationRejectedError(ClementinepassError):
-    """A publication lost a race; the detail names what it lost to."""
+    """A concurrent publication won; the detail says which one."""
 
 
 class OutcomeUnknownError(ClementinepassError):
-    """A publication may still land; it can be looked for by its id.
+    """A publication may or may not take effect; its id can be looked up.
 
     :param publication_id: the publication's unique id.
     """
@@ -99,7 +99,7 @@
 
 
 class PlatformUnavailableError(ClementinepassError):
-    """A service of the platform did not answer, or answered with a fault.
+    """A service of the platform did not answer, or reported a failure.
 
     The call may have taken effect unless ``sent`` is false.
     """
@@ -118,23 +118,23 @@
 
 
 class ContentMissingError(PlatformUnavailableError):
-    """A service of the platform answered that it has no such content."""
+    """A service of the platform does not have the requested content."""
 
 
 class RecordsExpiredError(ClementinepassError):
-    """The records asked for are older than what the log still keeps.
+    """The requested records are no longer retained by the log.
 
-    :param oldest: the oldest offset that the log still keeps.
+    :param oldest: the oldest offset that the log retains.
     """
 
     def __init__(self, *, step: str, peer: str, oldest: int) -> None:
         super().__init__('records have expired', step=step, peer=peer)
-        #: The oldest offset that the log still keeps.
+        #: The oldest offset that the log retains.
         self.oldest = oldest
 
 
 class ThrottledError(ClementinepassError):
-    """The peer asks for fewer calls.
+    """The peer rejected a call since its rate limit is exceeded.
 
     :param retry_after: seconds to wait before the next try.
     """
@@ -146,7 +146,7 @@
         peer: str,
         retry_after: float,
     ) -> None:
-        super().__init__('rate limit reached', step=step, peer=peer)
+        super().__init__('rate limit exceeded', step=step, peer=peer)
         #: Seconds to wait before the next try.
         self.retry_after = retry_after
 
@@ -156,11 +156,11 @@
 
 
 class MessageTooLongError(MalformedMessageError):
-    """A message from a peer is longer than what is accepted."""
+    """A message from a peer exceeds the size limit."""
 
 
 class ManifestError(ClementinepassError):
-    """A manifest contradicts itself or the chunks it lists."""
+    """A manifest is inconsistent or does not match its chunks."""
 
 
 class ChunkCorruptError(ClementinepassError):
@@ -168,13 +168,13 @@
 
 
 class MemoryLimitError(ClementinepassError):
-    """A version does not fit into the memory set aside for weights."""
+    """A version does not fit into the memory reserved for weights."""
 
 
 class EndpointError(ClementinepassError):
-    """An endpoint failed a call.
+    """A call to an endpoint failed.
 
-    :param execution: what can be said about the call's execution.
+    :param execution: what is known about the call's execution.
     """
 
     def __init__(
@@ -186,29 +186,29 @@
         execution: Execution,
     ) -> None:
         super().__init__(detail, step=step, peer=peer)
-        #: What can be said about the call's execution.
+        #: What is known about the call's execution.
         self.execution = execution
 
 
 class StaleOrderError(ClementinepassError):
-    """An engine refused an order because its fencing number is too old."""
+    """An engine rejected an order because its fencing token is too old."""
 
 
 class PeerUnavailableError(ClementinepassError):
-    """A process of the system could not be reached, or fell silent."""
+    """A process of the system is unreachable or stopped responding."""
 
 
 class PeerGoneError(PeerUnavailableError):
-    """Nobody listens at a peer's address: its process has ended."""
+    """A peer's address refuses connections: its process has ended."""
 
 
 class StreamLostError(ClementinepassError):
-    """A stream can't be resumed: its frames are no longer kept."""
+    """A stream can't be resumed: its frames are no longer retained."""
 
 
 class PeerBusyError(ClementinepassError):
-    """A peer declined for now: its cap is reached or the chunk is gone."""
+    """A peer declined temporarily: it is at its limit or lacks the chunk."""
 
 
 class TransferAbandonedError(ClementinepassError):
-    """A newer revision took the place of the one under way."""
+    """A transfer was abandoned in favour of a newer revision."""
--- a/clementinepass/http/__init__.py
+++ b/clementinepass/http/__init__.py
@@ -1,1 +1,1 @@
-"""HTTP/1.1 on the event loop: one front for callers and one client."""
+"""HTTP/1.1 on the event loop: a server for callers and a client."""
--- a/clementinepass/http/channel.py
+++ b/clementinepass/http/channel.py
@@ -1,4 +1,4 @@
-"""One outgoing connection, with one request in progress at a time."""
+"""Client side of one HTTP/1.1 connection, with one request at a time."""
 
 from __future__ import annotations
 
@@ -13,39 +13,41 @@
 from clementinepass import errors
 from clementinepass.http import messages
 
-#: Seconds after which an idle peer is probed, and between probes. A peer that
-#: lost its power sends nothing, and without probes the connection hangs.
+#: Seconds until a TCP keep-alive probe of a silent peer, and between probes.
+#: A peer that lost its power sends nothing, and without probes the connection
+#: would hang.
 _KEEPALIVE_PROBE_SECONDS = 1
-#: Probes without an answer before the connection is given up.
+#: Unanswered probes after which the kernel closes the connection.
 _KEEPALIVE_PROBES = 3
-#: Milliseconds for which sent bytes may stay without an acknowledgement; the
-#: same failure seen while something is on its way.
+#: Milliseconds for which sent bytes may stay unacknowledged (TCP_USER_TIMEOUT).
+#: This detects the same failure while data is in flight, when the kernel sends
+#: no keep-alive probes.
 _USER_TIMEOUT_MS = 3000
-#: Bytes of an answer that may wait for its reader.
+#: Bytes of an answer that are buffered before reading pauses.
 _MAX_BUFFERED_BYTES = 262144
 _FIRST_FINAL_STATUS = 200
 _BODILESS_STATUSES = frozenset((204, 304))
 
 
 class Fault(enum.Enum):
-    """What was wrong with a connection or with what it carried."""
+    """Fault of a connection or of the data that it carried."""
 
-    #: It could not be opened.
+    #: The connection could not be opened.
     UNREACHABLE = 'unreachable'
-    #: It was reset, or the kernel gave it up.
+    #: The connection was reset, or timed out in the kernel.
     LOST = 'lost'
-    #: The peer ended it before the answer was whole.
+    #: The peer closed the connection before the answer was complete.
     ENDED = 'ended'
-    #: Nothing came for too long.
+    #: Nothing was received for too long.
     SILENT = 'silent'
-    #: What came is no answer, or none to this request.
+    #: The received bytes are not an answer, or not to this request.
     MALFORMED = 'spoilt'
 
 
 class ChannelBrokenError(errors.ClementinepassError):
-    """A connection ended, or carried something that is no answer.
+    """A connection was lost, or carried data that is not a valid answer.
 
-    :param is_clean: whether the peer ended it in good order, without a reset.
+    :param is_clean: whether the peer closed the connection without a reset.
     """
 
     def __init__(
@@ -57,16 +59,16 @@
         fault: Fault = Fault.MALFORMED,
     ) -> None:
         super().__init__(detail, step='exchange', peer=peer)
-        #: What was wrong.
+        #: Kind of the fault.
         self.fault = fault
-        #: Whether the peer ended the connection without a reset.
+        #: Whether the peer closed the connection without a reset.
         self.is_clean = is_clean
 
 
 class Channel(asyncio.Protocol):
-    """A connection to one peer.
+    """Client connection to one peer.
 
-    :param peer: its address, ``host:port``, for errors.
+    :param peer: the peer's address, ``host:port``, for error messages.
     """
 
     def __init__(self, peer: str) -> None:
@@ -76,18 +78,19 @@
         self._parser = httptools.HttpResponseParser(self)
         self._waiter: asyncio.Future[None] | None = None
         self._failure: ChannelBrokenError | None = None
-        #: Monotonic seconds at which something last came from the peer.
+        #: Monotonic time in seconds at which the last byte was received.
         self.last_received_at: float = 0
-        #: Monotonic seconds at which the last answer ended.
+        #: Monotonic time in seconds at which the last exchange ended.
         self.idle_since: float = 0
-        #: Seconds for which the peer keeps the connection; 0 if untold.
+        #: Seconds for which the peer keeps an idle connection, as it announced
+        #: in a ``Keep-Alive`` header; 0 if unknown.
         self.keep_alive_seconds: float = 0
-        #: Bytes received.
+        #: Number of bytes received.
         self.received_bytes = 0
-        #: Whether another request may follow on this connection.
+        #: Whether another request may be sent on this connection.
         self.is_reusable = True
         self._is_active = False
-        #: The head of the answer in progress, once it is whole.
+        #: The head of the current answer, once it is complete.
         self.head: messages.AnswerHead | None = None
         self._pairs: list[messages.Pair] = []
         self._body_parts: collections.deque[bytes] = collections.deque()
@@ -103,9 +106,10 @@
         port: int,
         seconds: float,
     ) -> Channel:
-        """Open a connection within some seconds.
+        """Open a connection within ``seconds``.
 
-        :raises ChannelBrokenError: it could not be opened; nothing was sent.
+        :raises ChannelBrokenError: the connection could not be opened; nothing
+            was sent.
         """
         peer = f'{host}:{port}'
         loop = asyncio.get_running_loop()
@@ -124,32 +128,32 @@
             ) from error
         return channel
 
-    # What the event loop calls.
+    # Callbacks of the event loop (asyncio.Protocol).
 
     def connection_made(self, transport: typing.Any) -> None:
-        """Take the new connection and have the kernel watch it."""
+        """Handle a new connection and enable the kernel's keep-alive probes."""
         self._transport = transport
         self.last_received_at = self._loop.time()
         self.idle_since = self.last_received_at
         _enable_keepalive(transport.get_extra_info('socket'))
 
     def data_received(self, payload: bytes) -> None:
-        """Parse what the peer sent."""
+        """Parse bytes received from the peer."""
         self.last_received_at = self._loop.time()
         self.received_bytes += len(payload)
         if not self._is_active:
-            self._fail_malformed('bytes that belong to no request')
+            self._fail_malformed('received bytes without a request in progress')
             return
         try:
             self._parser.feed_data(payload)
         except httptools.HttpParserError as error:
             self._handle_parse_error(error)
         except httptools.HttpParserUpgrade:
-            self._fail_malformed('an upgrade that nobody asked for')
+            self._fail_malformed('unrequested protocol upgrade')
         self._notify()
 
     def eof_received(self) -> bool:
-        """Take the end of an answer that says no length."""
+        """Handle the end of stream, which ends an answer without a length."""
         if (
             self._is_active
             and self._ends_with_connection
@@ -159,7 +163,7 @@
             self.is_reusable = False
         else:
             self._fail(
-                'the peer ended the connection',
+                'the peer closed the connection',
                 Fault.ENDED,
                 is_clean=True,
             )
@@ -167,7 +171,7 @@
         return False
 
     def connection_lost(self, error: Exception | None) -> None:
-        """Note that the connection is no more."""
+        """Fail the current answer, unless it is complete."""
         self.is_reusable = False
         if not self._is_complete:
             self._fail(
@@ -177,22 +181,22 @@
             )
         self._notify()
 
-    # What the parser calls.
+    # Callbacks of the parser.
 
     def on_message_begin(self) -> None:
-        """Begin an answer, or note one too many."""
+        """Start an answer, or record a surplus one."""
         if self._is_complete:
             self._has_surplus = True
             self.is_reusable = False
         self._pairs = []
 
     def on_header(self, name: bytes, field: bytes) -> None:
-        """Take a header."""
+        """Handle one header."""
         if not self._has_surplus:
             self._pairs.append((name, field))
 
     def on_headers_complete(self) -> None:
-        """Take a whole head; one of an interim answer is passed over."""
+        """Handle a complete head; heads of interim answers are ignored."""
         if self._has_surplus:
             return
         status = self._parser.get_status_code()
@@ -214,7 +218,7 @@
         )
 
     def on_body(self, payload: bytes) -> None:
-        """Take a part of the body."""
+        """Buffer a part of the body."""
         if self._has_surplus or self.head is None:
             return
         self._body_parts.append(payload)
@@ -223,15 +227,15 @@
             self._transport.pause_reading()
 
     def on_message_complete(self) -> None:
-        """End an answer."""
+        """Handle the end of an answer that has a length or chunks."""
         if self.head is not None and not self._ends_with_connection:
             self._is_complete = True
 
-    # What a client calls.
+    # Methods for clients.
 
     @property
     def is_usable(self) -> bool:
-        """Tell whether a request may be sent."""
+        """Return whether a request may be sent now."""
         return (
             self.is_reusable
             and not self._is_active
@@ -240,47 +244,54 @@
 
     @property
     def unsent_bytes(self) -> int:
-        """Return the bytes of a request that still wait to go out."""
+        """Return the number of bytes of the request that are not sent yet."""
         return int(self._transport.get_write_buffer_size())
 
     def send(self, request: bytes) -> None:
-        """Send one request; its answer follows."""
+        """Send one request."""
         self._reset_answer()
         self._is_active = True
         self._transport.write(request)
 
     async def read_head(self) -> messages.AnswerHead:
-        """Return the head of the answer.
+        """Wait for the head of the answer and return it.
 
-        :raises ChannelBrokenError: there will be none.
+        :raises ChannelBrokenError: the connection failed before the head was
+            complete.
         """
         while self.head is None:
             await self._wait_for_change()
         return self.head
 
     async def skip_to_next_answer(self) -> messages.AnswerHead:
-        """Pass over a whole answer that is another's and take the next.
+        """Discard an answer to another request; return the next one's head.
 
-        An answer that comes late stands where this request's is expected.
-        The connection isn't used again: what else may come is unknown.
+        A late answer to an earlier request arrives where the answer to this
+        request is expected. The connection is not reused, since more foreign
+        answers may follow.
 
-        :raises ChannelBrokenError: the foreign answer has no end of its own,
-            or no other follows.
+        :raises ChannelBrokenError: the foreign answer ends only with the
+            connection, or no further answer follows.
         """
         self.is_reusable = False
         if self._ends_with_connection:
-            raise ChannelBrokenError('foreign answer', peer=self.peer)
+            raise ChannelBrokenError(
+                'answer to another request', peer=self.peer
+            )
         while not self._is_complete:
             await self._wait_for_change()
         if self._has_surplus:
-            raise ChannelBrokenError('two answers at once', peer=self.peer)
+            raise ChannelBrokenError(
+                'received two answers to one request', peer=self.peer
+            )
         self._reset_answer()
         return await self.read_head()
 
     async def read(self) -> bytes:
-        """Return the next bytes of the body; none at its end.
+        """Return the next bytes of the body; empty at its end.
 
-        :raises ChannelBrokenError: the answer breaks off here.
+        :raises ChannelBrokenError: the connection failed before the end of the
+            answer.
         """
         while not self._body_parts:
             if self._is_complete:
@@ -294,10 +305,11 @@
         return payload
 
     def finish(self) -> bool:
-        """End the exchange; tell whether the connection may be kept.
+        """End the exchange; return whether the connection was kept.
 
-        It may only after a whole answer without a byte too many, and once
-        the request is out: an endpoint that answers early reads on later.
+        It is kept only if the answer was complete without surplus bytes and
+        the request is sent completely: an endpoint that answers early reads
+        the rest of the request later.
         """
         self._is_active = False
         self.idle_since = self._loop.time()
@@ -312,11 +324,11 @@
         return False
 
     def abort(self) -> None:
-        """End the connection at once."""
+        """Close the connection immediately."""
         self.is_reusable = False
         self._transport.abort()
 
-    # Details.
+    # Internal methods.
 
     def _reset_answer(self) -> None:
         self.head = None
@@ -332,7 +344,7 @@
             self._has_surplus = True
             self.is_reusable = False
         else:
-            self._fail_malformed(f'no answer: {error!r}')
+            self._fail_malformed(f'invalid answer: {error!r}')
 
     def _fail_malformed(self, detail: str) -> None:
         self._fail(detail, Fault.MALFORMED)
@@ -377,7 +389,7 @@
 
 
 def _enable_keepalive(sock: typing.Any) -> None:
-    """Have the kernel find out that a silent peer is gone."""
+    """Have the kernel detect that a silent peer is gone."""
     sock.setsockopt(socket.SOL_SOCKET, socket.SO_KEEPALIVE, 1)
     sock.setsockopt(
         socket.IPPROTO_TCP, socket.TCP_KEEPIDLE, _KEEPALIVE_PROBE_SECONDS
--- a/clementinepass/http/connection.py
+++ b/clementinepass/http/connection.py
@@ -1,9 +1,9 @@
-"""One caller's connection: parsing, pipelining, and the end of it.
+"""Server side of one caller's connection: parsing, pipelining and closing.
 
-Parsing is the library's, in its strict mode: a request with two lengths, or
-with a length and chunks, is a fault.  Where the framing is in doubt the
-answer is 400 and the connection ends, so that nothing that follows it can be
-taken for a request of its own.
+The parser runs in its strict mode: a request with two lengths, or with both a
+length and chunks, is an error.  A request with ambiguous framing is answered
+with 400 and the connection is closed, so that no bytes after it can be taken
+for another request (request smuggling).
 """
 
 from __future__ import annotations
@@ -27,14 +27,15 @@
         Awaitable[None],
     ]
 
-#: Whole requests that wait on one connection while one is served. A caller
-#: that pipelines more has its connection read no further until they are done.
+#: Maximum number of pipelined requests that are queued while one is served.
+#: Reading from the connection pauses while the queue is full.
 _MAX_PIPELINED = 16
-#: Bytes of an answer that a slow caller may leave unread before the relay
-#: waits for it; a few events of a stream.
+#: Bytes of an answer that are buffered for a slow caller before the relay
+#: waits; a few events of a stream.
 _WRITE_HIGH_WATER_BYTES = 65536
-#: Seconds for which a connection is read on after a final error, so that the
-#: error isn't lost to a reset while the caller still writes.
+#: Seconds for which a connection is still read after a final error answer.
+#: Closing it while the caller is sending would cause a reset, and the caller
+#: might lose the answer.
 _LINGER_SECONDS = 0.5
 
 _BAD_REQUEST = 400
@@ -45,7 +46,7 @@
 
 
 class Owner(typing.Protocol):
-    """What a connection needs of the front that it came to."""
+    """The part of the front that its connections use."""
 
     handler: Handler
     bounds: Callable[[], limits.Bounds]
@@ -53,11 +54,11 @@
     is_draining: bool
 
     def report_refused_input(self, status: int) -> None:
-        """Note that something came which is no request to serve."""
+        """Report input that was refused before it became a request."""
 
 
 class Connection(asyncio.Protocol):
-    """One caller's connection."""
+    """Server connection of one caller."""
 
     def __init__(self, front: Owner) -> None:
         self._front = front
@@ -74,14 +75,15 @@
         self._is_refused = False
         self._opened_at = self._loop.time()
         self._request_count = 0
-        #: Why it ended. What came first is the cause, the rest follows.
+        #: Why the connection ended. The first reason is kept; later ones are
+        #: its consequences.
         self.ending = endings.End.OPEN
         self._reset_message()
 
-    # What the event loop calls.
+    # Callbacks of the event loop (asyncio.Protocol).
 
     def connection_made(self, transport: typing.Any) -> None:
-        """Take a new connection."""
+        """Handle a new connection and start its idle timer."""
         self._transport = transport
         transport.set_write_buffer_limits(high=_WRITE_HIGH_WATER_BYTES)
         self._front.connections.add(self)
@@ -90,7 +92,7 @@
         )
 
     def data_received(self, payload: bytes) -> None:
-        """Parse what a caller sent."""
+        """Parse bytes received from the caller."""
         if self._is_refused:
             return
         try:
@@ -102,10 +104,11 @@
         self._throttle_reading()
 
     def eof_received(self) -> bool:
-        """Take the caller's end for its leaving: nobody reads an answer.
+        """Treat the caller's end of stream as its departure.
 
-        Closing would first write out what a caller that is gone never reads,
-        and the endpoint would work on until then.
+        The connection is aborted rather than closed: closing would first write
+        the buffered answer, which a departed caller never reads, and the
+        endpoint would keep working on the request until then.
         """
         self._set_ending(endings.End.CALLER_CLOSED)
         if self._is_busy:
@@ -113,7 +116,7 @@
         return False
 
     def connection_lost(self, error: Exception | None) -> None:
-        """Stop the work for a caller that can't be answered any more."""
+        """Cancel the request in progress, as its answer can't be delivered."""
         self._set_ending(endings.classify_error(error))
         self._front.connections.discard(self)
         self._cancel_timer()
@@ -122,17 +125,17 @@
             self._serve_task.cancel()
 
     def pause_writing(self) -> None:
-        """Note that the caller reads too slowly."""
+        """Handle a full write buffer: the caller reads too slowly."""
         self._can_write.clear()
 
     def resume_writing(self) -> None:
-        """Note that the caller has caught up."""
+        """Handle a drained write buffer: the caller has caught up."""
         self._can_write.set()
 
-    # What the parser calls.
+    # Callbacks of the parser.
 
     def on_message_begin(self) -> None:
-        """Begin a request."""
+        """Start a request and its head timer."""
         self._reset_message()
         self._is_in_head = True
         self._is_reading = True
@@ -141,15 +144,15 @@
         )
 
     def on_url(self, target: bytes) -> None:
-        """Take a part of the target."""
+        """Handle a part of the target."""
         self._target += target
 
     def on_header(self, name: bytes, field: bytes) -> None:
-        """Take a header."""
+        """Handle one header."""
         self._pairs.append((name, field))
 
     def on_headers_complete(self) -> None:
-        """Check a whole head."""
+        """Check a complete head."""
         self._is_in_head = False
         self._head_received_at = self._loop.time()
         self._start_timer(
@@ -169,7 +172,7 @@
             self.write(_CONTINUE)
 
     def on_body(self, payload: bytes) -> None:
-        """Take a part of the body."""
+        """Buffer a part of the body, up to the size limit."""
         if self._is_refused:
             return
         self._body_length += len(payload)
@@ -179,7 +182,7 @@
         self._body.append(payload)
 
     def on_message_complete(self) -> None:
-        """Serve a whole request, or let it wait for those before it."""
+        """Queue a complete request and serve it when its turn comes."""
         self._is_reading = False
         if self._is_refused:
             return
@@ -197,19 +200,20 @@
         self._pending.append(request)
         self._serve_next()
 
-    # What replies and the front call.
+    # Methods for replies and the front.
 
     @property
     def is_idle(self) -> bool:
-        """Tell whether no request is in progress or being read."""
+        """Return whether no request is in progress or being received."""
         return not (self._is_busy or self._is_reading)
 
     def write_head(self, status: int, pairs: list[messages.Pair]) -> None:
-        """Write the head of an answer, telling whether the connection ends.
+        """Write the head of an answer; announce the end of the connection.
 
-        Failure: a caller had sent two requests at once; the first answer of an
-        entry that leaves was taken for the last, and the second request, read
-        whole, was never answered. The last of those that wait says so.
+        A draining front sends ``Connection: close`` only with the answer to
+        the last queued request. Sent earlier, the caller would take that
+        answer for the last one, and a pipelined request that was already
+        received would never be answered.
         """
         ends_here = self._front.is_draining and not self._pending
         if ends_here or not self._keep_alive:
@@ -218,38 +222,38 @@
         self.write(messages.head_bytes(status, pairs))
 
     def write(self, payload: bytes) -> None:
-        """Write bytes, unless the caller has left."""
+        """Write bytes, unless the connection is closing."""
         if not self._transport.is_closing():
             self._transport.write(payload)
 
     def abort(self) -> None:
-        """End the connection at once, before its answer is whole."""
+        """Close the connection immediately, before its answer is complete."""
         self._set_ending(endings.End.BROKEN_OFF)
         self._transport.abort()
 
     def abort_for_shutdown(self) -> None:
-        """End the connection at once, since this process ends."""
+        """Close the connection immediately, since this process shuts down."""
         self._set_ending(endings.End.CUT)
         self._transport.abort()
 
     def close_for_shutdown(self) -> None:
-        """End the connection after what was written, as this process ends."""
+        """Close the connection once its buffer is written, at shutdown."""
         self._set_ending(endings.End.CUT)
         self._transport.close()
 
     @property
     def is_blocked(self) -> bool:
-        """Tell whether the caller has yet to read what was written."""
+        """Return whether the write buffer is full."""
         return not self._can_write.is_set()
 
     async def wait_writable(self) -> None:
-        """Wait until there is room for more."""
+        """Wait until the write buffer has free space."""
         await self._can_write.wait()
 
-    # Details.
+    # Internal methods.
 
     def _set_ending(self, reason: endings.End) -> None:
-        """Note why the connection ends, unless that is known."""
+        """Record why the connection ends, unless a reason is recorded."""
         if self.ending is endings.End.OPEN:
             self.ending = reason
 
@@ -269,25 +273,25 @@
         self._head_bytes = 0
 
     def _check_head_size(self, added_bytes: int) -> None:
-        """Refuse a head that grows beyond its bound.
+        """Refuse a head that exceeds the size limit.
 
-        The parser hands headers over one by one and would keep any number of
-        them, so a caller could fill the memory with a head that never ends.
+        The parser has no limit on the number of headers, so a caller could
+        exhaust the memory with a head that never ends.
         """
         self._head_bytes += added_bytes
         if self._head_bytes > self._front.bounds().header_bytes:
             self._refuse(_HEADERS_TOO_LONG)
 
     def _is_unambiguous(self, headers: messages.Headers) -> bool:
-        """Tell whether a head can be passed on without a second reading.
+        """Return whether an endpoint interprets a head as this process does.
 
-        Two hosts, a folded value or a target that is no path mean one thing
-        here and may mean another at an endpoint.
+        Two hosts, a folded value, or a target that is not a path may be
+        interpreted differently by an endpoint.
         """
         if headers.count(b'host') != 1 or not self._target.startswith(b'/'):
             return False
         if headers.get(b'upgrade') is not None:
-            # The parser reads nothing after it as a request.
+            # The parser does not parse anything after an upgrade.
             return False
         return not any(
             b'\n' in field or b'\r' in field or b'\0' in field
@@ -295,7 +299,7 @@
         )
 
     def _refuse(self, status: int) -> None:
-        """Answer a request that was not read whole, and end."""
+        """Queue an error answer as the last one and ignore further input."""
         if self._is_refused:
             return
         self._is_refused = True
@@ -310,7 +314,7 @@
         if isinstance(pending, int):
             self._send_final_error(pending)
             return
-        # Of those that wait only the last may be the connection's last.
+        # Only the last of the queued requests can be the connection's last.
         self._keep_alive = not pending.is_last
         self._serve_task = self._loop.create_task(self._serve(pending))
 
@@ -355,7 +359,7 @@
         self._start_timer(_LINGER_SECONDS, self._transport.close)
 
     def _throttle_reading(self) -> None:
-        """Stop reading from a caller that has many requests waiting."""
+        """Pause reading from the caller while the request queue is full."""
         if self._transport.is_closing():
             return
         if len(self._pending) >= _MAX_PIPELINED:
--- a/clementinepass/http/endings.py
+++ b/clementinepass/http/endings.py
@@ -1,4 +1,4 @@
-"""Why a caller's connection ended, as far as there is evidence."""
+"""Reasons why a caller's connection ended."""
 
 from __future__ import annotations
 
@@ -6,37 +6,39 @@
 
 
 class End(enum.Enum):
-    """Who ended a connection, and why."""
+    """Who ended a connection, and why, as far as known."""
 
-    #: It hasn't ended.
+    #: The connection is open.
     OPEN = 'open'
-    #: The caller ended its side.
+    #: The caller closed its side.
     CALLER_CLOSED = 'caller_closed'
-    #: A reset came from the caller's side: from the caller, or from something
-    #: between.
+    #: The connection was reset, by the caller or by a device on the path.
     CALLER_RESET = 'caller_reset'
-    #: The kernel gave up on a caller that acknowledges nothing.
+    #: The kernel timed the connection out: the caller acknowledged nothing.
     CALLER_SILENT = 'caller_silent'
-    #: The kernel told of another fault.
+    #: The kernel reported another error.
     TRANSPORT_FAULT = 'transport_fault'
-    #: No request came for as long as one is kept open.
+    #: No request arrived within the idle timeout.
     IDLE = 'idle'
-    #: The head of a request took too long.
+    #: The head of a request was not complete in time.
     HEAD_LATE = 'head_late'
-    #: What came is no request that may be served.
+    #: The received bytes are not an acceptable request.
     INPUT_REFUSED = 'input_refused'
-    #: Closed after an answer that said so.
+    #: Closed after an answer with ``Connection: close``.
     LAST_ANSWER = 'last_answer'
-    #: Whoever served the request broke its answer off.
+    #: The request's handler aborted its answer.
     BROKEN_OFF = 'broken_off'
-    #: This process ended.
+    #: This process shut down.
     CUT = 'cut'
-    #: It ended, and nothing tells why.
+    #: The connection ended for an unknown reason.
     NOT_KNOWN = 'not_known'
 
 
 def classify_error(error: Exception | None) -> End:
-    """Return why a connection ended that this process did not end."""
+    """Return the reason for a connection that this process did not close.
+
+    :param error: the error that the transport reported, if any.
+    """
     if isinstance(error, ConnectionError):
         return End.CALLER_RESET
     if isinstance(error, TimeoutError):
--- a/clementinepass/http/front.py
+++ b/clementinepass/http/front.py
@@ -1,4 +1,4 @@
-"""The HTTP/1.1 front: listens for callers and hands their requests on."""
+"""HTTP/1.1 server that passes callers' requests to a handler."""
 
 from __future__ import annotations
 
@@ -14,16 +14,18 @@
 if typing.TYPE_CHECKING:
     from collections.abc import Callable
 
-#: Seconds between lines on input that was refused. Each connection can cause
-#: one, and whoever sends garbage would crowd out the lines of requests.
+#: Minimum number of seconds between log lines on refused input. Each connection
+#: can cause one, and a client that sends garbage would otherwise crowd out the
+#: log lines of requests.
 _LOG_INTERVAL_SECONDS = 1.0
 
 
 class Front:
-    """Listen for callers and hand their requests to a handler.
+    """HTTP/1.1 server for callers.
 
     :param handler: serves one request.
-    :param bounds: returns the bounds in force, asked anew at each use.
+    :param bounds: returns the current limits; called at each use, as they
+        change with the configuration.
     """
 
     __slots__ = (
@@ -43,16 +45,16 @@
     ) -> None:
         self.handler = handler
         self.bounds = bounds
-        #: The connections that are open.
+        #: The open connections.
         self.connections: set[connection.Connection] = set()
-        #: Whether answers tell callers to use the connection no more.
+        #: Whether answers close their connections, since the process drains.
         self.is_draining = False
         self._server: asyncio.Server | None = None
         self._refused_count = 0
         self._logged_at = -math.inf
 
     async def listen(self, host: str, port: int) -> int:
-        """Listen and return the port that was bound."""
+        """Start listening; return the bound port."""
         loop = asyncio.get_running_loop()
         self._server = await loop.create_server(
             lambda: connection.Connection(self),
@@ -64,25 +66,31 @@
         return int(self._server.sockets[0].getsockname()[1])
 
     def stop_listening(self) -> None:
-        """Take no more connections."""
+        """Accept no more connections."""
         if self._server is not None:
             self._server.close()
 
     def close_idle(self) -> int:
-        """End the connections without a request; return how many remain."""
+        """Close the idle connections; return the number of open ones.
+
+        A closed connection counts until the event loop reports its end.
+        """
         for open_connection in list(self.connections):
             if open_connection.is_idle:
                 open_connection.close_for_shutdown()
         return len(self.connections)
 
     def busy_count(self) -> int:
-        """Return how many connections have a request in progress."""
+        """Return the number of connections with a request in progress."""
         return sum(
             not open_connection.is_idle for open_connection in self.connections
         )
 
     def report_refused_input(self, status: int) -> None:
-        """Tell of input that is no request to serve, in bounded number."""
+        """Log input that was refused before it became a request.
+
+        Refusals between two log lines are counted in the next one.
+        """
         self._refused_count += 1
         now = asyncio.get_running_loop().time()
         if now - self._logged_at < _LOG_INTERVAL_SECONDS:
@@ -94,7 +102,7 @@
         self._refused_count = 0
 
     async def close(self) -> None:
-        """End all connections at once."""
+        """Stop listening and close all connections immediately."""
         self.stop_listening()
         for open_connection in list(self.connections):
             open_connection.abort_for_shutdown()
--- a/clementinepass/http/limits.py
+++ b/clementinepass/http/limits.py
@@ -1,15 +1,16 @@
-"""What a caller may send, and how long it may take."""
+"""Limits on the requests of callers."""
 
 from __future__ import annotations
 
 
 class Bounds:
-    """What a caller may send, and how long it may take.
+    """Limits on the size and duration of callers' requests.
 
-    :param header_bytes: bytes of a request's line and headers.
-    :param body_bytes: bytes of a request's body.
-    :param header_seconds: from the first byte of a request to its last header.
-    :param idle_seconds: for which a connection without a request is kept.
+    :param header_bytes: maximum size of a request's line and headers.
+    :param body_bytes: maximum size of a request's body.
+    :param header_seconds: maximum time from the first byte of a request to its
+        last header.
+    :param idle_seconds: time for which a connection without a request is kept.
     """
 
     __slots__ = ('body_bytes', 'header_bytes', 'header_seconds', 'idle_seconds')
--- a/clementinepass/http/messages.py
+++ b/clementinepass/http/messages.py
@@ -1,4 +1,4 @@
-"""Heads of requests and answers, and the names of headers that both use."""
+"""HTTP/1.1 requests, heads of answers, and their encoding."""
 
 from __future__ import annotations
 
@@ -8,11 +8,11 @@
 if typing.TYPE_CHECKING:
     from collections.abc import Iterable, Iterator
 
-#: A header as it stood on the wire: name in its own case, and value.
+#: A header's name, in its original case, and its value.
 Pair = tuple[bytes, bytes]
 
-#: Headers that concern one connection and are never passed on (RFC 9110,
-#: section 7.6.1), with ``Expect``, which the front answers by itself.
+#: Headers that apply to one connection only and are never forwarded (RFC 9110,
+#: section 7.6.1), and ``Expect``, which the front handles.
 HOP_BY_HOP = frozenset(
     (
         b'connection',
@@ -35,23 +35,23 @@
 
 
 class Headers:
-    """Headers in their order, looked up by name in any case."""
+    """Ordered headers with case-insensitive lookup."""
 
     __slots__ = ('_by_name', 'pairs')
 
     def __init__(self, pairs: Iterable[Pair] = ()) -> None:
-        #: The headers as they came.
+        #: The headers in their original order.
         self.pairs: list[Pair] = list(pairs)
         self._by_name: dict[bytes, bytes] | None = None
 
     def __iter__(self) -> Iterator[Pair]:
-        """Go through the headers as they came."""
+        """Iterate over the headers in their original order."""
         return iter(self.pairs)
 
     def get(self, name: bytes) -> bytes | None:
-        """Return the first value of a header.
+        """Return the first value of a header; ``None`` if it is absent.
 
-        :param name: in lower case.
+        :param name: the header's name in lower case.
         """
         if self._by_name is None:
             self._by_name = {}
@@ -60,11 +60,17 @@
         return self._by_name.get(name)
 
     def count(self, name: bytes) -> int:
-        """Tell how often a header stands there."""
+        """Return how often a header occurs.
+
+        :param name: the header's name in lower case.
+        """
         return sum(pair_name.lower() == name for pair_name, _ in self.pairs)
 
     def tokens(self, name: bytes) -> frozenset[bytes]:
-        """Return the comma-separated tokens of all headers of a name."""
+        """Return the comma-separated tokens of all headers of a name.
+
+        :param name: the headers' name in lower case.
+        """
         return frozenset(
             token.strip().lower()
             for pair_name, field in self.pairs
@@ -73,9 +79,9 @@
         )
 
     def end_to_end(self, excluded: frozenset[bytes]) -> list[Pair]:
-        """Return the headers to pass on.
+        """Return the headers to forward.
 
-        :param excluded: further names, in lower case, to leave out.
+        :param excluded: further names, in lower case, to omit.
         """
         connection_names = self.tokens(b'connection')
         return [
@@ -88,7 +94,7 @@
 
 
 class Request:
-    """One whole request as a caller sent it."""
+    """One complete request as the caller sent it."""
 
     __slots__ = (
         'body',
@@ -118,13 +124,13 @@
         self.target = target
         self.headers = headers
         self.body = body
-        #: Monotonic seconds at which its head was whole.
+        #: Monotonic time in seconds at which the head was complete.
         self.received_at = received_at
-        #: Whether the caller wants the connection to end after it.
+        #: Whether the caller asked to close the connection after the request.
         self.is_last = is_last
-        #: Monotonic seconds at which its connection was opened, and its number
-        #: there, from 1.
+        #: Monotonic time in seconds at which the connection was opened.
         self.connected_at = connected_at
+        #: Number of the request on its connection, counted from 1.
         self.number = number
 
     @property
@@ -149,7 +155,7 @@
     pairs: Iterable[Pair],
     body: bytes,
 ) -> bytes:
-    """Return a request as it goes on the wire, framed by its length."""
+    """Return a request encoded for the wire, with a ``Content-Length``."""
     lines = [b'%b %b HTTP/1.1\r\n' % (method, target)]
     lines.extend(b'%b: %b\r\n' % pair for pair in pairs)
     if body or method not in {b'GET', b'HEAD'}:
@@ -160,7 +166,7 @@
 
 
 def head_bytes(status: int, pairs: Iterable[Pair]) -> bytes:
-    """Return an answer's head as it goes on the wire."""
+    """Return an answer's head encoded for the wire."""
     reason = _REASON_BY_STATUS.get(status, b'Status')
     lines = [b'HTTP/1.1 %d %b\r\n' % (status, reason)]
     lines.extend(b'%b: %b\r\n' % pair for pair in pairs)
--- a/clementinepass/http/pool.py
+++ b/clementinepass/http/pool.py
@@ -1,4 +1,4 @@
-"""Connections to one peer, kept for the next request."""
+"""Pool of client connections to one peer."""
 
 from __future__ import annotations
 
@@ -8,22 +8,24 @@
 
 from clementinepass.http import channel, messages
 
-#: Seconds for which an idle connection is used again when the peer says no
-#: time. Endpoints close idle connections after a time of their own.
+#: Seconds assumed for which a peer keeps an idle connection, if it announces
+#: no time. Endpoints close idle connections after a timeout of their own.
 _DEFAULT_KEEP_ALIVE_SECONDS = 4.0
-#: The part of the peer's time for which a connection is used. The peer's
-#: clock for it started a message delay earlier, and its end may be on its way.
+#: Fraction of the peer's keep-alive time for which an idle connection is
+#: reused. The peer's timer started one message delay earlier, and its close may
+#: already be in flight.
 _KEEP_ALIVE_FRACTION = 0.6
-#: Seconds for a connection to be opened. Peers are a few milliseconds away;
-#: one that lost a packet is tried again by the kernel after a second.
+#: Timeout of opening a connection. Peers are a few milliseconds away, and the
+#: kernel retransmits a lost packet after a second.
 _CONNECT_SECONDS = 1.5
 
 
 class Pool:
-    """Connections to one address, the one used last first.
+    """Client connections to one address; the last used one is reused first.
 
-    :param host: an IP number.
-    :param max_connections: connections at a time, busy ones included.
+    :param host: the peer's IP address.
+    :param max_connections: number of busy connections at which the pool is
+        full.
     """
 
     __slots__ = (
@@ -44,25 +46,25 @@
         self._idle: list[channel.Channel] = []
         self._in_use: set[channel.Channel] = set()
         self._last_received_at: float = 0
-        #: Connections that carry a request.
+        #: Number of connections that carry a request or are being opened.
         self.busy_count = 0
-        #: Connections opened so far.
+        #: Number of connections opened so far.
         self.opened_count = 0
 
     @classmethod
     def from_address(cls, address: str, max_connections: int = 64) -> Pool:
-        """Make a pool for ``host:port``."""
+        """Create a pool for ``host:port``."""
         host, _, port = address.rpartition(':')
         return cls(host, int(port), max_connections)
 
     @property
     def is_full(self) -> bool:
-        """Tell whether the peer allows no further connection."""
+        """Return whether the maximum number of connections is in use."""
         return self.busy_count >= self._max_connections
 
     @property
     def last_received_at(self) -> float:
-        """Return the monotonic seconds at which the peer last sent a byte."""
+        """Monotonic time in seconds at which the last byte was received."""
         return max(
             (
                 self._last_received_at,
@@ -76,21 +78,23 @@
         max_idle_seconds: float = math.inf,
         seconds: float = _CONNECT_SECONDS,
     ) -> channel.Channel:
-        """Return a connection that is ready for a request.
-
-        :param max_idle_seconds: seconds for which it may have been idle. A peer
-            closes idle connections, and a request that crosses such an end
-            may or may not have been read.
-        :raises ChannelBrokenError: there is none; nothing was sent.
+        """Return an idle or a new connection for a request.
+
+        :param max_idle_seconds: maximum idle time of a reused connection. A
+            peer closes idle connections, and it is unknown whether a request
+            that crosses such a close was read.
+        :param seconds: timeout of opening a connection.
+        :raises ChannelBrokenError: no connection could be opened; nothing was
+            sent.
         """
-        kept = self._acquire_idle(max_idle_seconds)
+        idle_connection = self._acquire_idle(max_idle_seconds)
         self.busy_count += 1
-        if kept is not None:
-            self._in_use.add(kept)
-            return kept
+        if idle_connection is not None:
+            self._in_use.add(idle_connection)
+            return idle_connection
         self.opened_count += 1
         try:
-            opened = await channel.Channel.connect(
+            new_connection = await channel.Channel.connect(
                 self._host,
                 self._port,
                 seconds,
@@ -98,47 +102,48 @@
         except BaseException:
             self.busy_count -= 1
             raise
-        self._in_use.add(opened)
-        return opened
+        self._in_use.add(new_connection)
+        return new_connection
 
-    def release(self, used: channel.Channel) -> None:
-        """Keep a connection for the next request, or end it."""
+    def release(self, connection: channel.Channel) -> None:
+        """Keep a connection for reuse, or close it if it can't be reused."""
         self.busy_count -= 1
-        self._in_use.discard(used)
+        self._in_use.discard(connection)
         self._last_received_at = max(
-            self._last_received_at, used.last_received_at
+            self._last_received_at, connection.last_received_at
         )
-        if used.finish():
-            self._idle.append(used)
+        if connection.finish():
+            self._idle.append(connection)
 
     def close(self) -> None:
-        """End the idle connections."""
-        for kept in self._idle:
-            kept.abort()
+        """Close the idle connections."""
+        for idle_connection in self._idle:
+            idle_connection.abort()
         self._idle.clear()
 
     def _acquire_idle(self, max_idle_seconds: float) -> channel.Channel | None:
         now = asyncio.get_running_loop().time()
-        found = None
-        while self._idle and found is None:
-            kept = self._idle.pop()
+        reusable = None
+        while self._idle and reusable is None:
+            idle_connection = self._idle.pop()
             allowed_seconds = _KEEP_ALIVE_FRACTION * (
-                kept.keep_alive_seconds or _DEFAULT_KEEP_ALIVE_SECONDS
+                idle_connection.keep_alive_seconds
+                or _DEFAULT_KEEP_ALIVE_SECONDS
             )
-            idle_seconds = now - kept.idle_since
-            if kept.is_usable and idle_seconds <= min(
+            idle_seconds = now - idle_connection.idle_since
+            if idle_connection.is_usable and idle_seconds <= min(
                 allowed_seconds, max_idle_seconds
             ):
-                found = kept
+                reusable = idle_connection
             else:
-                kept.abort()
-        return found
+                idle_connection.abort()
+        return reusable
 
 
 class Answer(typing.NamedTuple):
-    """A whole answer.
+    """A complete answer.
 
-    :param seconds: from its head to its end.
+    :param seconds: time from the answer's head to its end.
     """
 
     status: int
@@ -148,10 +153,10 @@
 
 
 async def fetch(pool: Pool, request: bytes, seconds: float) -> Answer:
-    """Exchange one request for a whole answer within some seconds.
+    """Send one request and return its complete answer within ``seconds``.
 
-    :raises ChannelBrokenError: there was no whole answer. The request may
-        have been carried out.
+    :raises ChannelBrokenError: no complete answer arrived. The request may
+        have been executed.
     """
     try:
         async with asyncio.timeout(seconds):
@@ -165,18 +170,18 @@
 
 
 async def _fetch(pool: Pool, request: bytes) -> Answer:
-    used = await pool.acquire()
+    connection = await pool.acquire()
     try:
-        used.send(request)
-        head = await used.read_head()
+        connection.send(request)
+        head = await connection.read_head()
         started_at = asyncio.get_running_loop().time()
         parts = []
-        while part := await used.read():
+        while part := await connection.read():
             parts.append(part)
     except BaseException:
-        used.abort()
+        connection.abort()
         raise
     finally:
-        pool.release(used)
+        pool.release(connection)
     seconds = asyncio.get_running_loop().time() - started_at
     return Answer(head.status, b''.join(parts), head.headers, seconds)
--- a/clementinepass/http/replies.py
+++ b/clementinepass/http/replies.py
@@ -1,4 +1,4 @@
-"""The answer to one request of a caller, sent whole or piece by piece."""
+"""Answer to one request of a caller, sent at once or in chunks."""
 
 from __future__ import annotations
 
@@ -10,31 +10,31 @@
 
 
 class ReplyConnection(typing.Protocol):
-    """What a reply needs of its connection."""
+    """The part of a connection that replies use."""
 
     def write_head(self, status: int, pairs: list[messages.Pair]) -> None:
         """Write the head of an answer."""
 
     def write(self, payload: bytes) -> None:
-        """Write bytes, unless the caller has left."""
+        """Write bytes, unless the connection is closing."""
 
     def abort(self) -> None:
-        """End the connection at once."""
+        """Close the connection immediately."""
 
     @property
     def ending(self) -> endings.End:
-        """Return why the connection ended."""
+        """Why the connection ended; ``OPEN`` while it has not."""
 
     @property
     def is_blocked(self) -> bool:
-        """Tell whether the caller has yet to read what was written."""
+        """Return whether the write buffer is full."""
 
     async def wait_writable(self) -> None:
-        """Wait until there is room for more."""
+        """Wait until the write buffer has free space."""
 
 
 class Reply:
-    """The answer to one request, sent whole or piece by piece."""
+    """Answer to one request, sent at once or in chunks."""
 
     __slots__ = (
         '_connection',
@@ -47,15 +47,15 @@
 
     def __init__(self, connection: ReplyConnection) -> None:
         self._connection = connection
-        #: Whether the head went out.
+        #: Whether the head was sent.
         self.is_started = False
-        #: Whether the answer is whole, or broken off for good.
+        #: Whether the answer is complete or aborted.
         self.is_done = False
-        #: The status sent; 0 before that.
+        #: The status sent; 0 before the head was sent.
         self.status = 0
-        #: Pieces of the body that went out.
+        #: Number of chunks of the body that were sent.
         self.written_chunks = 0
-        #: Monotonic seconds at which the last of them did.
+        #: Monotonic time in seconds at which the last chunk was sent.
         self.last_written_at: float | None = None
 
     def send(
@@ -64,7 +64,7 @@
         pairs: list[messages.Pair],
         body: bytes,
     ) -> None:
-        """Send a whole answer."""
+        """Send a complete answer with a ``Content-Length``."""
         self.is_started = True
         self.is_done = True
         self.status = status
@@ -74,35 +74,35 @@
             self._connection.write(body)
 
     def start(self, status: int, pairs: list[messages.Pair]) -> None:
-        """Send the head of an answer whose length isn't known yet."""
+        """Send the head of a chunked answer, whose length is unknown."""
         self.is_started = True
         self.status = status
         framed = [*pairs, (b'Transfer-Encoding', b'chunked')]
         self._connection.write_head(status, framed)
 
     def write(self, payload: bytes) -> None:
-        """Send one piece of the body."""
+        """Send one chunk of the body."""
         self.written_chunks += 1
         self.last_written_at = asyncio.get_running_loop().time()
         self._connection.write(b'%x\r\n%b\r\n' % (len(payload), payload))
 
     def end(self) -> None:
-        """Send the mark by which the caller knows the answer to be whole."""
+        """Send the last chunk, which marks the answer as complete."""
         self.is_done = True
         self._connection.write(b'0\r\n\r\n')
 
     @property
     def ending(self) -> endings.End:
-        """Return why the connection ended."""
+        """Why the connection ended; ``OPEN`` while it has not."""
         return self._connection.ending
 
     @property
     def is_blocked(self) -> bool:
-        """Tell whether the caller reads too slowly for more to be sent."""
+        """Return whether the caller reads too slowly to send more."""
         return self._connection.is_blocked
 
     def abort(self) -> None:
-        """End the connection, so that the answer can't be taken for whole."""
+        """Close the connection, so that the answer is seen as incomplete."""
         self.is_done = True
         self._connection.abort()
 
--- a/clementinepass/http_bodies.py
+++ b/clementinepass/http_bodies.py
@@ -1,4 +1,4 @@
-"""Reading the bodies of HTTP answers, whole or not at all."""
+"""Read bodies of HTTP answers such that truncation is detected."""
 
 from __future__ import annotations
 
@@ -10,30 +10,30 @@
     import urllib3
 
 _READ_BYTES = 65536
-#: A piece of a chunk is awaited whole, so that small pieces keep the moments
-#: at which a reader looks at the clock close together.
+#: Reading from a chunk blocks until this many bytes arrived. A small number
+#: makes readers check their deadlines often.
 _CHUNK_READ_BYTES = 4096
 
 
 def has_end(response: urllib3.BaseHTTPResponse) -> bool:
-    """Tell whether a body's end can be told from a lost connection.
+    """Return whether a truncated body can be told from a complete one.
 
-    A body that ends with its connection looks whole when the connection is
-    cut in its middle; only a length or a last chunk proves the end.
+    A body that ends with its connection looks complete when the connection is
+    lost in its middle; only a length or a last chunk proves the end.
     """
     return response.chunked or response.length_remaining is not None
 
 
 def iter_body(response: urllib3.BaseHTTPResponse) -> Iterator[bytes]:
-    """Yield a body piece by piece as it arrives.
+    """Yield parts of a body as they arrive.
 
-    :raises urllib3.exceptions.HTTPError: the body was cut short, or fell
-        silent.
+    :raises urllib3.exceptions.HTTPError: the body was truncated, or no more
+        bytes arrived within the read timeout.
     """
     if response.chunked:
         yield from response.read_chunked(
             _CHUNK_READ_BYTES, decode_content=False
         )
         return
-    while piece := response.read1(_READ_BYTES, decode_content=False):
-        yield piece
+    while part := response.read1(_READ_BYTES, decode_content=False):
+        yield part
--- a/clementinepass/lifecycle.py
+++ b/clementinepass/lifecycle.py
@@ -1,4 +1,4 @@
-"""Signals of a daemon: when to drain, when to end, when to read the level."""
+"""Signal handling of a daemon: drain, exit and reload of the log level."""
 
 from __future__ import annotations
 
@@ -22,10 +22,10 @@
 
 
 class Lifecycle:
-    """Run until SIGTERM, then drain.
+    """Run a daemon until it is told to stop, then drain it.
 
-    :param path: the settings file, for reading the log level anew.
-    :param exit_process: ends the process at once, with an exit code.
+    :param path: the settings file; SIGHUP reloads the log level from it.
+    :param exit_process: terminates the process at once with an exit code.
     """
 
     def __init__(
@@ -39,15 +39,15 @@
         self._is_terminated = False
 
     def stop(self) -> None:
-        """Begin to drain, or go on with it, as told by the command."""
+        """Start draining on the operator's command; no effect when repeated."""
         self._stop_requested.set()
 
     def terminate(self) -> None:
-        """Take a SIGTERM: drain on the first, end at once on the second.
+        """Handle a SIGTERM: drain on the first, exit at once on the second.
 
-        Signals are counted apart from the command. Failure: the platform's
-        one SIGTERM after a drain command ended the process and cut off the
-        answers in progress.
+        The drain command does not count as a signal. Otherwise, the single
+        SIGTERM that the platform sends after a drain command would terminate
+        the process and cut off the answers in progress.
         """
         if self._is_terminated:
             logger.bind(step='stop').warning('ending at once')
@@ -60,7 +60,7 @@
         work: Awaitable[None],
         drain: Callable[[], Awaitable[None]],
     ) -> None:
-        """Do the work until told to stop, then drain and end."""
+        """Run ``work`` until it ends or a stop is requested, then drain."""
         self._install()
         work_task = asyncio.ensure_future(work)
         stop_task = asyncio.ensure_future(self._stop_requested.wait())
--- a/clementinepass/machines.py
+++ b/clementinepass/machines.py
@@ -1,8 +1,8 @@
 """The daemon on the users' machines: ``python -m clementinepass.machines``.
 
-Puts the direct path together with the adapters of the users' platform.  The
-settings file is named by an environment variable; the one argument is the
-role, ``entry`` or ``agent``.
+Assembles the direct path with the adapters of the users' platform.  An
+environment variable holds the path of the settings file; the only argument is
+the role, ``entry`` or ``agent``.
 """
 
 from __future__ import annotations
@@ -30,15 +30,15 @@
 )
 
 _EXIT_BAD_SETTINGS = 2
-#: Seconds between looks whether the settings file has changed.
+#: Seconds between checks whether the settings file has changed.
 _POLL_SECONDS = 2.0
-#: Objects made between collections of garbage. The defaults collect some ten
-#: times a second under load; what is made at start is never collected.
+#: Allocations between garbage collections. With the default, there are about
+#: ten collections per second under load.
 _GC_THRESHOLD = 20000
 
 
 def main() -> None:
-    """Run one process until it is told to stop."""
+    """Run the process until it is stopped by a signal."""
     lines = output.Output()
     lines.install()
     try:
@@ -65,10 +65,10 @@
 
 
 async def _watch_settings(path: pathlib.Path, local_node: node.Node) -> None:
-    """Read the settings anew when told to, and when the file has changed.
+    """Reload the settings on SIGHUP and when the file has changed.
 
-    The platform changes them with a signal and without one. Without a
-    handler the signal would end the process, and all that it serves.
+    The platform changes the file with or without sending the signal. Without
+    a handler, the signal would terminate the process and all its requests.
     """
     loop = asyncio.get_running_loop()
     reload_requested = asyncio.Event()
@@ -149,7 +149,7 @@
 
 
 def _tune_garbage_collector() -> None:
-    """Set garbage collection to how these processes make objects."""
+    """Exclude startup objects from garbage collection; collect less often."""
     gc.collect()
     gc.freeze()
     gc.set_threshold(_GC_THRESHOLD, 20, 20)
--- a/clementinepass/platform/__init__.py
+++ b/clementinepass/platform/__init__.py
@@ -1,1 +1,1 @@
-"""Adapters for the platform's services."""
+"""Adapters for the platform's services, one module for each protocol."""
--- a/clementinepass/platform/decoding.py
+++ b/clementinepass/platform/decoding.py
@@ -1,4 +1,4 @@
-"""Decode bodies and records that may come from any writer."""
+"""Strict decoding of bodies and records from untrusted writers."""
 
 from __future__ import annotations
 
@@ -11,23 +11,23 @@
 from clementinepass import errors
 from clementinepass.wire import addresses
 
-#: Characters of an error that are kept: it may quote what was sent.
+#: Longest error text in characters; decoding errors may quote the input.
 _MAX_ERROR_LENGTH = 200
-#: Ids and names go into request heads, heartbeats and lines of the log.
+#: Ids and names are copied into request heads, heartbeats and log lines.
 _ID = re.compile('[!-~]{1,128}')
 _IP_VERSION = 4
 _MAX_INT32 = 2**31 - 1
 _MAX_INT64 = 2**63 - 1
 
-#: A number that counts things, from nothing on.
+#: Non-negative 32-bit integer.
 Count = typing.Annotated[int, msgspec.Meta(ge=0, le=_MAX_INT32)]
-#: A whole number that is at least one.
+#: Positive 32-bit integer.
 Positive = typing.Annotated[int, msgspec.Meta(ge=1, le=_MAX_INT32)]
-#: A whole number that keeps growing.
+#: Non-negative 64-bit integer, for values that only increase.
 Counter = typing.Annotated[int, msgspec.Meta(ge=0, le=_MAX_INT64)]
-#: Milliseconds of Unix time.
+#: Unix time in milliseconds.
 UnixMilliseconds = typing.Annotated[int, msgspec.Meta(ge=1, le=_MAX_INT64)]
-#: Layers of a model; heartbeats carry 16 bits of them.
+#: Number of a model's layer; heartbeats encode it in 16 bits.
 LayerNumber = typing.Annotated[int, msgspec.Meta(ge=0, le=65535)]
 Name = typing.Annotated[str, msgspec.Meta(min_length=1, max_length=200)]
 
@@ -35,13 +35,13 @@
 
 
 def decode(payload: bytes, body_type: type[_T], step: str, peer: str) -> _T:
-    """Decode JSON of any origin.
+    """Decode JSON of any origin into ``body_type``.
 
-    Failure: a record nested a hundred thousand deep in a field that nobody
-    reads ended the reading of all records that came with it: the library
-    reports that as a recursion error, not as malformed input.
+    msgspec reports JSON nested 100,000 levels deep as a ``RecursionError``,
+    also in a field that ``body_type`` does not have. Without catching it, one
+    such record would stop the decoding of all records read with it.
 
-    :raises MalformedMessageError: it is something else.
+    :raises MalformedMessageError: the payload is not JSON of ``body_type``.
     """
     try:
         return msgspec.json.decode(payload, type=body_type)
@@ -50,19 +50,20 @@
 
 
 def check_id(text: str, step: str) -> None:
-    """Check an id, which other processes and headers are to carry.
+    """Check that an id can be sent to other processes and in headers.
 
-    :raises MalformedMessageError: it isn't short and printable.
+    :raises MalformedMessageError: the id is empty, longer than 128 characters
+        or not printable ASCII.
     """
     if _ID.fullmatch(text) is None:
-        raise malformed_error(f'{text!r} is no id', step, 'id')
+        raise malformed_error(f'{text!r} is not a valid id', step, 'id')
 
 
 def check_address(text: str, step: str) -> None:
-    """Check an address that is to be connected to.
+    """Check that a connection can be opened to an address.
 
-    :raises MalformedMessageError: it isn't ``host:port`` with the IP number,
-        of version 4, of one machine.
+    :raises MalformedMessageError: the address is not ``host:port`` with a
+        unicast IPv4 address as the host.
     """
     try:
         address = addresses.Address.from_text(text)
@@ -73,7 +74,9 @@
         number.is_unspecified or number.is_multicast or number.is_reserved
     )
     if number.version != _IP_VERSION or not is_unicast:
-        raise malformed_error(f'{text!r} is no machine', step, 'address')
+        raise malformed_error(
+            f'{text!r} is not a unicast IPv4 address', step, 'address'
+        )
 
 
 def malformed_error(
@@ -81,7 +84,7 @@
     step: str,
     peer: str,
 ) -> errors.MalformedMessageError:
-    """Return an error of bounded length."""
+    """Return an error whose texts are truncated to a bounded length."""
     return errors.MalformedMessageError(
         detail[:_MAX_ERROR_LENGTH],
         step=step,
--- a/clementinepass/platform/dialect.py
+++ b/clementinepass/platform/dialect.py
@@ -1,4 +1,4 @@
-"""Callers' and endpoints' headers, read and written."""
+"""Translation of the callers' and endpoints' HTTP headers."""
 
 from __future__ import annotations
 
@@ -15,21 +15,21 @@
 _ID = b'X-Attempt-Id'
 _ID_NAME = b'x-attempt-id'
 _KEY_NAME = b'x-api-key'
-#: How many milliseconds the caller waits; sent on with what is left.
+#: Milliseconds that the caller waits; forwarded with the remaining time.
 _DEADLINE = b'X-Deadline-Ms'
 _DEADLINE_NAME = b'x-deadline-ms'
-#: Tokens of the prompt and of the longest answer, with a comma between.
+#: Tokens of the prompt and of the longest answer, separated by a comma.
 _USAGE_NAME = b'x-token-usage'
 _RESUME = b'Last-Event-Id'
 _RESUME_NAME = b'last-event-id'
 _EXPECT_INSTANCE = b'X-Expect-Instance'
 _EXPECT_VERSION = b'X-Expect-Version'
-#: The name of the team whose key the caller showed.
+#: The name of the team that the caller's key belongs to.
 _TEAM = b'X-Tenant'
 _URGENCY = b'X-Request-Priority'
-#: What makes an answer an endpoint's own.
+#: Present on each answer that an endpoint itself wrote.
 _STAMP_NAME = b'x-server-stamp'
-#: Says that the endpoint did not run the request, whatever the status.
+#: Present if the endpoint did not run the request, whatever the status.
 _NOT_RUN_NAME = b'x-not-executed'
 _INSTANCE_NAME = b'x-instance-id'
 _MISDIRECTED = 421
@@ -37,7 +37,7 @@
 _EVENT_STREAM = b'text/event-stream'
 _MAX_ID_LENGTH = 200
 _PRIVATE_HEADERS = frozenset((_KEY_NAME,))
-#: Headers that the system sets itself, whatever the caller sent.
+#: Headers of a caller that are dropped, since the system sets its own.
 _OVERWRITTEN_HEADERS = frozenset(
     (
         _KEY_NAME,
@@ -54,7 +54,7 @@
 
 
 class HeaderDialect:
-    """Read and write the headers of the users' callers and endpoints."""
+    """Decode and encode the headers of callers and endpoints."""
 
     __slots__ = ()
 
@@ -70,7 +70,9 @@
             not 0 < len(call_id) <= _MAX_ID_LENGTH
             or headers.count(_ID_NAME) != 1
         ):
-            raise calls.InvalidRequestError('a request needs one id')
+            raise calls.InvalidRequestError(
+                'a request needs exactly one id header'
+            )
         try:
             return self._decode_call(call_id.decode('latin-1'), request)
         except calls.InvalidRequestError as error:
@@ -100,7 +102,7 @@
     def encode_attempt(
         self, call: calls.Call, parameters: calls.AttemptParameters
     ) -> bytes:
-        """Return the request for an endpoint as it goes on the wire."""
+        """Return one attempt's request to an endpoint, encoded for the wire."""
         request = call.request
         pairs = request.headers.end_to_end(_OVERWRITTEN_HEADERS)
         remaining_ms = max(int(parameters.timeout_seconds * _MS), 1)
@@ -136,7 +138,7 @@
         )
 
     def refusal_headers(self, call: calls.Call | None) -> list[messages.Pair]:
-        """Return the headers of an answer of the system's own."""
+        """Return the headers of an answer that the system itself gives."""
         if call is None:
             return []
         return [(_ID, call.id.encode('latin-1'))]
@@ -162,16 +164,18 @@
 def _parse_number(
     field: bytes | None, parse: Callable[[bytes], _T]
 ) -> _T | None:
-    """Read a number, if there is one.
+    """Return a header's number; ``None`` if the header is absent.
 
-    :raises InvalidRequestError: there is something else.
+    :raises InvalidRequestError: the header does not hold a number.
     """
     if field is None:
         return None
     try:
         return parse(field)
     except ValueError as error:
-        raise calls.InvalidRequestError('a header holds no number') from error
+        raise calls.InvalidRequestError(
+            'a header does not hold a number'
+        ) from error
 
 
 def _parse_seconds(field: bytes) -> float:
@@ -188,9 +192,10 @@
 
 
 def _parse_usage(field: bytes | None) -> tuple[int, int]:
-    """Return tokens to read and to write; zeros where it isn't said.
+    """Return the tokens of the prompt and of the longest answer.
 
-    An estimate of the load only, so that a strange one refuses nobody.
+    Zeros if the header is absent or malformed: the figures only estimate the
+    load, so a malformed header does not reject the request.
     """
     parts = (field or b'').split(b',')
     if len(parts) != 2 or not all(part.strip().isdigit() for part in parts):
--- a/clementinepass/platform/directory.py
+++ b/clementinepass/platform/directory.py
@@ -1,4 +1,4 @@
-"""Answer where to connect, and whether an entry is ready."""
+"""HTTP handlers of the directory of entries and of the readiness probe."""
 
 from __future__ import annotations
 
@@ -17,26 +17,26 @@
 _NOT_FOUND = 404
 _UNAVAILABLE = 503
 _JSON = [(b'Content-Type', b'application/json')]
-#: Addresses in one answer; callers take no more.
+#: Maximum number of addresses in one answer; callers accept no more.
 _MAX_ADDRESSES = 64
 
 
 class _Resolved(msgspec.Struct, rename='camel'):
-    """The callers' addresses of entries, and how long to keep the list."""
+    """Addresses of entries for callers, and how long to cache the list."""
 
     addresses: list[str]
     ttl_s: float = msgspec.field(name='ttlS')
 
 
 class HttpDirectory:
-    """Speak the two questions' protocol."""
+    """Serve the directory of entries and the readiness probe over HTTP."""
 
     __slots__ = ()
 
     def create_handler(
         self, entry_directory: directory.EntryDirectory
     ) -> connection.Handler:
-        """Return what answers the questions."""
+        """Return a handler that answers from ``entry_directory``."""
 
         async def answer(  # noqa: WPS430
             request: messages.Request,
--- a/clementinepass/platform/engine.py
+++ b/clementinepass/platform/engine.py
@@ -1,4 +1,4 @@
-"""Adapters for the engine on an agent's machine and the origin of weights."""
+"""Adapters for the engine beside an agent and for the origin of weights."""
 
 from __future__ import annotations
 
@@ -15,42 +15,43 @@
 _ACCEPTED = 202
 _NOT_FOUND = 404
 _GONE = 410
-#: Seconds for a call to the engine beside; it answers in a millisecond, and
-#: later when the machine is slow.
+#: Timeout of a call to the local engine. It answers within a millisecond, and
+#: later on a slow machine.
 _ENGINE_TIMEOUT_SECONDS = 2.0
-#: Seconds for a piece from the origin: a sixth of a second when half its link
-#: is free, and many times that when its link is narrow.
+#: Timeout of fetching a piece from the origin. This takes a sixth of a second
+#: when half of the origin's link is free, and many times that on a narrow link.
 _PIECE_TIMEOUT_SECONDS = 2.5
 _MANIFEST_TIMEOUT_SECONDS = 1.5
 _T = typing.TypeVar('_T')
 
 
 class _CamelStruct(msgspec.Struct, rename='camel'):
-    """A body in the engines' spelling; unknown fields are passed over."""
+    """A JSON body with camel-case names; unknown fields are ignored."""
 
 
 class _Report(_CamelStruct):
-    """All that is needed must be there.
+    """The engine's state; fields that decisions depend on are required.
 
-    Failure: a report without its fields read as that of an engine that holds
-    nothing and has begun no order, and that is what has an engine loaded.
+    With defaults, a report without its fields would look like that of an
+    engine without weights that has started no order, and the agent would
+    order the engine to load.
     """
 
     models: list[registry.Model]
-    #: Whether an order is in progress, not whether requests are.
+    #: Whether an order is in progress; requests in progress don't count.
     busy: bool
-    #: The number of orders accepted, unlike the field of the same name in
-    #: the endpoint's record, which counts heartbeats.
+    #: Number of orders accepted. The field of the same name in an endpoint's
+    #: record counts heartbeats.
     sequence: decoding.Count
     active: decoding.Count
     queued: decoding.Count
     layers: registry.Layers | list[registry.Layers] | None = None
-    #: Milliseconds of Unix time at its start; older engines don't tell it.
+    #: Unix time of the engine's start; older engines omit it.
     born: decoding.UnixMilliseconds | msgspec.UnsetType = msgspec.UNSET
 
 
 class _StagedPieces(_CamelStruct):
-    #: Numbers of the pieces that lie staged.
+    #: Numbers of the staged pieces.
     held: list[decoding.Count]
 
 
@@ -64,16 +65,18 @@
     op: str
     model: str
     version: int
-    #: Whether running requests are finished first (``queue``) or cut.
+    #: Whether running requests are finished (``queue``) or aborted
+    #: (``truncate``) before the switch.
     switch_mode: str
-    #: The number of orders that the engine must have begun.
+    #: Number of orders that the engine must have started, or it rejects the
+    #: order.
     expected: int
-    #: The engine refuses one that is lower than any that it has seen.
+    #: The engine rejects a token that is lower than the highest it has seen.
     fencing_token: int
 
 
 class _Client:
-    """Exchange whole messages with one address."""
+    """HTTP client that exchanges complete messages with one address."""
 
     __slots__ = ('_address', '_pool')
 
@@ -83,7 +86,7 @@
 
     @property
     def last_received_at(self) -> float:
-        """Return the monotonic seconds at which a byte of it last came."""
+        """Monotonic time in seconds at which the last byte was received."""
         return self._pool.last_received_at
 
     async def call(
@@ -94,9 +97,9 @@
         seconds: float = _ENGINE_TIMEOUT_SECONDS,
         content_type: bytes = b'application/json',
     ) -> pool.Answer:
-        """Return the answer.
+        """Send a request and return the complete answer.
 
-        :raises PeerUnavailableError: there is none.
+        :raises PeerUnavailableError: no complete answer arrived in time.
         """
         pairs = [(b'Host', self._address.encode())]
         if body:
@@ -111,35 +114,35 @@
                 peer=self._address,
             ) from error
 
-    def check(self, fetched: pool.Answer, step: str) -> None:
-        """Raise an error for any answer but success.
+    def check(self, answer: pool.Answer, step: str) -> None:
+        """Check that an answer's status is a success.
 
-        :raises PeerUnavailableError: the answer is something else.
+        :raises PeerUnavailableError: the status is another.
         """
-        if fetched.status not in {_OK, _ACCEPTED}:
+        if answer.status not in {_OK, _ACCEPTED}:
             raise errors.PeerUnavailableError(
-                f'status {fetched.status}',
+                f'status {answer.status}',
                 step=step,
                 peer=self._address,
             )
 
     def decode(
         self,
-        fetched: pool.Answer,
+        answer: pool.Answer,
         body_type: type[_T],
         step: str,
     ) -> _T:
-        """Decode a body.
+        """Decode an answer's body into ``body_type``.
 
-        :raises MalformedMessageError: it is something else.
+        :raises MalformedMessageError: the body is not JSON of that type.
         """
-        return decoding.decode(fetched.body, body_type, step, self._address)
+        return decoding.decode(answer.body, body_type, step, self._address)
 
 
 class HttpEngine:
-    """Speak the engine's protocol, from its own machine.
+    """Adapter for the HTTP protocol of the engine on the same machine.
 
-    :param address: ``host:port`` of the engine.
+    :param address: the engine's address, ``host:port``.
     """
 
     __slots__ = ('_client',)
@@ -150,11 +153,12 @@
     async def report(self) -> weights.EngineReport:
         """Return the engine's state.
 
-        :raises PeerUnavailableError: it doesn't answer.
+        :raises PeerUnavailableError: the engine doesn't answer.
+        :raises MalformedMessageError: the report could not be decoded.
         """
-        fetched = await self._client.call(b'GET', '/api/report')
-        self._client.check(fetched, 'report')
-        report = self._client.decode(fetched, _Report, 'report')
+        answer = await self._client.call(b'GET', '/api/report')
+        self._client.check(answer, 'report')
+        report = self._client.decode(answer, _Report, 'report')
         return weights.EngineReport(
             registry.loaded_weights(report.models, report.layers),
             report.busy,
@@ -165,43 +169,43 @@
         )
 
     async def staged_numbers(self, model: str) -> frozenset[int]:
-        """Return the numbers of the pieces that lie staged.
+        """Return the numbers of the staged pieces.
 
         :raises PeerUnavailableError: the engine doesn't answer.
         """
-        fetched = await self._client.call(b'GET', f'/api/stage-get/{model}')
-        if fetched.status == _NOT_FOUND:
+        answer = await self._client.call(b'GET', f'/api/stage-get/{model}')
+        if answer.status == _NOT_FOUND:
             return frozenset()
-        self._client.check(fetched, 'list what is staged')
+        self._client.check(answer, 'list staged pieces')
         staged = self._client.decode(
-            fetched, _StagedPieces, 'list what is staged'
+            answer, _StagedPieces, 'list staged pieces'
         )
         return frozenset(staged.held)
 
     async def stage(self, model: str, number: int, piece: bytes) -> None:
-        """Stage a piece, in place of what lies there.
+        """Stage a piece, replacing the staged piece of that number.
 
         :raises PeerUnavailableError: the engine doesn't answer.
         """
-        fetched = await self._client.call(
+        answer = await self._client.call(
             b'PUT',
             f'/api/stage-put/{model}?num={number}',
             piece,
             content_type=b'application/octet-stream',
         )
-        self._client.check(fetched, 'stage')
+        self._client.check(answer, 'stage')
 
     async def staged_piece(self, model: str, number: int) -> bytes | None:
-        """Return a staged piece as it is now; ``None`` if there is none.
+        """Return the content of a staged piece; ``None`` if it is not staged.
 
         :raises PeerUnavailableError: the engine doesn't answer.
         """
         target = f'/api/stage-get/{model}?num={number}'
-        fetched = await self._client.call(b'GET', target)
-        if fetched.status == _NOT_FOUND:
+        answer = await self._client.call(b'GET', target)
+        if answer.status == _NOT_FOUND:
             return None
-        self._client.check(fetched, 'read what is staged')
-        return fetched.body
+        self._client.check(answer, 'read staged piece')
+        return answer.body
 
     async def load(
         self,
@@ -209,30 +213,30 @@
         version: int,
         report: weights.EngineReport,
     ) -> weights.OrderResult:
-        """Order the engine to load what is staged.
+        """Order the engine to load the staged pieces.
 
-        It names the number of orders that the engine had begun when it was
-        looked at, so that one that was held up on the way does nothing.
+        The order states the number of orders that the engine had started at
+        the time of ``report``, so that a delayed order has no effect.
         """
         order = _Order(
             'start', model, version, 'truncate', report.orders, version
         )
         body = msgspec.json.encode(order)
         try:
-            fetched = await self._client.call(b'POST', '/api/order', body)
+            answer = await self._client.call(b'POST', '/api/order', body)
         except errors.PeerUnavailableError:
             return weights.OrderResult.UNKNOWN
-        if fetched.status == _ACCEPTED:
+        if answer.status == _ACCEPTED:
             return weights.OrderResult.ACCEPTED
-        if fetched.status == _OK:
+        if answer.status == _OK:
             return weights.OrderResult.DONE
         return weights.OrderResult.REJECTED
 
 
 class HttpOrigin:
-    """Speak the protocol of the service that hands out weights.
+    """Adapter for the HTTP protocol of the origin of weights.
 
-    :param address: ``host:port``.
+    :param address: the origin's address, ``host:port``.
     """
 
     __slots__ = ('_client',)
@@ -242,7 +246,7 @@
 
     @property
     def last_received_at(self) -> float:
-        """Return the monotonic seconds at which a byte of it last came."""
+        """Monotonic time in seconds at which the last byte was received."""
         return self._client.last_received_at
 
     async def manifest(
@@ -250,21 +254,21 @@
         model: str,
         version: int,
     ) -> weights.Manifest | None:
-        """Return the manifest of a version; ``None`` if it has none.
+        """Return the manifest of a version; ``None`` if the origin has none.
 
         :raises PeerUnavailableError: the origin doesn't answer.
-        :raises MalformedMessageError: it answers with something else.
+        :raises MalformedMessageError: the manifest could not be decoded.
         """
         target = f'/api/manifest/{model}?version={version}'
-        fetched = await self._client.call(
+        answer = await self._client.call(
             b'GET',
             target,
             seconds=_MANIFEST_TIMEOUT_SECONDS,
         )
-        if fetched.status in {_GONE, _NOT_FOUND}:
+        if answer.status in {_GONE, _NOT_FOUND}:
             return None
-        self._client.check(fetched, 'manifest')
-        manifest = self._client.decode(fetched, _Manifest, 'manifest')
+        self._client.check(answer, 'manifest')
+        manifest = self._client.decode(answer, _Manifest, 'manifest')
         return weights.Manifest(
             manifest.model,
             manifest.version,
@@ -277,7 +281,7 @@
         version: int,
         known_count: int,
     ) -> weights.Availability:
-        """Return nothing: the origin has all pieces, and isn't asked."""
+        """Return an empty availability: the origin always has all pieces."""
         return weights.Availability()
 
     async def piece(
@@ -286,17 +290,17 @@
         version: int,
         number: int,
     ) -> weights.Piece:
-        """Return a piece, unchecked.
+        """Return a piece; its digest is not verified here.
 
         :raises PeerUnavailableError: the origin doesn't answer.
         """
         target = f'/api/piece/{model}?num={number}&version={version}'
-        fetched = await self._client.call(
+        answer = await self._client.call(
             b'GET',
             target,
             seconds=_PIECE_TIMEOUT_SECONDS,
         )
-        if fetched.status in {_GONE, _NOT_FOUND}:
+        if answer.status in {_GONE, _NOT_FOUND}:
             return weights.Piece(None)
-        self._client.check(fetched, 'piece')
-        return weights.Piece(fetched.body, seconds=fetched.seconds)
+        self._client.check(answer, 'piece')
+        return weights.Piece(answer.body, seconds=answer.seconds)
--- a/clementinepass/platform/instance_list.py
+++ b/clementinepass/platform/instance_list.py
@@ -12,7 +12,7 @@
 
 
 class InstanceAnswer(msgspec.Struct, frozen=True, forbid_unknown_fields=True):
-    """One instance as it is sent."""
+    """One instance as encoded in the list's answer."""
 
     id: str
     role: protocols.Role
@@ -25,13 +25,13 @@
 
 
 class InstancesAnswer(msgspec.Struct, frozen=True, forbid_unknown_fields=True):
-    """All instances shown."""
+    """Answer with all listed instances."""
 
     instances: tuple[InstanceAnswer, ...]
 
 
 class HttpInstanceList:
-    """Speak the instance list's HTTP protocol.
+    """Adapter for the HTTP protocol of the instance list.
 
     :param address: the service's address, ``host:port``.
     """
@@ -50,11 +50,11 @@
         self._transport.close()
 
     def instances(self) -> tuple[protocols.Instance, ...]:
-        """Return all instances shown now.
+        """Return all instances that are listed now.
 
         :raises PlatformUnavailableError: the list did not answer.
-        :raises MalformedMessageError: the answer could not be decoded, names
-            an instance twice, or an address that is none.
+        :raises MalformedMessageError: the answer could not be decoded, lists
+            an instance twice, or contains an invalid address.
         """
         reply = self._transport.exchange('GET', '/v1/instances', step=_STEP)
         answer = self._transport.decode(reply, InstancesAnswer, _STEP)
@@ -63,11 +63,16 @@
             for instance in answer.instances
         }
         if len(instances_by_id) != len(answer.instances):
-            raise self._transport.malformed_error(_STEP, 'an id stands twice')
+            raise self._transport.malformed_error(
+                _STEP, 'duplicate instance id'
+            )
         return tuple(instances_by_id.values())
 
     def _validated(self, instance: InstanceAnswer) -> protocols.Instance:
-        """Check an instance's addresses and return it."""
+        """Check an instance's addresses and convert it.
+
+        :raises MalformedMessageError: an address is invalid.
+        """
         texts = [instance.address]
         if instance.role is protocols.Role.ENTRY and instance.callers_address:
             texts.append(instance.callers_address)
@@ -83,5 +88,5 @@
         try:
             addresses.Address.from_text(address)
         except errors.MalformedMessageError as error:
-            detail = f'instance {instance_id}: no address: {address!r}'
+            detail = f'instance {instance_id}: invalid address {address!r}'
             raise self._transport.malformed_error(_STEP, detail) from error
--- a/clementinepass/platform/log_service.py
+++ b/clementinepass/platform/log_service.py
@@ -15,31 +15,31 @@
 
 _GONE = 410
 _MS_PER_SECOND = 1000
-#: By how much a page shrinks that was too long.
+#: Divides the record limit of a page after an answer that was too long.
 _LIMIT_DIVISOR = 4
 
 
 class AppendBody(msgspec.Struct, frozen=True):
-    """An append as it is sent; payloads in base64."""
+    """Request to append records; payloads are base64-encoded."""
 
     payloads: tuple[bytes, ...]
 
 
 class AppendAnswer(msgspec.Struct, frozen=True, forbid_unknown_fields=True):
-    """The offsets of appended records."""
+    """Answer with the offsets of the appended records."""
 
     offsets: tuple[int, ...]
 
 
 class RecordAnswer(msgspec.Struct, frozen=True, forbid_unknown_fields=True):
-    """One record read; its payload in base64."""
+    """One record as encoded in a page; its payload is base64-encoded."""
 
     offset: int
     payload: bytes
 
 
 class ReadAnswer(msgspec.Struct, frozen=True, forbid_unknown_fields=True):
-    """A page of records."""
+    """Answer with a page of records."""
 
     oldest: int
     next_offset: int
@@ -48,13 +48,13 @@
 
 
 class ExpiredAnswer(msgspec.Struct, frozen=True, forbid_unknown_fields=True):
-    """The offset asked for is older than the oldest one kept."""
+    """Answer that the requested offset is older than the oldest retained."""
 
     oldest: int
 
 
 class HttpLogService:
-    """Speak the log service's HTTP protocol.
+    """Adapter for the HTTP protocol of the log service.
 
     :param address: the service's address, ``host:port``.
     """
@@ -77,13 +77,13 @@
         stream: str,
         payloads: Sequence[bytes],
     ) -> tuple[int, ...]:
-        """Append records in order, all or none, and return their offsets.
+        """Append records in order, atomically, and return their offsets.
 
         :raises PlatformUnavailableError: the records may have been appended
             when the error's ``sent`` is true.
         :raises MalformedMessageError: the answer could not be decoded; the
             records may have been appended.
-        :raises ThrottledError: the rate limit is reached; nothing was
+        :raises ThrottledError: the rate limit is exceeded; nothing was
             appended.
         """
         if not payloads:
@@ -106,9 +106,13 @@
         limit: int = 1000,
         wait: float = 0,
     ) -> protocols.RecordPage:
-        """Read from ``offset``; wait up to ``wait`` seconds for a record.
+        """Read records from ``offset`` on.
 
-        :raises RecordsExpiredError: ``offset`` is older than what is kept.
+        :param limit: maximum number of records to return.
+        :param wait: seconds to wait for a record if there is none yet.
+
+        :raises RecordsExpiredError: records at ``offset`` are no longer
+            retained.
         :raises PlatformUnavailableError: the service did not answer.
         :raises MalformedMessageError: the answer could not be decoded.
         """
@@ -117,9 +121,9 @@
             try:
                 return self._read_page(stream, offset, count, wait)
             except errors.MessageTooLongError:
-                # A page of many large records is longer than what we accept,
-                # and would be so again at each retry: the reader would never
-                # get past it. Reading has no effect, so fewer are asked for.
+                # A page of many large records exceeds the size limit at each
+                # retry, so the reader would never get past it. Reading has no
+                # side effects, hence it is repeated with fewer records.
                 if count <= 1:
                     raise
                 count = max(1, count // _LIMIT_DIVISOR)
@@ -164,10 +168,12 @@
         offset: int,
     ) -> errors.ClementinepassError:
         answer = self._transport.decode(reply, ExpiredAnswer, 'read')
-        # A reader begins again at the oldest offset; one that isn't above
-        # the offset asked for would send it round in a circle.
+        # A reader restarts at the oldest offset. If that is not above the
+        # requested offset, the reader would loop forever.
         if answer.oldest <= offset:
-            return self._transport.malformed_error('read', 'expired, yet kept')
+            return self._transport.malformed_error(
+                'read', 'offset reported as expired is retained'
+            )
         return errors.RecordsExpiredError(
             step='read',
             peer=self._transport.peer,
@@ -175,11 +181,11 @@
         )
 
     def _check_offsets(self, offsets: tuple[int, ...], count: int) -> None:
-        """Check that each record has an offset, and that they grow."""
+        """Check that there is an offset per record, in ascending order."""
         ordered = sorted(set(offsets))
         if len(offsets) != count or ordered != list(offsets) or ordered[0] < 0:
             raise self._transport.malformed_error(
-                'append', 'offsets do not fit'
+                'append', 'offsets do not match the records'
             )
 
     def _check_page(
@@ -188,20 +194,20 @@
         offset: int,
         limit: int,
     ) -> None:
-        """Check that a page holds the records asked for, without a gap.
+        """Check that a page holds the requested records without a gap.
 
-        A reader that took a page with a gap would fold the stream differently
-        from all others, and never notice.
+        A reader that accepted a page with a gap would silently compute another
+        state from the stream than all other readers.
         """
         count = len(page.records)
         offsets = [record.offset for record in page.records]
         contiguous = list(range(offset, offset + count))
         if offsets != contiguous or page.next_offset != offset + count:
-            raise self._transport.malformed_error('read', 'offsets do not fit')
+            raise self._transport.malformed_error('read', 'offsets have a gap')
         if count > limit or not 0 <= page.oldest <= page.end:
-            raise self._transport.malformed_error('read', 'page does not fit')
+            raise self._transport.malformed_error('read', 'invalid page')
         if count and (offset < page.oldest or page.end < page.next_offset):
-            raise self._transport.malformed_error('read', 'page does not fit')
+            raise self._transport.malformed_error('read', 'invalid page')
 
 
 def _records_path(stream: str) -> str:
--- a/clementinepass/platform/node_settings.py
+++ b/clementinepass/platform/node_settings.py
@@ -1,6 +1,6 @@
-"""Decode the settings file that the platform writes for each process.
+"""Decode the JSON settings file that the platform writes for each process.
 
-The deploy file has it written as JSON, with the platform's names.
+The deploy file defines the file's content; its names are the platform's.
 """
 
 from __future__ import annotations
@@ -12,30 +12,30 @@
 from clementinepass import errors
 from clementinepass.direct import node
 
-#: The environment variable with the file's path.
+#: Name of the environment variable that holds the file's path.
 VARIABLE = 'CLEMENTINEPASS_SETTINGS'
 _MS = 1000
 _STEP = 'read settings'
 
 
 class _CamelStruct(msgspec.Struct, rename='camel'):
-    """A table in the platform's spelling; unknown fields are passed over."""
+    """A JSON object with camel-case names; unknown fields are ignored."""
 
 
 class _Listen(_CamelStruct):
-    #: Callers' requests.
+    #: Address on which an entry accepts callers' requests.
     front: str = ''
-    #: The platform's question whether the process is ready.
+    #: Address on which the platform probes readiness.
     ready: str = ''
-    #: Callers' question which entries to use.
+    #: Address on which callers fetch the list of entries.
     directory: str = ''
 
 
 class _Bounds(msgspec.Struct):
-    """The names are in two spellings, as sent."""
+    """Bounds that the platform sets; names mix camel case and snake case."""
 
     drainMs: float = 2000  # noqa: N815
-    #: Milliseconds after a disturbance in which no bound is held against a
+    #: Milliseconds after a disturbance during which no bound is enforced on a
     #: process.
     stableWindowMs: float = 3000  # noqa: N815
     graceS: float = 8  # noqa: N815
@@ -43,7 +43,7 @@
     budgetWindowS: float = 10  # noqa: N815
     budgetSlack: float = 100  # noqa: N815
     version_ms: float = 8000
-    #: Seconds for which callers keep a list of entries at most.
+    #: Maximum number of seconds for which callers cache a list of entries.
     ttl_max_s: float = 5
 
 
@@ -52,7 +52,7 @@
 
 
 class _Limits(_CamelStruct):
-    #: What the machine's link carries.
+    #: Bandwidth of the machine's link in megabits per second.
     link_mbps: float = 1000
 
 
@@ -65,8 +65,8 @@
     zones: dict[str, str] = {}
     listen: _Listen | None = None
     internal_ports: list[int] = []
-    #: Addresses of a kind of listener that this project does not use; only
-    #: their IP numbers say where other processes are.
+    #: Addresses of other processes. Their ports belong to a kind of listener
+    #: that this project does not use, so only the IP addresses matter.
     seeds: list[str] = []
     bounds: _Bounds | None = None
     limits: _Limits | None = None
@@ -78,7 +78,7 @@
 def read(path: str) -> node.Node:
     """Read the settings file.
 
-    :raises SettingsError: the file is missing or can't be understood.
+    :raises SettingsError: the file is missing or malformed.
     """
     try:
         settings = msgspec.json.decode(
--- a/clementinepass/platform/operator.py
+++ b/clementinepass/platform/operator.py
@@ -1,4 +1,4 @@
-"""Decode what the operator writes: configurations and named versions."""
+"""Decode the operator's records: configurations and desired versions."""
 
 from __future__ import annotations
 
@@ -13,9 +13,9 @@
 if typing.TYPE_CHECKING:
     from clementinepass.direct import records
 
-#: The operator's key of the whole configuration.
+#: Key of the record that holds the complete configuration.
 _CONFIG_KEY = 'config'
-#: What its keys of named versions begin with; the model's name follows.
+#: Prefix of the keys of desired versions; the model's name follows.
 _VERSION_PREFIX = 'version/'
 _MS = 1000
 _STEP = 'decode'
@@ -27,7 +27,7 @@
 
 
 class _CamelStruct(msgspec.Struct, rename='camel'):
-    """A body in the operator's spelling; unknown fields are passed over."""
+    """A JSON body with camel-case names; unknown fields are ignored."""
 
 
 class _Backend(_CamelStruct):
@@ -39,10 +39,10 @@
     name: str
     host: str
     path_prefix: str
-    #: What may be repeated; anything unknown is taken for the strictest.
+    #: Whether requests may be retried; an unknown kind is never retried.
     route_kind: str = ''
     timeout_ms: float = 30000
-    #: The time within which an answer earns its full value.
+    #: Latency target; an answer within it earns its full value.
     slo_ms: float = 1000
     priority: int = 0
     service: str = ''
@@ -50,7 +50,7 @@
     max_attempts: int = 1
     public: bool = False
     resumable: bool = False
-    #: The longest pause between events of a stream that is on time.
+    #: Longest pause between events of a stream that is on time.
     gap_target_ms: float = 0
 
 
@@ -64,16 +64,17 @@
 
 
 class _Engine(msgspec.Struct):
-    """Some names are in snake case, others in camel case, as sent."""
+    """Engine of a service; names mix camel case and snake case."""
 
     slots: decoding.Positive
     models: list[_EngineModel] = []
     layers: decoding.LayerNumber = 0
     chunks: decoding.Count = 0
     chunkBytes: decoding.Count = 0  # noqa: N815
-    #: Milliseconds for a token of each running request.
+    #: Milliseconds of a decoding step, which yields one token for each
+    #: running request.
     step_ms: float = 0
-    #: Prompt tokens read in a second.
+    #: Prompt tokens processed per second.
     read_per_s: float = 0
     usual: _Usual | None = None
 
@@ -116,7 +117,7 @@
 def read(
     record: records.Record,
 ) -> routing.Routing | intake.NamedVersion | None:
-    """Decode a record of the operator; ``None`` for one of no concern.
+    """Decode an operator's record; ``None`` if its key is not relevant.
 
     :raises MalformedMessageError: the record can't be decoded.
     """
--- a/clementinepass/platform/origin.py
+++ b/clementinepass/platform/origin.py
@@ -1,4 +1,4 @@
-"""Adapter for the origin that holds the weights."""
+"""Adapter for the origin of weights."""
 
 from __future__ import annotations
 
@@ -8,7 +8,7 @@
 
 
 class HttpOrigin:
-    """Speak the origin's HTTP protocol.
+    """Adapter for the HTTP protocol of the origin of weights.
 
     :param address: the service's address, ``host:port``.
     """
@@ -27,14 +27,13 @@
         self._transport.close()
 
     def chunk(self, digest: str) -> bytes:
-        """Return a chunk's bytes by its SHA-256, in hexadecimal.
-
-        The bytes are as they came; the caller checks them by the digest.
+        """Return a chunk's bytes as received; the caller verifies the digest.
 
+        :param digest: SHA-256 of the chunk, in hexadecimal.
         :raises ContentMissingError: the origin has no such chunk.
-        :raises ThrottledError: the origin asks for fewer reads.
+        :raises ThrottledError: the rate limit is exceeded.
         :raises PlatformUnavailableError: the origin did not answer.
-        :raises MalformedMessageError: the answer is no message or too long.
+        :raises MalformedMessageError: the answer is malformed or too long.
         """
         name = urllib.parse.quote(digest, safe='')
         path = f'/v1/chunks/{name}'
--- a/clementinepass/platform/protocols.py
+++ b/clementinepass/platform/protocols.py
@@ -1,4 +1,4 @@
-"""What the system asks of the platform, one Protocol for each service."""
+"""Interfaces of the platform's services, one Protocol for each service."""
 
 from __future__ import annotations
 
@@ -16,32 +16,32 @@
 
 
 class RecordPage(msgspec.Struct, frozen=True):
-    """Records read from a stream."""
+    """A page of records read from a stream."""
 
-    #: The oldest offset that the log still keeps.
+    #: The oldest offset that the log retains.
     oldest: int
-    #: The offset that the next record to read has.
+    #: The offset at which the next read starts.
     next_offset: int
-    #: The offset that the next appended record will get.
+    #: The offset of the next record to be appended.
     end: int
     records: tuple[Record, ...] = ()
 
 
 class LogService(typing.Protocol):
-    """Append-only streams of records with offsets, kept for a limited time."""
+    """Append-only streams of records, retained for a limited time."""
 
     def append(
         self,
         stream: str,
         payloads: typing.Sequence[bytes],
     ) -> tuple[int, ...]:
-        """Append records in order, all or none, and return their offsets.
+        """Append records in order, atomically, and return their offsets.
 
         :raises PlatformUnavailableError: the records may have been appended
             when the error's ``sent`` is true.
         :raises MalformedMessageError: the answer could not be decoded; the
             records may have been appended.
-        :raises ThrottledError: the rate limit is reached; nothing was
+        :raises ThrottledError: the rate limit is exceeded; nothing was
             appended.
         """
 
@@ -53,52 +53,56 @@
         limit: int = 1000,
         wait: float = 0,
     ) -> RecordPage:
-        """Read from ``offset``; wait up to ``wait`` seconds for a record.
+        """Read records from ``offset`` on.
 
         A page without records means that there is none yet at ``offset``.
 
-        :raises RecordsExpiredError: ``offset`` is older than what is kept.
+        :param limit: maximum number of records to return.
+        :param wait: seconds to wait for a record if there is none yet.
+        :raises RecordsExpiredError: records at ``offset`` are no longer
+            retained.
         :raises PlatformUnavailableError: the service did not answer.
         :raises MalformedMessageError: the answer could not be decoded.
         """
 
 
 class Role(enum.Enum):
-    """What a process of the system does."""
+    """Role of a process of the system."""
 
     ENTRY = 'entry'
     AGENT = 'agent'
 
 
 class InstanceState(enum.Enum):
-    """What the platform says of an instance."""
+    """State of an instance in the platform's list."""
 
     LIVE = 'live'
     LEAVING = 'leaving'
 
 
 class Instance(msgspec.Struct, frozen=True):
-    """One instance as the platform's instance list shows it."""
+    """One instance in the platform's instance list."""
 
     id: str
     role: Role
-    #: Where the process's Cap'n Proto listener is, ``host:port``.
+    #: Address of the process's Cap'n Proto listener, ``host:port``.
     address: str
     region: str
     failure_domain: str
     state: InstanceState = InstanceState.LIVE
-    #: Where an entry takes callers' HTTP, ``host:port``; empty for agents.
+    #: Address on which an entry accepts callers' HTTP requests,
+    #: ``host:port``; empty for agents.
     callers_address: str = ''
-    #: The model or service of an agent's endpoint; empty where the list does
-    #: not say, and then the agent may belong to any.
+    #: The model or service of an agent's endpoint; empty if the list does not
+    #: state it, in which case the agent may belong to any.
     serves: str = ''
 
 
 class InstanceList(typing.Protocol):
-    """Live and leaving instances; the list lags."""
+    """List of live and leaving instances; changes appear with a delay."""
 
     def instances(self) -> tuple[Instance, ...]:
-        """Return all instances shown now.
+        """Return all instances that are listed now.
 
         :raises PlatformUnavailableError: the list did not answer.
         :raises MalformedMessageError: the answer could not be decoded.
@@ -109,27 +113,25 @@
     """The platform's rate-limited store of manifests."""
 
     def manifest(self, digest: str) -> bytes:
-        """Return a manifest's bytes by its SHA-256, in hexadecimal.
-
-        The bytes are as they came; the caller checks them by the digest.
+        """Return a manifest's bytes as received; the caller verifies them.
 
+        :param digest: SHA-256 of the manifest, in hexadecimal.
         :raises ContentMissingError: the store has no such manifest.
-        :raises ThrottledError: the rate limit is reached.
+        :raises ThrottledError: the rate limit is exceeded.
         :raises PlatformUnavailableError: the store did not answer.
-        :raises MalformedMessageError: the answer is no message or too long.
+        :raises MalformedMessageError: the answer is malformed or too long.
         """
 
 
 class Origin(typing.Protocol):
-    """The place that holds the weights; its link is scarce."""
+    """The origin of weights; the bandwidth of its link is scarce."""
 
     def chunk(self, digest: str) -> bytes:
-        """Return a chunk's bytes by its SHA-256, in hexadecimal.
-
-        The bytes are as they came; the caller checks them by the digest.
+        """Return a chunk's bytes as received; the caller verifies the digest.
 
+        :param digest: SHA-256 of the chunk, in hexadecimal.
         :raises ContentMissingError: the origin has no such chunk.
-        :raises ThrottledError: the origin asks for fewer reads.
+        :raises ThrottledError: the rate limit is exceeded.
         :raises PlatformUnavailableError: the origin did not answer.
-        :raises MalformedMessageError: the answer is no message or too long.
+        :raises MalformedMessageError: the answer is malformed or too long.
         """
--- a/clementinepass/platform/registry.py
+++ b/clementinepass/platform/registry.py
@@ -1,8 +1,8 @@
-"""Decode what endpoints write of themselves.
+"""Decode the records that endpoints write about themselves.
 
-Records may come from other writers.  One names an endpoint only if all that
-the users' pages say of such a record is there and of its type; any other is
-malformed, whatever else it holds.
+The topic is also open to other writers.  A record is accepted only if all
+required fields of the endpoints' protocol are present and of the right type;
+any other record is malformed, whatever else it contains.
 """
 
 from __future__ import annotations
@@ -20,12 +20,12 @@
 
 _STEP = 'decode'
 _DRAINING = 'draining'
-#: An address is an IP number, a colon and a port.
+#: Length of the longest IPv4 address with a colon and a port.
 _MAX_ADDRESS_LENGTH = 21
 
 
 class _CamelStruct(msgspec.Struct, rename='camel'):
-    """A body in the endpoints' spelling; unknown fields are passed over."""
+    """A JSON body with camel-case names; unknown fields are ignored."""
 
 
 class Model(_CamelStruct):
@@ -34,7 +34,7 @@
 
 
 class Layers(msgspec.Struct, rename={'first': 'from', 'end': 'target'}):
-    """Layers loaded: from the first up to, but without, the end."""
+    """Half-open range of the loaded layers, and their version."""
 
     first: decoding.LayerNumber = 0
     end: decoding.LayerNumber = 0
@@ -47,22 +47,23 @@
     zone: decoding.Name
     slots: decoding.Positive
     state: typing.Literal['ready', 'draining']
-    #: Grows with each heartbeat of one start; says nothing of orders, unlike
-    #: the field of the same name in a report.
+    #: Increases with each heartbeat since the endpoint's start. The field of
+    #: the same name in an engine's report counts orders.
     sequence: decoding.Counter
-    #: Milliseconds of Unix time at its start; older writers don't tell it.
+    #: Unix time of the endpoint's start; older writers omit it.
     born: decoding.UnixMilliseconds | msgspec.UnsetType = msgspec.UNSET
     models: list[Model] = []
     layers: Layers | list[Layers] | None = None
-    #: Of no use here; of another type they show another writer.
+    #: Not used. They are declared since values of another type show that the
+    #: record is not an endpoint's.
     version: str = ''
     cold_left_ms: float = 0
 
 
 def read(record: records.Record) -> endpoints.Listing | None:
-    """Decode an endpoint's own record; ``None`` where it was removed.
+    """Decode an endpoint's record; ``None`` if the record was removed.
 
-    :raises MalformedMessageError: the record names no endpoint.
+    :raises MalformedMessageError: the record does not describe an endpoint.
     """
     if record.payload is None:
         return None
@@ -89,7 +90,7 @@
 
 
 def start_time(born: int | msgspec.UnsetType) -> int:
-    """Return when a process started, as far as it tells."""
+    """Return the start time of a process; ``UNKNOWN_START`` if omitted."""
     if isinstance(born, msgspec.UnsetType):
         return incarnations.UNKNOWN_START
     return born
@@ -99,7 +100,7 @@
     models: list[Model],
     layers: Layers | list[Layers] | None,
 ) -> endpoints.Weights:
-    """Return what weights an engine has loaded."""
+    """Return the weights that an engine has loaded."""
     if isinstance(layers, list):
         layers = layers[0] if layers else None
     if layers is not None:
--- a/clementinepass/platform/store.py
+++ b/clementinepass/platform/store.py
@@ -1,4 +1,4 @@
-"""Adapter for the platform's store of records."""
+"""Adapter for the platform's store of keyed records."""
 
 from __future__ import annotations
 
@@ -13,8 +13,8 @@
 from clementinepass.http import channel, messages, pool
 from clementinepass.platform import decoding
 
-#: The store's names of what is followed. The first two belong to others and
-#: may only be read.
+#: The store's names of the topics. The first two have other owners and are
+#: only read.
 _NAME_BY_TOPIC = {
     records.Topic.OPERATOR: 'keyed.op',
     records.Topic.ENDPOINTS: 'keyed.servers',
@@ -26,19 +26,21 @@
 _GONE = 410
 _TOO_MANY_REQUESTS = 429
 _OK = 200
-#: Seconds for a read that doesn't wait. The store answers in milliseconds;
-#: eighty times that when it is slow.
+#: Timeout of a read that does not wait for a record. The store answers within
+#: milliseconds, and in eighty times that when it is slow.
 _READ_TIMEOUT_SECONDS = 1.0
-#: Seconds beyond the time that a read waits until it is overdue. Less than the
-#: above: its connection may have fallen silent, and one more read finds out.
+#: Timeout of a read that waits for a record, counted from the end of its wait.
+#: It is less than the timeout above: the connection may be dead, and another
+#: read reveals that.
 _LONG_READ_GRACE_SECONDS = 0.6
-#: Seconds for a write or the newest records; a slow store needs most of it.
+#: Timeout of a write or of a read of the newest records; a slow store needs
+#: most of it.
 _CALL_TIMEOUT_SECONDS = 2.5
 _DEFAULT_RETRY_AFTER = 1.0
 
 
 class _NewestRecord(msgspec.Struct):
-    """One record among the newest; its value in base64."""
+    """The newest record of a key; its value is base64-encoded."""
 
     key: str
     offset: int
@@ -46,7 +48,7 @@
 
 
 class _NewestPage(msgspec.Struct, rename='camel'):
-    """A page of the newest records; ``after`` its last key there is more."""
+    """A page of newest records; the next page starts after its last key."""
 
     entries: list[_NewestRecord]
     end_offset: int
@@ -54,9 +56,9 @@
 
 
 class HttpStore:
-    """Speak the store's protocol.
+    """Adapter for the HTTP protocol of the store.
 
-    Long reads have a connection each; the pool opens what is needed.
+    Each concurrent long read uses a connection of its own from the pool.
 
     :param address: the store's address, ``host:port``.
     """
@@ -66,28 +68,31 @@
     def __init__(self, address: str) -> None:
         self._address = address
         self._pool = pool.Pool.from_address(address)
-        #: Calls made so far.
+        #: Number of calls made so far.
         self.call_count = 0
 
     async def newest(self, topic: records.Topic) -> records.Page:
         """Return the newest record of each key.
 
-        Pages are no snapshot: a record may be written after its key was
-        looked up and before the end was. So changes are followed from an end
-        that was asked for before, and what was written meanwhile is seen again.
+        The pages are not a consistent snapshot: a record may be written after
+        the store looked up its key and before it read the end offset. The
+        returned page therefore ends at the end offset of a request made before
+        all others, and records written meanwhile are read a second time.
 
         :raises PlatformUnavailableError: the store did not answer.
         """
         first_page = await self._newest_page(topic, '')
         end = first_page.end_offset
         after = ''
-        found: list[records.Record] = []
+        newest_records: list[records.Record] = []
         while True:
-            answer = await self._newest_page(topic, after)
-            found.extend(map(_decode_newest, answer.entries))
-            if not (answer.has_more and answer.entries):
-                return records.Page(tuple(found), end, is_snapshot=True)
-            after = answer.entries[-1].key
+            page = await self._newest_page(topic, after)
+            newest_records.extend(map(_decode_newest, page.entries))
+            if not (page.has_more and page.entries):
+                return records.Page(
+                    tuple(newest_records), end, is_snapshot=True
+                )
+            after = page.entries[-1].key
 
     async def changes(
         self,
@@ -95,9 +100,10 @@
         offset: int,
         wait: float,
     ) -> records.Page:
-        """Return the records from an offset on, waiting for the first.
+        """Return the records from an offset on.
 
-        :raises RecordsExpiredError: the offset is no longer kept.
+        :param wait: seconds to wait for a record if there is none yet.
+        :raises RecordsExpiredError: the offset is no longer retained.
         :raises PlatformUnavailableError: the store did not answer in time.
         """
         query = {
@@ -106,7 +112,7 @@
             'from': offset,
             'waitMs': int(wait * _MS),
         }
-        fetched = await self._call(
+        answer = await self._call(
             'GET',
             'log-read',
             query,
@@ -114,15 +120,15 @@
             if wait
             else _READ_TIMEOUT_SECONDS,
         )
-        if fetched.status == _GONE:
+        if answer.status == _GONE:
             raise errors.RecordsExpiredError(
                 step='read',
                 peer=self._address,
                 oldest=0,
             )
-        self._check(fetched, 'read')
+        self._check(answer, 'read')
         try:
-            return _decode_page(fetched.body, offset)
+            return _decode_page(answer.body, offset)
         except (ValueError, IndexError) as error:
             raise self._malformed_error('read', error) from error
 
@@ -132,7 +138,7 @@
         key: str,
         payload: bytes,
     ) -> None:
-        """Write the newest record of a key.
+        """Write a record, which replaces the key's previous one.
 
         :raises PlatformUnavailableError: the store did not answer; the
             record may have been written.
@@ -141,14 +147,14 @@
         record = bytes((len(name),)) + name + payload
         framed = len(record).to_bytes(_LENGTH_BYTES, 'big') + record
         query = {'topic': _NAME_BY_TOPIC[topic], 'part': 0}
-        fetched = await self._call(
+        answer = await self._call(
             'POST',
             'log-append',
             query,
             body=framed,
             seconds=_CALL_TIMEOUT_SECONDS,
         )
-        self._check(fetched, 'append')
+        self._check(answer, 'append')
 
     async def _newest_page(
         self,
@@ -158,15 +164,15 @@
         query = {'topic': _NAME_BY_TOPIC[topic], 'part': 0}
         if after:
             query['after'] = after
-        fetched = await self._call(
+        answer = await self._call(
             'GET',
             'log-newest',
             query,
             seconds=_CALL_TIMEOUT_SECONDS,
         )
-        self._check(fetched, 'newest')
+        self._check(answer, 'newest')
         return decoding.decode(
-            fetched.body,
+            answer.body,
             _NewestPage,
             'newest',
             self._address,
@@ -175,13 +181,13 @@
     async def _call(
         self,
         method: str,
-        call: str,
+        operation: str,
         query: dict[str, typing.Any],
         *,
         seconds: float,
         body: bytes = b'',
     ) -> pool.Answer:
-        target = f'/api/{call}?{urllib.parse.urlencode(query)}'
+        target = f'/api/{operation}?{urllib.parse.urlencode(query)}'
         request = messages.request_bytes(
             method.encode(),
             target.encode(),
@@ -194,21 +200,21 @@
         except channel.ChannelBrokenError as error:
             raise errors.PlatformUnavailableError(
                 error.detail,
-                step=call,
+                step=operation,
                 peer=self._address,
             ) from error
 
-    def _check(self, fetched: pool.Answer, step: str) -> None:
-        if fetched.status == _OK:
+    def _check(self, answer: pool.Answer, step: str) -> None:
+        if answer.status == _OK:
             return
-        if fetched.status == _TOO_MANY_REQUESTS:
+        if answer.status == _TOO_MANY_REQUESTS:
             raise errors.ThrottledError(
                 step=step,
                 peer=self._address,
                 retry_after=_DEFAULT_RETRY_AFTER,
             )
         raise errors.PlatformUnavailableError(
-            f'status {fetched.status}',
+            f'status {answer.status}',
             step=step,
             peer=self._address,
         )
@@ -221,20 +227,24 @@
         )
 
 
-def _decode_newest(entry: _NewestRecord) -> records.Record:
+def _decode_newest(newest: _NewestRecord) -> records.Record:
     try:
-        payload = base64.b64decode(entry.value)
+        payload = base64.b64decode(newest.value)
     except ValueError:
-        # Left to the reader of records, which passes over that one alone.
-        payload = entry.value.encode()
-    # A key without a value was dropped.
-    return records.Record(entry.key, entry.offset, payload or None)
+        # The decoder of records reports it and skips this record alone.
+        payload = newest.value.encode()
+    # An empty value marks a removed key.
+    return records.Record(newest.key, newest.offset, payload or None)
 
 
 def _decode_page(body: bytes, offset: int) -> records.Page:
-    """Read the end and the first offset, then the records from ``offset``."""
+    """Decode a page: end offset, first offset, and length-prefixed records.
+
+    :param offset: the offset of the first record.
+    :raises ValueError: a record is truncated.
+    """
     position = 2 * _OFFSET_BYTES
-    found = []
+    page_records = []
     next_offset = offset
     while position < len(body):
         length = int.from_bytes(
@@ -243,20 +253,21 @@
         position += _LENGTH_BYTES
         content = body[position : position + length]
         if len(content) != length:
-            raise ValueError('a record is cut short')
+            raise ValueError('a record is truncated')
         record = _decode_record(content, next_offset)
         if record is not None:
-            found.append(record)
+            page_records.append(record)
         position += length
         next_offset += 1
-    return records.Page(tuple(found), next_offset)
+    return records.Page(tuple(page_records), next_offset)
 
 
 def _decode_record(content: bytes, offset: int) -> records.Record | None:
-    """Read a record's key and value; ``None`` if there is no whole key.
+    """Decode a record's key and value; ``None`` if the key is truncated.
 
-    Failure: another writer's record had a key that isn't text. It made each
-    read of the topic fail from then on, and no later record was seen.
+    Bytes of a key that are not UTF-8 are escaped. If such a record of another
+    writer failed the page, every further read of the topic would fail, and no
+    later record would be read.
     """
     end = 1 + content[0] if content else 1
     if len(content) < end:
--- a/clementinepass/platform/transport.py
+++ b/clementinepass/platform/transport.py
@@ -1,4 +1,4 @@
-"""HTTP exchanges with the platform's services, shared by the adapters."""
+"""HTTP client for the platform's services, shared by the adapters."""
 
 from __future__ import annotations
 
@@ -23,18 +23,19 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Limits:
-    """Bounds on one exchange.
-
-    :param connect_timeout: seconds until a connection must stand.
-    :param read_timeout: seconds of silence until the service is given up.
-    :param total_timeout: seconds after which an answer that still comes in
-        must come at the least rate, so that a service that sends a byte now
-        and then cannot hold a caller for ever.
-    :param least_rate: bytes a second; slower answers are given up. A scarce
-        link that many share is slow and gets there: to give it up would read
-        the same bytes from it again.
-    :param answer_bytes: the longest answer that is accepted.
-    :param connections: how many idle connections are kept.
+    """Limits of one exchange.
+
+    :param connect_timeout: seconds within which a connection must be opened.
+    :param read_timeout: seconds without a received byte until the exchange
+        fails.
+    :param total_timeout: seconds after which an unfinished answer must have
+        arrived at the least rate on average, so that a service that sends a
+        byte now and then cannot block a caller forever.
+    :param least_rate: bytes per second; slower answers are aborted. Transfers
+        over a scarce shared link are slow but complete; aborting one would
+        only load the link with the same bytes again.
+    :param answer_bytes: maximum length of an answer.
+    :param connections: maximum number of idle connections kept.
     """
 
     connect_timeout: float = 2
@@ -47,14 +48,14 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Reply:
-    """A whole answer."""
+    """A complete answer."""
 
     status: int
     body: bytes
 
 
 class _SlownessGuard:
-    """Tell when an answer that is not silent has become too slow."""
+    """Detector of answers that keep arriving, but too slowly."""
 
     __slots__ = ('_started_at', '_clock', '_limits', '_wait')
 
@@ -70,7 +71,7 @@
         self._started_at = timer.now()
 
     def is_too_slow(self, received_bytes: int) -> bool:
-        """Tell whether to give an answer up after so many bytes."""
+        """Return whether an answer with so many bytes by now is too slow."""
         elapsed = self._clock.now() - self._started_at - self._wait
         if elapsed <= self._limits.total_timeout:
             return False
@@ -78,9 +79,9 @@
 
 
 class Transport:
-    """Exchange one request for one whole answer; never sends one twice.
+    """HTTP client of one service; never sends a request twice.
 
-    Safe to use from many threads.
+    Instances are thread-safe.
 
     :param address: the service's address, ``host:port``.
     """
@@ -116,17 +117,18 @@
         wait: float = 0,
         expected: frozenset[int] = _SUCCESS,
     ) -> Reply:
-        """Send a request and return the whole answer.
-
-        :param step: what the caller is doing, for the errors.
-        :param wait: seconds that the service may hold the answer back.
-        :param expected: the statuses to return; others are errors.
-        :raises PlatformUnavailableError: there was no whole answer, or one
-            that says that the service failed.
-        :raises ThrottledError: the service asks for fewer calls.
+        """Send a request and return the complete answer.
+
+        :param step: the caller's current step, for error messages.
+        :param wait: seconds that the service may delay the answer.
+        :param expected: the statuses to return; others raise an error.
+        :raises PlatformUnavailableError: no complete answer arrived, or the
+            service reported a failure.
+        :raises ContentMissingError: the service answered 404.
+        :raises ThrottledError: the rate limit is exceeded.
         :raises MessageTooLongError: the answer is too long.
-        :raises MalformedMessageError: the answer has no end by which it could
-            be told to be whole.
+        :raises MalformedMessageError: the answer has neither a length nor
+            chunks, so a truncated one could not be detected.
         """
         slowness_guard = _SlownessGuard(self._limits, self._clock, wait)
         try:
@@ -151,13 +153,13 @@
     def malformed_error(
         self, step: str, detail: str
     ) -> errors.ClementinepassError:
-        """Return the error for an answer that contradicts the protocol."""
+        """Return the error for an answer that violates the protocol."""
         return errors.MalformedMessageError(detail, step=step, peer=self.peer)
 
     def decode(self, reply: Reply, answer_type: type[_T], step: str) -> _T:
-        """Decode an answer strictly.
+        """Decode an answer's JSON body into ``answer_type``.
 
-        :raises MalformedMessageError: it is not JSON, or of another shape.
+        :raises MalformedMessageError: the body is not JSON of that type.
         """
         try:
             return msgspec.json.decode(reply.body, type=answer_type)
@@ -176,9 +178,8 @@
             path,
             body=body,
             headers=None if body is None else _JSON_HEADERS,
-            # A retry here could append a record twice without a word to the
-            # caller, who alone can tell by reading whether the first one
-            # took effect.
+            # A retry could silently append a record twice. Only the caller
+            # can find out, by reading, whether the first request took effect.
             retries=False,
             redirect=False,
             preload_content=False,
@@ -195,17 +196,19 @@
         step: str,
         slowness_guard: _SlownessGuard,
     ) -> bytes:
-        """Read a whole body within the limits of size and time."""
+        """Read a complete body within the limits of size and time."""
         if not http_bodies.has_end(response):
-            raise self.malformed_error(step, 'answer has no end mark')
-        # Without a limit a broken service could fill our memory: an instance
-        # has little of it, and all that it runs would die with us.
+            raise self.malformed_error(
+                step, 'answer has neither a length nor chunks'
+            )
+        # Without a limit, a faulty service could exhaust the memory of the
+        # instance, which is small, and all its processes would be killed.
         limit = self._limits.answer_bytes
         if (response.length_remaining or 0) > limit:
             raise self._too_long_error(step)
         content = bytearray()
-        for piece in http_bodies.iter_body(response):
-            content += piece
+        for part in http_bodies.iter_body(response):
+            content += part
             if len(content) > limit:
                 raise self._too_long_error(step)
             if slowness_guard.is_too_slow(len(content)):
@@ -214,7 +217,7 @@
 
     def _too_long_error(self, step: str) -> errors.MessageTooLongError:
         return errors.MessageTooLongError(
-            f'answer over {self._limits.answer_bytes} bytes',
+            f'answer exceeds {self._limits.answer_bytes} bytes',
             step=step,
             peer=self.peer,
         )
@@ -224,7 +227,7 @@
         response: urllib3.BaseHTTPResponse,
         step: str,
     ) -> errors.ClementinepassError:
-        """Return the error that a status stands for."""
+        """Return the error for an unexpected status."""
         if response.status == _TOO_MANY_REQUESTS:
             return errors.ThrottledError(
                 step=step,
@@ -256,7 +259,7 @@
 
 
 def retry_after(header: str | None) -> float:
-    """Return the seconds that a ``Retry-After`` header asks for."""
+    """Return a ``Retry-After`` header's seconds; a default if malformed."""
     try:
         seconds = float(header or '')
     except ValueError:
--- a/clementinepass/platform/weight_store.py
+++ b/clementinepass/platform/weight_store.py
@@ -8,7 +8,7 @@
 
 
 class HttpWeightStore:
-    """Speak the weight store's HTTP protocol.
+    """Adapter for the HTTP protocol of the weight store.
 
     :param address: the service's address, ``host:port``.
     """
@@ -27,14 +27,13 @@
         self._transport.close()
 
     def manifest(self, digest: str) -> bytes:
-        """Return a manifest's bytes by its SHA-256, in hexadecimal.
-
-        The bytes are as they came; the caller checks them by the digest.
+        """Return a manifest's bytes as received; the caller verifies them.
 
+        :param digest: SHA-256 of the manifest, in hexadecimal.
         :raises ContentMissingError: the store has no such manifest.
-        :raises ThrottledError: the rate limit is reached.
+        :raises ThrottledError: the rate limit is exceeded.
         :raises PlatformUnavailableError: the store did not answer.
-        :raises MalformedMessageError: the answer is no message or too long.
+        :raises MalformedMessageError: the answer is malformed or too long.
         """
         name = urllib.parse.quote(digest, safe='')
         path = f'/v1/manifests/{name}'
