--- a/tests/http/__init__.py
+++ b/tests/http/__init__.py
@@ -1,1 +1,1 @@
-"""Tests of the front and the client."""
+"""Tests of the HTTP server and the HTTP client."""
--- a/tests/http/test_channel.py
+++ b/tests/http/test_channel.py
@@ -1,4 +1,4 @@
-"""Tests of outgoing connections with peers that answer badly."""
+"""Tests of client connections with faulty peers."""
 
 from __future__ import annotations
 
@@ -16,10 +16,10 @@
 
 
 class Peer:
-    """A peer that answers each request with the next bytes of a script.
+    """Peer that answers each request with the next scripted bytes.
 
-    :param resets: whether it resets the connection after the last answer.
-    :param ends: whether it ends the connection after each answer.
+    :param resets: whether to reset the connection after the last answer.
+    :param ends: whether to close the connection after each answer.
     """
 
     def __init__(
@@ -36,7 +36,7 @@
         self._server: asyncio.Server | None = None
 
     async def __aenter__(self) -> typing.Self:
-        self._server = await asyncio.start_server(self._talk, HOST, 0)
+        self._server = await asyncio.start_server(self._serve, HOST, 0)
         self.port = self._server.sockets[0].getsockname()[1]
         return self
 
@@ -44,7 +44,7 @@
         assert self._server is not None
         self._server.close()
 
-    async def _talk(
+    async def _serve(
         self,
         reader: asyncio.StreamReader,
         writer: asyncio.StreamWriter,
@@ -65,8 +65,8 @@
             writer.close()
 
 
-def whole(answer: bytes, name: bytes = b'') -> bytes:
-    """Return an answer with a length."""
+def answer_with_length(answer: bytes, name: bytes = b'') -> bytes:
+    """Return an answer with a ``Content-Length``."""
     return b'HTTP/1.1 200 OK\r\nX-Name: %b\r\nContent-Length: %d\r\n\r\n%b' % (
         name,
         len(answer),
@@ -74,186 +74,195 @@
     )
 
 
-async def body_of(used: channel.Channel) -> bytes:
-    """Return the whole body."""
+async def read_body(connection: channel.Channel) -> bytes:
+    """Return the complete body."""
     parts = []
-    while part := await used.read():
+    while part := await connection.read():
         parts.append(part)
     return b''.join(parts)
 
 
 def run(
     peer: Peer,
-    play: typing.Callable[[pool.Pool], typing.Awaitable[None]],
+    exchange: typing.Callable[[pool.Pool], typing.Awaitable[None]],
 ) -> None:
-    """Play against a peer."""
+    """Run a coroutine function with a pool of connections to a peer."""
 
-    async def served() -> None:
+    async def run_with_peer() -> None:
         async with peer, asyncio.timeout(20):
-            await play(pool.Pool(HOST, peer.port))
+            await exchange(pool.Pool(HOST, peer.port))
 
-    asyncio.run(served())
+    asyncio.run(run_with_peer())
 
 
 class ChannelTest(testtools.TestCase):
-    """Only a whole answer is whole."""
+    """Detection of the end of answers."""
 
-    def test_kept(self) -> None:
-        """Answers with an end leave the connection for the next."""
-        peer = Peer(whole(b'a'), whole(b'b'))
+    def test_reuse(self) -> None:
+        """A connection is reused after a complete answer."""
+        peer = Peer(answer_with_length(b'a'), answer_with_length(b'b'))
 
-        async def play(peers: pool.Pool) -> None:
+        async def exchange(peer_pool: pool.Pool) -> None:
             for expected in (b'a', b'b'):
-                fetched = await pool.fetch(peers, REQUEST, 5)
+                fetched = await pool.fetch(peer_pool, REQUEST, 5)
                 self.assertEqual(expected, fetched.body)
 
-        run(peer, play)
+        run(peer, exchange)
         self.assertEqual(1, peer.connections)
 
     def test_no_length(self) -> None:
         """An answer without a length ends with its connection."""
         peer = Peer(b'HTTP/1.1 200 OK\r\n\r\nall of it', ends=True)
 
-        async def play(peers: pool.Pool) -> None:
-            fetched = await pool.fetch(peers, REQUEST, 5)
+        async def exchange(peer_pool: pool.Pool) -> None:
+            fetched = await pool.fetch(peer_pool, REQUEST, 5)
             self.assertEqual(b'all of it', fetched.body)
 
-        run(peer, play)
+        run(peer, exchange)
 
     def test_no_length_and_reset(self) -> None:
-        """An answer without a length was cut by a reset.
+        """A reset does not end an answer without a length.
 
-        The caller got a part of the body as if it were the whole: the end of
-        the connection was taken for the end of the answer.
+        If it did, the caller would receive a part of the body as a complete
+        answer.
         """
         peer = Peer(b'HTTP/1.1 200 OK\r\n\r\npart', resets=True)
 
-        async def play(peers: pool.Pool) -> None:
-            used = await peers.acquire()
-            used.send(REQUEST)
+        async def exchange(peer_pool: pool.Pool) -> None:
+            connection = await peer_pool.acquire()
+            connection.send(REQUEST)
             with testtools.ExpectedException(channel.ChannelBrokenError):
-                await used.read_head()
-                await body_of(used)
+                await connection.read_head()
+                await read_body(connection)
 
-        run(peer, play)
+        run(peer, exchange)
 
-    def test_cut_short(self) -> None:
-        """An answer that is shorter than its length breaks off."""
-        peer = Peer(whole(b'abc')[:-1], ends=True)
+    def test_truncated(self) -> None:
+        """An answer that is shorter than its length raises an error."""
+        peer = Peer(answer_with_length(b'abc')[:-1], ends=True)
 
-        async def play(peers: pool.Pool) -> None:
-            used = await peers.acquire()
-            used.send(REQUEST)
+        async def exchange(peer_pool: pool.Pool) -> None:
+            connection = await peer_pool.acquire()
+            connection.send(REQUEST)
             with testtools.ExpectedException(channel.ChannelBrokenError):
-                await body_of(used)
+                await read_body(connection)
 
-        run(peer, play)
+        run(peer, exchange)
 
-    def test_no_answer(self) -> None:
-        """Bytes that are no answer break the connection."""
+    def test_invalid_answer(self) -> None:
+        """Bytes that are not an HTTP answer raise an error."""
         peer = Peer(b'\x00\x01garbage\r\n\r\n')
 
-        async def play(peers: pool.Pool) -> None:
-            used = await peers.acquire()
-            used.send(REQUEST)
+        async def exchange(peer_pool: pool.Pool) -> None:
+            connection = await peer_pool.acquire()
+            connection.send(REQUEST)
             with testtools.ExpectedException(channel.ChannelBrokenError):
-                await used.read_head()
+                await connection.read_head()
 
-        run(peer, play)
+        run(peer, exchange)
 
     def test_surplus(self) -> None:
-        """An endpoint sent a second answer after the first.
+        """A connection with bytes after the answer is not reused.
 
-        The next caller on that connection got an answer that belonged to the
-        one before. A connection with a byte too many isn't used again.
+        If an endpoint sent a second answer after the first, the next request
+        on that connection would receive it.
         """
-        for extra in (whole(b'late'), b'garbage'):
-            peer = Peer(whole(b'a') + extra, whole(b'b'))
+        for extra in (answer_with_length(b'late'), b'garbage'):
+            peer = Peer(
+                answer_with_length(b'a') + extra, answer_with_length(b'b')
+            )
 
-            async def play(peers: pool.Pool) -> None:
+            async def exchange(peer_pool: pool.Pool) -> None:
                 for expected in (b'a', b'b'):
-                    fetched = await pool.fetch(peers, REQUEST, 5)
+                    fetched = await pool.fetch(peer_pool, REQUEST, 5)
                     self.assertEqual(expected, fetched.body)
 
-            run(peer, play)
+            run(peer, exchange)
             self.assertEqual(2, peer.connections)
 
     def test_foreign_answer_first(self) -> None:
-        """The answer to an earlier request stands before the own one."""
-        peer = Peer(whole(b'theirs', b'other'), whole(b'ours', b'own'))
-
-        async def play(peers: pool.Pool) -> None:
-            used = await peers.acquire()
-            used.send(REQUEST)
-            head = await used.read_head()
+        """A late answer to an earlier request can be skipped."""
+        peer = Peer(
+            answer_with_length(b'theirs', b'other'),
+            answer_with_length(b'ours', b'own'),
+        )
+
+        async def exchange(peer_pool: pool.Pool) -> None:
+            connection = await peer_pool.acquire()
+            connection.send(REQUEST)
+            head = await connection.read_head()
             self.assertEqual(b'other', head.headers.get(b'x-name'))
-            following = asyncio.create_task(used.skip_to_next_answer())
+            skipping = asyncio.create_task(connection.skip_to_next_answer())
             await asyncio.sleep(0)
-            used._transport.write(REQUEST)  # The peer's script goes on.
-            head = await following
+            connection._transport.write(REQUEST)  # The peer's script goes on.
+            head = await skipping
             self.assertEqual(b'own', head.headers.get(b'x-name'))
-            self.assertEqual(b'ours', await body_of(used))
-            self.assertFalse(used.finish())
+            self.assertEqual(b'ours', await read_body(connection))
+            self.assertFalse(connection.finish())
 
-        run(peer, play)
+        run(peer, exchange)
 
     def test_interim(self) -> None:
-        """An interim answer is passed over."""
-        peer = Peer(b'HTTP/1.1 100 Continue\r\n\r\n' + whole(b'a'))
+        """An interim answer is ignored."""
+        peer = Peer(b'HTTP/1.1 100 Continue\r\n\r\n' + answer_with_length(b'a'))
 
-        async def play(peers: pool.Pool) -> None:
-            fetched = await pool.fetch(peers, REQUEST, 5)
+        async def exchange(peer_pool: pool.Pool) -> None:
+            fetched = await pool.fetch(peer_pool, REQUEST, 5)
             self.assertEqual((200, b'a'), fetched[:2])
 
-        run(peer, play)
+        run(peer, exchange)
 
     def test_connection_close(self) -> None:
-        """A peer that says so isn't sent another request there."""
-        answer = whole(b'a').replace(b'X-Name: ', b'Connection: close')
-        peer = Peer(answer, whole(b'b'))
+        """A connection is not reused after ``Connection: close``."""
+        answer = answer_with_length(b'a').replace(
+            b'X-Name: ', b'Connection: close'
+        )
+        peer = Peer(answer, answer_with_length(b'b'))
 
-        async def play(peers: pool.Pool) -> None:
+        async def exchange(peer_pool: pool.Pool) -> None:
             for _ in range(2):
-                await pool.fetch(peers, REQUEST, 5)
+                await pool.fetch(peer_pool, REQUEST, 5)
 
-        run(peer, play)
+        run(peer, exchange)
         self.assertEqual(2, peer.connections)
 
     def test_refused(self) -> None:
-        """No listener: nothing was sent."""
+        """A refused connection raises an error."""
 
-        async def play() -> None:
+        async def exchange() -> None:
             with testtools.ExpectedException(channel.ChannelBrokenError):
                 await channel.Channel.connect(HOST, 1, 5)
 
-        asyncio.run(play())
+        asyncio.run(exchange())
 
 
 class PoolTest(testtools.TestCase):
-    """Connections that may be about to end aren't used."""
+    """Idle connections that the peer may be closing are not reused."""
 
     def test_idle_too_long(self) -> None:
-        """One that was idle longer than allowed is replaced."""
-        peer = Peer(whole(b'a'), whole(b'b'))
+        """A connection that was idle for too long is replaced."""
+        peer = Peer(answer_with_length(b'a'), answer_with_length(b'b'))
 
-        async def play(peers: pool.Pool) -> None:
-            await pool.fetch(peers, REQUEST, 5)
-            used = await peers.acquire(max_idle_seconds=-1)
-            used.send(REQUEST)
-            await used.read_head()
+        async def exchange(peer_pool: pool.Pool) -> None:
+            await pool.fetch(peer_pool, REQUEST, 5)
+            connection = await peer_pool.acquire(max_idle_seconds=-1)
+            connection.send(REQUEST)
+            await connection.read_head()
 
-        run(peer, play)
+        run(peer, exchange)
         self.assertEqual(2, peer.connections)
 
-    def test_keep_alive_heeded(self) -> None:
-        """A peer that keeps connections for no time gets a new one."""
-        answer = whole(b'a').replace(b'X-Name: ', b'Keep-Alive: timeout=5')
+    def test_keep_alive_timeout(self) -> None:
+        """The peer's keep-alive timeout is read from its answer."""
+        answer = answer_with_length(b'a').replace(
+            b'X-Name: ', b'Keep-Alive: timeout=5'
+        )
 
-        async def play(peers: pool.Pool) -> None:
-            await pool.fetch(peers, REQUEST, 5)
-            used = await peers.acquire()
-            self.assertEqual(5, used.keep_alive_seconds)
-            used.abort()
-            peers.release(used)
+        async def exchange(peer_pool: pool.Pool) -> None:
+            await pool.fetch(peer_pool, REQUEST, 5)
+            connection = await peer_pool.acquire()
+            self.assertEqual(5, connection.keep_alive_seconds)
+            connection.abort()
+            peer_pool.release(connection)
 
-        run(Peer(answer), play)
+        run(Peer(answer), exchange)
--- a/tests/http/test_early_answers.py
+++ b/tests/http/test_early_answers.py
@@ -1,4 +1,4 @@
-"""Tests of peers that answer before they have read the request."""
+"""Tests of peers that answer before they have read the whole request."""
 
 from __future__ import annotations
 
@@ -10,40 +10,40 @@
 from clementinepass.http import messages, pool
 
 HOST = '127.0.0.1'
-#: More than the buffers of both sockets take.
+#: Larger than the buffers of both sockets.
 LONG_BODY = bytes(range(256)) * 64 * 1024
 EARLY = b'HTTP/1.1 429 Early\r\nContent-Length: 0\r\n\r\n'
 SECOND = b'HTTP/1.1 200 OK\r\nContent-Length: 0\r\n\r\n'
 
 
 class EarlyAnswerTest(testtools.TestCase):
-    """What is left of a body is never followed by anything else."""
+    """A connection with an incompletely sent request is not reused."""
 
-    def test_rest_of_a_body(self) -> None:
-        """An endpoint got other bytes where the rest of a body was due.
+    def test_unsent_body(self) -> None:
+        """The next request uses another connection while a body is unsent.
 
-        It turned a long request away before it had read it, kept the
-        connection, and read on later. The next request must not come on that
-        connection: the rest of the body is still to go out there.
+        An endpoint may reject a long request before it has read all of it,
+        keep the connection and read on later. A request sent on that
+        connection would be read as the rest of the body.
         """
         long = messages.request_bytes(b'POST', b'/a', [], LONG_BODY)
         short = messages.request_bytes(b'GET', b'/b', [], b'')
-        got: list[bytearray] = []
+        received: list[bytearray] = []
 
-        async def talk(
+        async def answer_early(
             reader: asyncio.StreamReader,
             writer: asyncio.StreamWriter,
         ) -> None:
             read = bytearray(await reader.read(64))
-            got.append(read)
-            writer.write(EARLY if len(got) == 1 else SECOND)
+            received.append(read)
+            writer.write(EARLY if len(received) == 1 else SECOND)
             await asyncio.sleep(0.1)
             with contextlib.suppress(ConnectionError):
                 while part := await reader.read(65536):
                     read.extend(part)
 
-        async def play() -> None:
-            server = await asyncio.start_server(talk, HOST, 0)
+        async def send_requests() -> None:
+            server = await asyncio.start_server(answer_early, HOST, 0)
             port = server.sockets[0].getsockname()[1]
             peers = pool.Pool(HOST, port)
             first = await pool.fetch(peers, long, 5)
@@ -54,8 +54,10 @@
             await asyncio.sleep(0.3)
             server.close()
 
-        asyncio.run(play())
-        early, late = got
-        self.assertLess(len(early), len(long))
-        self.assertTrue(long.startswith(early), 'other bytes in the body')
-        self.assertEqual(short, bytes(late))
+        asyncio.run(send_requests())
+        first_bytes, second_bytes = received
+        self.assertLess(len(first_bytes), len(long))
+        self.assertTrue(
+            long.startswith(first_bytes), 'foreign bytes in the body'
+        )
+        self.assertEqual(short, bytes(second_bytes))
--- a/tests/http/test_front.py
+++ b/tests/http/test_front.py
@@ -1,4 +1,4 @@
-"""Tests of the front with raw bytes, as careless and hostile callers send."""
+"""Tests of the front with raw bytes of faulty and malicious callers."""
 
 from __future__ import annotations
 
@@ -18,12 +18,16 @@
     idle_seconds=5,
 )
 
-#: What is sent, the status of the answer, and whether the connection ends.
+#: A description, the bytes sent, and the status of the answer.
 BAD_INPUT = (
-    ('no request', b'nonsense\r\n\r\n', 400),
+    ('not a request', b'nonsense\r\n\r\n', 400),
     ('no host', b'GET /a HTTP/1.1\r\n\r\n', 400),
     ('two hosts', HEAD + b'Host: other\r\n\r\n', 400),
-    ('target is no path', b'GET http://h/a HTTP/1.1\r\nHost: h\r\n\r\n', 400),
+    (
+        'target is not a path',
+        b'GET http://h/a HTTP/1.1\r\nHost: h\r\n\r\n',
+        400,
+    ),
     (
         'two lengths',
         HEAD + b'Content-Length: 1\r\nContent-Length: 2\r\n\r\nab',
@@ -35,15 +39,15 @@
         b'0\r\n\r\n',
         400,
     ),
-    ('length is no number', HEAD + b'Content-Length: x\r\n\r\n', 400),
-    ('length below nothing', HEAD + b'Content-Length: -1\r\n\r\n', 400),
+    ('length is not a number', HEAD + b'Content-Length: x\r\n\r\n', 400),
+    ('negative length', HEAD + b'Content-Length: -1\r\n\r\n', 400),
     (
-        'chunk size is no number',
+        'chunk size is not a number',
         HEAD + b'Transfer-Encoding: chunked\r\n\r\nzz\r\n\r\n',
         400,
     ),
     (
-        'chunks are not last',
+        'chunked is not the last encoding',
         HEAD + b'Transfer-Encoding: chunked, identity\r\n\r\n0\r\n\r\n',
         400,
     ),
@@ -59,20 +63,20 @@
         413,
     ),
     ('long header', HEAD + b'A: ' + b'a' * 3000 + b'\r\n\r\n', 431),
-    ('header without end', HEAD + b'A: ' + b'a' * 3000, 431),
+    ('unfinished long header', HEAD + b'A: ' + b'a' * 3000, 431),
     ('many headers', HEAD + b'A: aaaaaaaaaa\r\n' * 200 + b'\r\n', 431),
-    ('header that never ends', HEAD + b'A: b', 408),
+    ('unfinished header', HEAD + b'A: b', 408),
 )
 
 
-class Served:
-    """A front on loopback whose handler answers with what it was sent."""
+class EchoFront:
+    """Front on loopback whose handler echoes each request."""
 
     def __init__(self) -> None:
         self.requests: list[messages.Request] = []
         self.cancelled = 0
-        self.hold = asyncio.Event()
-        self.hold.set()
+        self.may_answer = asyncio.Event()
+        self.may_answer.set()
         self.front = front.Front(self._handle, lambda: BOUNDS)
         self.port = 0
 
@@ -84,7 +88,7 @@
         await self.front.close()
 
     async def exchange(self, payload: bytes) -> bytes:
-        """Send bytes and read until the connection ends."""
+        """Send bytes and return all bytes received until the end of stream."""
         reader, writer = await asyncio.open_connection(HOST, self.port)
         writer.write(payload)
         answer = await reader.read()
@@ -98,170 +102,176 @@
     ) -> None:
         self.requests.append(request)
         try:
-            await self.hold.wait()
+            await self.may_answer.wait()
         except asyncio.CancelledError:
             self.cancelled += 1
             raise
         reply.send(200, [], request.method + request.target + request.body)
 
 
-def run(play: typing.Callable[[Served], typing.Awaitable[None]]) -> None:
-    """Play against a front."""
+def run(
+    exchange_bytes: typing.Callable[[EchoFront], typing.Awaitable[None]],
+) -> None:
+    """Run a coroutine function with a front."""
 
-    async def served() -> None:
-        async with Served() as world, asyncio.timeout(20):
-            await play(world)
+    async def run_with_front() -> None:
+        async with EchoFront() as echo_front, asyncio.timeout(20):
+            await exchange_bytes(echo_front)
 
-    asyncio.run(served())
+    asyncio.run(run_with_front())
 
 
 class BadInputTest(testtools.TestCase):
-    """One right status at once, the connection ends, nothing is served."""
+    """Bad input is answered with one error and closes the connection."""
 
     def test_table(self) -> None:
-        """Each kind of bad input."""
+        """Each kind of bad input yields its status and reaches no handler."""
 
-        async def play(world: Served) -> None:
-            for story, payload, status in BAD_INPUT:
-                answer = await world.exchange(payload)
+        async def exchange_bytes(echo_front: EchoFront) -> None:
+            for description, payload, status in BAD_INPUT:
+                answer = await echo_front.exchange(payload)
                 self.assertEqual(
                     b'HTTP/1.1 %d ' % status,
                     answer[:13],
-                    f'{story}: {answer!r}',
+                    f'{description}: {answer!r}',
                 )
-                self.assertIn(b'Connection: close', answer, story)
-                self.assertEqual(1, answer.count(b'HTTP/1.1'), story)
-            self.assertEqual([], world.requests)
+                self.assertIn(b'Connection: close', answer, description)
+                self.assertEqual(1, answer.count(b'HTTP/1.1'), description)
+            self.assertEqual([], echo_front.requests)
 
-        run(play)
+        run(exchange_bytes)
 
     def test_smuggled(self) -> None:
-        """What follows a request of doubtful framing is never a request."""
+        """Bytes after a request with ambiguous framing are not a request."""
 
-        async def play(world: Served) -> None:
-            await world.exchange(
+        async def exchange_bytes(echo_front: EchoFront) -> None:
+            await echo_front.exchange(
                 HEAD
                 + b'Content-Length: 4\r\nTransfer-Encoding: chunked\r\n\r\n'
                 + b'0\r\n\r\nGET /smuggled HTTP/1.1\r\nHost: h\r\n\r\n',
             )
-            self.assertEqual([], world.requests)
+            self.assertEqual([], echo_front.requests)
 
-        run(play)
+        run(exchange_bytes)
 
 
 class FramingTest(testtools.TestCase):
-    """Bodies with lengths and chunks, and several requests at once."""
+    """Framing of bodies and pipelined requests."""
 
     def test_chunks(self) -> None:
-        """Chunks make up one body."""
+        """Chunks are joined to one body."""
 
-        async def play(world: Served) -> None:
-            answer = await world.exchange(
+        async def exchange_bytes(echo_front: EchoFront) -> None:
+            answer = await echo_front.exchange(
                 b'POST /a?b=c HTTP/1.1\r\nHost: h\r\nConnection: close\r\n'
                 b'Transfer-Encoding: chunked\r\n\r\n2\r\nab\r\n1\r\nc\r\n'
                 b'0\r\n\r\n',
             )
             self.assertTrue(answer.endswith(b'POST/a?b=cabc'), answer)
 
-        run(play)
+        run(exchange_bytes)
 
     def test_pipelined(self) -> None:
-        """Answers come in the order of requests, one at a time."""
+        """Pipelined requests are answered in order."""
 
-        async def play(world: Served) -> None:
-            answer = await world.exchange(
+        async def exchange_bytes(echo_front: EchoFront) -> None:
+            answer = await echo_front.exchange(
                 HEAD
                 + b'\r\n'
                 + b'GET /second HTTP/1.1\r\nHost: h\r\n\r\n'
                 + b'GET /third HTTP/1.1\r\nHost: h\r\nConnection: close\r\n\r\n',
             )
-            places = [
+            positions = [
                 answer.find(b'GET/' + name) for name in (b'a', b's', b't')
             ]
-            self.assertEqual(sorted(places), places)
-            self.assertNotIn(-1, places)
+            self.assertEqual(sorted(positions), positions)
+            self.assertNotIn(-1, positions)
 
-        run(play)
+        run(exchange_bytes)
 
     def test_byte_by_byte(self) -> None:
-        """Requests that come slowly are the same requests."""
+        """A request is parsed independently of how its bytes are split."""
 
-        async def play(world: Served) -> None:
-            reader, writer = await asyncio.open_connection(HOST, world.port)
+        async def exchange_bytes(echo_front: EchoFront) -> None:
+            reader, writer = await asyncio.open_connection(
+                HOST, echo_front.port
+            )
             request = HEAD + b'Content-Length: 2\r\nConnection: close\r\n\r\nab'
-            for place in range(len(request)):
-                writer.write(request[place : place + 1])
+            for position in range(len(request)):
+                writer.write(request[position : position + 1])
                 await writer.drain()
             answer = await reader.read()
             self.assertTrue(answer.endswith(b'GET/aab'), answer)
             writer.close()
 
-        run(play)
+        run(exchange_bytes)
 
-    def test_body_cut_short(self) -> None:
-        """A body that isn't whole is no request."""
+    def test_truncated_body(self) -> None:
+        """A request with a truncated body is not served."""
 
-        async def play(world: Served) -> None:
-            _, writer = await asyncio.open_connection(HOST, world.port)
+        async def exchange_bytes(echo_front: EchoFront) -> None:
+            _, writer = await asyncio.open_connection(HOST, echo_front.port)
             writer.write(HEAD + b'Content-Length: 9\r\n\r\nab')
             await writer.drain()
             writer.close()
             await writer.wait_closed()
-            while world.front.connections:
+            while echo_front.front.connections:
                 await asyncio.sleep(0)
-            self.assertEqual([], world.requests)
+            self.assertEqual([], echo_front.requests)
 
-        run(play)
+        run(exchange_bytes)
 
 
-class LeavingTest(testtools.TestCase):
-    """Callers that leave, and a front that does."""
+class ClosingTest(testtools.TestCase):
+    """Callers that disconnect, and draining fronts."""
 
-    def test_caller_left(self) -> None:
-        """A caller closed its connection while its request ran.
+    def test_caller_disconnects(self) -> None:
+        """A request is cancelled when its caller closes the connection.
 
-        The endpoint worked on for nobody: the end of the connection was seen
-        only when the answer was written.
+        If the disconnect were noticed only when the answer is written, the
+        endpoint would work in vain until then.
         """
 
-        async def play(world: Served) -> None:
-            world.hold.clear()
-            _, writer = await asyncio.open_connection(HOST, world.port)
+        async def exchange_bytes(echo_front: EchoFront) -> None:
+            echo_front.may_answer.clear()
+            _, writer = await asyncio.open_connection(HOST, echo_front.port)
             writer.write(HEAD + b'\r\n')
-            while not world.requests:
+            while not echo_front.requests:
                 await asyncio.sleep(0)
             writer.close()
-            while not world.cancelled:
+            while not echo_front.cancelled:
                 await asyncio.sleep(0)
 
-        run(play)
+        run(exchange_bytes)
 
-    def test_leaving(self) -> None:
-        """A leaving front ends each connection with its next answer."""
+    def test_draining(self) -> None:
+        """A draining front closes each connection after its next answer."""
 
-        async def play(world: Served) -> None:
-            world.front.is_draining = True
-            answer = await world.exchange(HEAD + b'\r\n')
+        async def exchange_bytes(echo_front: EchoFront) -> None:
+            echo_front.front.is_draining = True
+            answer = await echo_front.exchange(HEAD + b'\r\n')
             self.assertIn(b'Connection: close', answer)
             self.assertTrue(answer.endswith(b'GET/a'))
 
-        run(play)
+        run(exchange_bytes)
 
     def test_idle_connections_end_last(self) -> None:
-        """One with a request is kept when idle ones are closed."""
+        """A busy connection stays open when idle ones are closed."""
 
-        async def play(world: Served) -> None:
-            world.hold.clear()
-            idle, idle_writer = await asyncio.open_connection(HOST, world.port)
-            busy, writer = await asyncio.open_connection(HOST, world.port)
+        async def exchange_bytes(echo_front: EchoFront) -> None:
+            echo_front.may_answer.clear()
+            idle, idle_writer = await asyncio.open_connection(
+                HOST, echo_front.port
+            )
+            busy, writer = await asyncio.open_connection(HOST, echo_front.port)
             writer.write(HEAD + b'Connection: close\r\n\r\n')
-            while not world.requests:
+            while not echo_front.requests:
                 await asyncio.sleep(0)
-            world.front.close_idle()
+            echo_front.front.close_idle()
             self.assertEqual(b'', await idle.read())
-            world.hold.set()
+            echo_front.may_answer.set()
             self.assertTrue((await busy.read()).endswith(b'GET/a'))
             idle_writer.close()
             writer.close()
 
-        run(play)
+        run(exchange_bytes)
--- a/tests/platform/log_contract.py
+++ b/tests/platform/log_contract.py
@@ -1,4 +1,4 @@
-"""What every log service keeps to, whoever stands behind it."""
+"""Contract of all log services."""
 
 from __future__ import annotations
 
@@ -9,12 +9,12 @@
 
 
 class LogContract:
-    """Mixed into a test case that sets ``log`` and orders its faults."""
+    """Tests mixed into a test case that sets ``log`` and injects faults."""
 
     log: protocols.LogService
 
-    def test_reads_what_was_appended(self):
-        """Offsets grow from 0 in the order of the appends."""
+    def test_append_and_read(self):
+        """Offsets start at 0 and increase in the order of the appends."""
         self.assertEqual((0, 1), self.log.append('s', [b'a', b'']))
         self.assertEqual((2,), self.log.append('s', [b'\xff\x00']))
         page = self.log.read('s', 0)
@@ -24,20 +24,20 @@
         )
         self.assertEqual((0, 3, 3), (page.oldest, page.next_offset, page.end))
 
-    def test_streams_are_apart(self):
-        """A stream's offsets and records are its own, whatever its name."""
+    def test_separate_streams(self):
+        """Each stream has offsets and records of its own."""
         self.log.append('a/b', [b'1'])
         self.assertEqual((0,), self.log.append('a?b', [b'2']))
         self.assertEqual(b'1', self.log.read('a/b', 0).records[0].payload)
         self.assertEqual((), self.log.read('a', 0).records)
 
-    def test_appending_nothing(self):
-        """An append of nothing has no offsets and no effect."""
+    def test_empty_append(self):
+        """An empty append returns no offsets and has no effect."""
         self.assertEqual((), self.log.append('s', []))
         self.assertEqual(0, self.log.read('s', 0).end)
 
     def test_pages(self):
-        """A limit cuts a page; the next one begins where it ended."""
+        """The limit ends a page; the next page starts at its end."""
         self.log.append('s', [b'a', b'b', b'c'])
         page = self.log.read('s', 0, limit=2)
         self.assertEqual((2, 3), (page.next_offset, page.end))
@@ -45,7 +45,7 @@
         self.assertEqual([b'c'], [record.payload for record in page.records])
 
     def test_waits_for_a_record(self):
-        """A read that waits returns with the record that comes meanwhile."""
+        """A waiting read returns a record appended meanwhile."""
         pages = []
         reader = threading.Thread(
             target=lambda: pages.append(self.log.read('s', 0, wait=30)),
@@ -56,16 +56,15 @@
         self.assertEqual(b'a', pages[0].records[0].payload)
 
     def test_wait_without_a_record(self):
-        """A read that waited in vain returns an empty page."""
+        """A waiting read returns an empty page after its timeout."""
         page = self.log.read('s', 0, wait=0.01)
         self.assertEqual((0, ()), (page.next_offset, page.records))
 
     def test_expired(self):
-        """A reader comes back after a long absence.
+        """Reading expired records raises an error with the oldest offset.
 
-        The records it asks for have expired. The error tells it the oldest
-        offset that is kept, from which it can go on; the offsets of what is
-        kept have not changed.
+        The reader can continue from there; retained records keep their
+        offsets.
         """
         self.log.append('s', [b'a', b'b', b'c'])
         self.expire('s', 2)
@@ -77,7 +76,7 @@
         self.assertEqual(2, page.records[0].offset)
 
     def test_all_expired(self):
-        """Offsets go on where they were when all records have expired."""
+        """Offsets continue from the last one after all records expired."""
         self.log.append('s', [b'a', b'b'])
         self.expire('s', 2)
         page = self.log.read('s', 2)
@@ -85,7 +84,7 @@
         self.assertEqual((2,), self.log.append('s', [b'c']))
 
     def test_outage(self):
-        """During an outage calls fail; what was kept is there afterwards."""
+        """Calls fail during an outage; records are still there after it."""
         self.log.append('s', [b'a'])
         self.outage(on=True)
         for attempt in (
@@ -97,10 +96,10 @@
         self.assertEqual(1, self.log.read('s', 0).end)
 
     def test_lost_answer(self):
-        """An append takes effect, and its answer is lost.
+        """An append whose answer is lost has taken effect once.
 
-        The caller learns only that it may have; reading shows the record,
-        and shows it once.
+        The error says that the append may have taken effect; reading returns
+        the record once.
         """
         self.lose_answer()
         error = self.assertRaises(
@@ -110,7 +109,7 @@
         self.assertEqual(1, self.log.read('s', 0).end)
 
     def test_lost_append(self):
-        """An append is lost on its way: the error is the same, not more."""
+        """An append that is lost before the service raises the same error."""
         self.lose_append()
         error = self.assertRaises(
             errors.PlatformUnavailableError, self.log.append, 's', [b'a']
@@ -119,7 +118,7 @@
         self.assertEqual(0, self.log.read('s', 0).end)
 
     def test_throttled(self):
-        """Above the rate limit nothing is appended, and the error says so."""
+        """Above the rate limit, nothing is appended and an error is raised."""
         self.throttle()
         error = self.assertRaises(
             errors.ThrottledError, self.log.append, 's', [b'a']
--- a/tests/platform/test_content.py
+++ b/tests/platform/test_content.py
@@ -1,4 +1,4 @@
-"""Tests of weight store and origin: their contract, and faults."""
+"""Tests of the adapters of the weight store and the origin."""
 
 from __future__ import annotations
 
@@ -16,28 +16,29 @@
 
 
 class ContentContract:
-    """What every holder of content keeps to.
+    """Contract of all services that serve content by digest.
 
-    Mixed into a test case that sets ``fetch`` and ``put``, and orders faults.
+    It is mixed into a test case that defines ``fetch``, ``put`` and methods
+    that inject faults.
     """
 
-    def test_returns_what_is_held(self):
-        """Content comes back byte by byte."""
+    def test_fetch(self):
+        """Content is returned unchanged."""
         content = bytes(range(256)) * 300
         self.put(_DIGEST, content)
         self.assertEqual(content, self.fetch(_DIGEST))
 
     def test_empty(self):
-        """Empty content is content."""
+        """Empty content can be stored and fetched."""
         self.put(_DIGEST, b'')
         self.assertEqual(b'', self.fetch(_DIGEST))
 
     def test_missing(self):
-        """What isn't held is told apart from an outage."""
+        """Missing content is distinguished from an outage."""
         self.assertRaises(errors.ContentMissingError, self.fetch, _DIGEST)
 
     def test_throttled(self):
-        """Above the rate limit the error says how long to wait."""
+        """Above the rate limit, the error says how long to wait."""
         self.put(_DIGEST, b'a')
         self.throttle()
         error = self.assertRaises(errors.ThrottledError, self.fetch, _DIGEST)
@@ -45,7 +46,7 @@
         self.assertEqual(b'a', self.fetch(_DIGEST))
 
     def test_outage(self):
-        """An outage is an error, and passes."""
+        """Calls fail during an outage and succeed after it."""
         self.put(_DIGEST, b'a')
         self.outage(on=True)
         self.assertRaises(errors.PlatformUnavailableError, self.fetch, _DIGEST)
@@ -53,7 +54,7 @@
         self.assertEqual(b'a', self.fetch(_DIGEST))
 
     def test_corrupted(self):
-        """Bytes changed on the way come as they are, for the caller to see."""
+        """Corrupt content is returned as received; the caller verifies it."""
         self.put(_DIGEST, b'abc')
         self.corrupt()
         self.assertNotEqual(b'abc', self.fetch(_DIGEST))
@@ -61,7 +62,7 @@
 
 
 class MemoryContract(ContentContract):
-    """Faults of the fakes in memory."""
+    """Fault injection into the in-memory fakes."""
 
     def outage(self, on):
         self.holder.outage = on
@@ -74,7 +75,7 @@
 
 
 class MemoryStoreTest(MemoryContract, testtools.TestCase):
-    """The weight store in memory keeps to the contract."""
+    """The in-memory weight store fulfils the contract."""
 
     def setUp(self):
         super().setUp()
@@ -84,7 +85,7 @@
 
 
 class MemoryOriginTest(MemoryContract, testtools.TestCase):
-    """The origin in memory keeps to the contract."""
+    """The in-memory origin fulfils the contract."""
 
     def setUp(self):
         super().setUp()
@@ -95,7 +96,7 @@
 
 @tables.expand
 class HttpContract(ContentContract):
-    """Faults of the stand-ins, and what only an adapter can meet."""
+    """Fault injection into the stand-ins, and faults of HTTP exchanges."""
 
     def outage(self, on):
         serving.order(self.address, outage=on)
@@ -121,8 +122,8 @@
         stalled=serving.fault('stall', seconds=5),
         wrong_length=serving.fault('wrong_length'),
     )
-    def test_cut(self, fault):
-        """A part of the content is never taken for the whole."""
+    def test_truncation(self, fault):
+        """Truncated content is never returned as complete."""
         self.put(_DIGEST, b'a' * 50_000)
         self.show(fault)
         error = self.assertRaises(
@@ -131,13 +132,13 @@
         self.assertEqual(self.address, error.peer)
 
     def test_oversized(self):
-        """Content over the limit is refused before it fills the memory."""
+        """Content above the size limit is rejected before it is buffered."""
         self.put(_DIGEST, b'a' * 100_001)
         self.assertRaises(errors.MalformedMessageError, self.fetch, _DIGEST)
 
 
 class HttpStoreTest(HttpContract, testtools.TestCase):
-    """The weight store's adapter and stand-in keep to the contract."""
+    """The weight store's adapter and stand-in fulfil the contract."""
 
     path = '/v1/manifests'
 
@@ -151,7 +152,7 @@
 
 
 class HttpOriginTest(HttpContract, testtools.TestCase):
-    """The origin's adapter and stand-in keep to the contract."""
+    """The origin's adapter and stand-in fulfil the contract."""
 
     path = '/v1/chunks'
 
@@ -163,8 +164,8 @@
         self.addCleanup(holder.close)
         self.fetch = holder.chunk
 
-    def test_cut_in_the_middle(self):
-        """The connection is lost after a piece of a chunk has arrived."""
+    def test_truncated_chunk(self):
+        """The connection is lost after a part of a chunk has arrived."""
         self.put(_DIGEST, b'a' * 50_000)
         self.show(serving.fault('truncate', parts=1))
         self.assertRaises(errors.PlatformUnavailableError, self.fetch, _DIGEST)
--- a/tests/platform/test_engine.py
+++ b/tests/platform/test_engine.py
@@ -1,4 +1,4 @@
-"""Tests of what is told of pieces that the origin hands out."""
+"""Tests of the timing of pieces that the origin serves."""
 
 from __future__ import annotations
 
@@ -11,38 +11,38 @@
 from clementinepass.platform import engine
 
 #: Seconds between the two halves of a piece.
-PAUSE = 0.05
+PAUSE_SECONDS = 0.05
 
 
-async def _in_halves(
+async def _send_in_halves(
     request: messages.Request,
     reply: replies.Reply,
 ) -> None:
     reply.start(200, [])
     reply.write(b'half')
-    await asyncio.sleep(PAUSE)
+    await asyncio.sleep(PAUSE_SECONDS)
     reply.write(b'half')
     reply.end()
 
 
 class OriginPieceTest(testtools.TestCase):
-    """The origin's pieces are timed like those of other agents.
+    """The transfer time of the origin's pieces is measured.
 
-    They counted as taking no time at all, so that an agent whose link was
-    narrowed took it for the fastest, and asked for more at once.
+    If it were zero, an agent on a narrow link would take the origin for the
+    fastest source and request more pieces from it at once.
     """
 
     def test_seconds(self) -> None:
-        """What lies between its head and its end is told."""
+        """The time is measured from the head to the end of the answer."""
 
-        async def played() -> weights.Piece:
-            listener = front.Front(_in_halves)
+        async def fetch_piece() -> weights.Piece:
+            listener = front.Front(_send_in_halves)
             port = await listener.listen('127.0.0.1', 0)
             origin = engine.HttpOrigin(f'127.0.0.1:{port}')
             piece = await origin.piece('m', 1, 0)
             await listener.close()
             return piece
 
-        piece = asyncio.run(played())
+        piece = asyncio.run(fetch_piece())
         self.assertEqual(b'halfhalf', piece.payload)
-        self.assertGreaterEqual(piece.seconds, PAUSE / 2)
+        self.assertGreaterEqual(piece.seconds, PAUSE_SECONDS / 2)
--- a/tests/platform/test_instance_list.py
+++ b/tests/platform/test_instance_list.py
@@ -1,4 +1,4 @@
-"""Tests of the instance list: its contract, and its adapter under faults."""
+"""Tests of the instance list's contract and of its adapter under faults."""
 
 from __future__ import annotations
 
@@ -30,10 +30,10 @@
 
 
 class InstanceContract:
-    """What every instance list keeps to."""
+    """Contract of all instance lists."""
 
     def test_shows_changes(self):
-        """Instances come, change and go."""
+        """Added, changed and removed instances are listed accordingly."""
         self.assertEqual((), self.shown.instances())
         self.put(_ENTRY)
         self.put(_AGENT)
@@ -46,9 +46,9 @@
         self.assertEqual((leaving,), self.shown.instances())
 
     def test_outage(self):
-        """An outage is an error, never an empty list.
+        """An outage raises an error and never yields an empty list.
 
-        Were it one, all endpoints would seem to be gone at once.
+        With an empty list, all endpoints would seem to be gone at once.
         """
         self.put(_ENTRY)
         self.outage(on=True)
@@ -58,7 +58,7 @@
 
 
 class MemoryInstancesTest(InstanceContract, testtools.TestCase):
-    """The fake in memory keeps to the contract."""
+    """The in-memory fake fulfils the contract."""
 
     def setUp(self):
         super().setUp()
@@ -77,7 +77,7 @@
 
 @tables.expand
 class HttpInstancesTest(InstanceContract, testtools.TestCase):
-    """The adapter and the stand-in keep to the contract together."""
+    """The adapter and the stand-in together fulfil the contract."""
 
     def setUp(self):
         super().setUp()
@@ -114,7 +114,7 @@
         twice=_list()[:-2] + ',' + _list()[len('{"instances":[') :],
     )
     def test_malformed(self, body):
-        """A list that contradicts the protocol is not taken in."""
+        """A list that violates the protocol is rejected."""
         fault = serving.fault('replace', body=body)
         serving.order(self.address, faults=(fault,))
         error = self.assertRaises(
@@ -124,10 +124,10 @@
 
 
 class LagTest(testtools.TestCase):
-    """The stand-in shows changes late, in their order."""
+    """The stand-in lists changes with a delay and in order."""
 
     def test_lag(self):
-        """A change shows once the lag has passed, and not before."""
+        """A change is listed once the lag has passed, and not before."""
         store = standin.InstanceStore(lag=5)
         store.put(_ENTRY, now=0)
         store.delete('e1', now=2)
--- a/tests/platform/test_log_service.py
+++ b/tests/platform/test_log_service.py
@@ -1,4 +1,4 @@
-"""Tests of the log service: its contract, and its adapter under faults."""
+"""Tests of the log service's contract and of its adapter under faults."""
 
 from __future__ import annotations
 
@@ -16,7 +16,7 @@
 
 
 class MemoryLogTest(log_contract.LogContract, testtools.TestCase):
-    """The fake in memory keeps to the contract."""
+    """The in-memory fake fulfils the contract."""
 
     def setUp(self):
         super().setUp()
@@ -37,7 +37,7 @@
 
 
 class HttpLogTest(log_contract.LogContract, testtools.TestCase):
-    """The adapter and the stand-in keep to the contract together."""
+    """The adapter and the stand-in together fulfil the contract."""
 
     def setUp(self):
         super().setUp()
@@ -78,7 +78,7 @@
 
 @tables.expand
 class ReadFaultTest(testtools.TestCase):
-    """A read under a fault fails with the error that tells its kind."""
+    """A read that meets a fault raises the error for that kind of fault."""
 
     def setUp(self):
         super().setUp()
@@ -102,7 +102,7 @@
         wrong_length=serving.fault('wrong_length'),
     )
     def test_unavailable(self, fault):
-        """No whole answer: the service counts as unavailable."""
+        """Without a complete answer, the service counts as unavailable."""
         serving.order(self.address, faults=(fault,))
         error = self.assertRaises(
             errors.PlatformUnavailableError, self.log.read, 's', 0
@@ -130,7 +130,7 @@
         deeply_nested='[' * 1900,
     )
     def test_malformed(self, body):
-        """An answer that contradicts the protocol is never taken in."""
+        """An answer that violates the protocol is rejected."""
         fault = serving.fault('replace', body=body, calls=0)
         serving.order(self.address, faults=(fault,))
         error = self.assertRaises(
@@ -145,7 +145,7 @@
         no_number='{"offsets":["1"]}',
     )
     def test_malformed_append(self, body):
-        """Offsets that do not fit the records are no answer."""
+        """Offsets that do not match the appended records are rejected."""
         fault = serving.fault('replace', body=body)
         serving.order(self.address, faults=(fault,))
         self.assertRaises(
@@ -153,7 +153,7 @@
         )
 
     def test_refused(self):
-        """Where nothing listens, the error says that nothing was sent."""
+        """If the connection is refused, the error says that nothing was sent."""
         log = log_service.HttpLogService(serving.closed_address())
         error = self.assertRaises(
             errors.PlatformUnavailableError, log.append, 's', [b'a']
@@ -161,11 +161,10 @@
         self.assertFalse(error.sent)
 
     def test_page_too_long(self):
-        """Many large records lie ahead of a reader.
+        """A page that exceeds the size limit is read in smaller pages.
 
-        A page of them all is longer than what the adapter accepts. The
-        reader gets them in smaller pages, instead of failing on the same
-        page for ever.
+        Otherwise, a reader that reaches many large records would fail on the
+        same page forever.
         """
         self.log.append('s', [b'a' * 300] * 9)
         position = 0
@@ -178,8 +177,11 @@
             errors.MessageTooLongError, self.log.read, 's', position
         )
 
-    def test_expired_in_a_circle(self):
-        """A 410 that would send a reader round in a circle is malformed."""
+    def test_expired_without_progress(self):
+        """A 410 whose oldest offset is not above the requested one is malformed.
+
+        A reader that restarts at that offset would loop forever.
+        """
         self.log.append('s', [b'b'])
         body = msgspec.json.encode(standin.RetentionBody('s', 1))
         serving.control(self.address, '/control/retention', body)
--- a/tests/platform/test_machines.py
+++ b/tests/platform/test_machines.py
@@ -1,4 +1,4 @@
-"""Tests of the boundary to the users' machines: what is read and written."""
+"""Tests of the adapters for the users' platform."""
 
 from __future__ import annotations
 
@@ -89,57 +89,61 @@
 
 
 def record(key: str, payload: typing.Any) -> records.Record:
-    """Return a record with a JSON value."""
+    """Return a record with a JSON payload."""
     return records.Record(key, 0, json.dumps(payload).encode())
 
 
 class OperatorTest(testtools.TestCase):
-    """Configurations and named versions."""
+    """Decoding of configurations and desired versions."""
 
     def test_configuration(self) -> None:
-        """Each field has its meaning and unit."""
+        """Each field is decoded with its meaning and unit."""
         found = operator.read(record('config', CONFIG))
         assert isinstance(found, routing.Routing)
-        one = found.find_route(b'h.example:80', b'/a/x')
-        assert one is not None
+        route = found.find_route(b'h.example:80', b'/a/x')
+        assert route is not None
         self.assertEqual(
             (routing.RouteKind.STREAM, 6.0, 0.406, 0.3, 2, True),
             (
-                one.kind,
-                one.timeout,
-                one.latency_target,
-                one.max_event_gap,
-                one.max_runs,
-                one.is_repeatable,
+                route.kind,
+                route.timeout,
+                route.latency_target,
+                route.max_event_gap,
+                route.max_runs,
+                route.is_repeatable,
             ),
         )
-        engine_of = found.services_by_name['pool'].engine
-        assert engine_of is not None
+        decoded_engine = found.services_by_name['pool'].engine
+        assert decoded_engine is not None
         self.assertEqual(
             ('m', 16, 96),
-            (engine_of.model, engine_of.layers, engine_of.chunks),
+            (
+                decoded_engine.model,
+                decoded_engine.layers,
+                decoded_engine.chunks,
+            ),
         )
-        self.assertAlmostEqual(0.00673, engine_of.step_seconds)
+        self.assertAlmostEqual(0.00673, decoded_engine.step_seconds)
         assert found.origin is not None
         self.assertEqual('south-1', found.origin.domain)
         self.assertEqual(15.0, found.bounds.idle_seconds)
         self.assertEqual('t', found.teams_by_key[b'k2'].name)
 
     def test_longest_prefix_and_weights(self) -> None:
-        """The longest prefix wins; an unknown kind runs once at most."""
+        """The longest prefix wins; an unknown kind is never retried."""
         found = operator.read(record('config', CONFIG))
         assert isinstance(found, routing.Routing)
-        one = found.find_route(b'H.EXAMPLE', b'/a/b/c')
-        assert one is not None
-        self.assertEqual('b', one.name)
-        self.assertIs(routing.RouteKind.AT_MOST_ONCE, one.kind)
-        self.assertFalse(one.is_repeatable)
-        self.assertTrue(one.is_public)
-        points = [one.service_for(number / 100) for number in range(100)]
+        route = found.find_route(b'H.EXAMPLE', b'/a/b/c')
+        assert route is not None
+        self.assertEqual('b', route.name)
+        self.assertIs(routing.RouteKind.AT_MOST_ONCE, route.kind)
+        self.assertFalse(route.is_repeatable)
+        self.assertTrue(route.is_public)
+        points = [route.service_for(number / 100) for number in range(100)]
         self.assertEqual(90, points.count('pool'))
 
     def test_no_teams(self) -> None:
-        """Without teams no request needs a key; with none each does."""
+        """Without a list of teams no key is needed; with an empty list it is."""
         without = {key: CONFIG[key] for key in CONFIG if key != 'tenants'}
         found = operator.read(record('config', without))
         assert isinstance(found, routing.Routing)
@@ -149,7 +153,7 @@
         self.assertTrue(found.requires_key)
 
     def test_version(self) -> None:
-        """A named version, and what is of no concern."""
+        """Desired versions are decoded; irrelevant records are ignored."""
         found = operator.read(
             record('version/m', {'model': 'm', 'version': 2}),
         )
@@ -158,7 +162,7 @@
         self.assertIsNone(operator.read(records.Record('config', 0, None)))
 
     def test_malformed(self) -> None:
-        """What can't be decoded is an error, not half a configuration."""
+        """A malformed configuration raises an error."""
         for payload in (b'', b'{', b'[]', b'{"version": "x"}', b'\xff'):
             self.assertRaises(
                 errors.MalformedMessageError,
@@ -168,7 +172,7 @@
 
 
 class RegistryTest(testtools.TestCase):
-    """What endpoints write of themselves."""
+    """Decoding of endpoints' records."""
 
     ENTRY: typing.ClassVar[dict[str, typing.Any]] = {
         'service': 'pool',
@@ -181,8 +185,8 @@
         'layers': {'from': 0, 'target': 16, 'version': 1},
     }
 
-    def test_entry(self) -> None:
-        """An endpoint that serves, one that leaves, one without weights."""
+    def test_records(self) -> None:
+        """An endpoint that is ready, one that drains, one without weights."""
         found = registry.read(record('i-1', self.ENTRY))
         assert found is not None
         self.assertEqual(endpoints.Weights(1, 0, 16), found.weights)
@@ -198,7 +202,7 @@
         self.assertEqual(endpoints.Weights(0, 0, 0), found.weights)
 
     def test_removed_and_malformed(self) -> None:
-        """A removal is none; anything else that isn't an entry is an error."""
+        """A removal yields ``None``; a malformed record raises an error."""
         self.assertIsNone(registry.read(records.Record('i-1', 0, None)))
         self.assertRaises(
             errors.MalformedMessageError,
@@ -208,11 +212,11 @@
 
 
 class DialectTest(testtools.TestCase):
-    """Verdicts on answers' heads."""
+    """Verdicts on the heads of answers."""
 
     def test_verdicts(self) -> None:
-        """The id, the mark, the stamp and the encoding decide."""
-        spelling = dialect.HeaderDialect()
+        """Id, not-executed mark, stamp and encoding determine the verdict."""
+        header_dialect = dialect.HeaderDialect()
         request = messages.Request(
             b'GET',
             b'/',
@@ -220,18 +224,18 @@
             b'',
             0,
         )
-        call = spelling.decode_request(request)
-        own = (b'X-Attempt-Id', b'r')
+        call = header_dialect.decode_request(request)
+        id_header = (b'X-Attempt-Id', b'r')
         stamp = (b'X-Server-Stamp', b's')
         table = (
-            (200, [own, stamp], calls.Verdict.SUCCESS),
-            (500, [own, stamp], calls.Verdict.FAILURE),
-            (200, [own], calls.Verdict.INVALID),
+            (200, [id_header, stamp], calls.Verdict.SUCCESS),
+            (500, [id_header, stamp], calls.Verdict.FAILURE),
+            (200, [id_header], calls.Verdict.INVALID),
             (200, [stamp], calls.Verdict.INVALID),
-            (500, [own], calls.Verdict.INVALID),
+            (500, [id_header], calls.Verdict.INVALID),
             (
                 200,
-                [own, stamp, (b'Content-Encoding', b'gzip')],
+                [id_header, stamp, (b'Content-Encoding', b'gzip')],
                 calls.Verdict.INVALID,
             ),
             (
@@ -239,9 +243,13 @@
                 [(b'X-Attempt-Id', b'o'), stamp],
                 calls.Verdict.OTHER_REQUEST,
             ),
-            (503, [own, (b'X-Not-Executed', b'1')], calls.Verdict.NOT_RUN),
-            (503, [own, stamp], calls.Verdict.FAILURE),
-            (421, [own], calls.Verdict.MISDIRECTED),
+            (
+                503,
+                [id_header, (b'X-Not-Executed', b'1')],
+                calls.Verdict.NOT_RUN,
+            ),
+            (503, [id_header, stamp], calls.Verdict.FAILURE),
+            (421, [id_header], calls.Verdict.MISDIRECTED),
             (
                 503,
                 [(b'X-Attempt-Id', b'o'), (b'X-Not-Executed', b'1')],
@@ -250,7 +258,7 @@
         )
         for status, pairs, verdict in table:
             head = messages.AnswerHead(status, messages.Headers(pairs))
-            facts = spelling.decode_head(call, head)
+            facts = header_dialect.decode_head(call, head)
             self.assertIs(verdict, facts.verdict, (status, pairs))
 
 
@@ -258,7 +266,7 @@
     """The settings file of a process."""
 
     def test_read(self) -> None:
-        """Fields have their meaning; unknown ones are passed over."""
+        """Fields are decoded; unknown fields are ignored."""
         with tempfile.NamedTemporaryFile('w', suffix='.json') as file:
             json.dump(
                 {
@@ -286,7 +294,7 @@
         self.assertEqual('north', found.region_of('north-1'))
 
     def test_bad_files(self) -> None:
-        """A missing or malformed file is one typed error."""
+        """A missing or malformed file raises ``SettingsError``."""
         folder = pathlib.Path(self.useFixture(TempFolder()).path)
         for name, text in (('a', ''), ('b', '{}'), ('c', '{"ip": 3}')):
             path = folder / name
@@ -304,30 +312,30 @@
 
 
 class TempFolder:
-    """A folder that is removed after the test."""
+    """Fixture of a temporary folder."""
 
     path = ''
 
     def setUp(self) -> None:
-        """Make it."""
+        """Create the folder."""
         self._folder = tempfile.TemporaryDirectory()
         self.path = self._folder.name
 
     def cleanUp(self) -> None:  # noqa: N802
-        """Remove it."""
+        """Remove the folder."""
         self._folder.cleanup()
 
     def getDetails(self) -> dict[str, str]:  # noqa: N802
-        """Return nothing."""
+        """Return no details."""
         return {}
 
 
-class Answers:
-    """A service that answers each request with the next of a script."""
+class ScriptedServer:
+    """HTTP server that gives the next scripted answer to each request."""
 
     def __init__(self, *script: tuple[int, bytes]) -> None:
         self.script = list(script)
-        self.asked: list[messages.Request] = []
+        self.requests: list[messages.Request] = []
         self._front = front.Front(self._handle)
         self.address = ''
 
@@ -343,13 +351,13 @@
         request: messages.Request,
         reply: replies.Reply,
     ) -> None:
-        self.asked.append(request)
+        self.requests.append(request)
         status, body = self.script.pop(0)
         reply.send(status, [], body)
 
 
 def framed(*keyed: tuple[bytes, bytes]) -> bytes:
-    """Return records as the store sends them."""
+    """Return records in the encoding of the store's pages."""
     parts = [(9).to_bytes(8, 'big'), (0).to_bytes(8, 'big')]
     for key, payload in keyed:
         whole = bytes((len(key),)) + key + payload
@@ -358,14 +366,16 @@
 
 
 class StoreTest(testtools.TestCase):
-    """The store's calls and its refusals."""
+    """The store's calls and errors."""
 
     def test_changes(self) -> None:
-        """Records come with their offsets; no value is a removal."""
+        """Records have consecutive offsets; an empty value is a removal."""
 
-        async def play() -> None:
-            async with Answers((200, framed((b'a', b'1'), (b'b', b'')))) as one:
-                page = await store.HttpStore(one.address).changes(
+        async def run_calls() -> None:
+            async with ScriptedServer(
+                (200, framed((b'a', b'1'), (b'b', b'')))
+            ) as server:
+                page = await store.HttpStore(server.address).changes(
                     records.Topic.ENDPOINTS,
                     4,
                     0.5,
@@ -378,15 +388,15 @@
                 page.records,
             )
             self.assertEqual(6, page.next_offset)
-            self.assertIn(b'from=4&waitMs=500', one.asked[0].target)
+            self.assertIn(b'from=4&waitMs=500', server.requests[0].target)
 
-        asyncio.run(play())
+        asyncio.run(run_calls())
 
-    def test_odd_records(self) -> None:
-        """Another writer's records have no key, or one that isn't text.
+    def test_malformed_records(self) -> None:
+        """Records without a key or with a binary key don't fail the page.
 
-        Each read of the topic failed from then on. The records after them are
-        read, with their offsets.
+        If one such record of another writer failed the page, every read of the
+        topic would fail from then on. Later records keep their offsets.
         """
         odd = [b'', b'\5ab', b'\2\xff\xfe1', b'\1a1']
         body = framed() + b''.join(
@@ -401,31 +411,34 @@
         }
         encoded = json.dumps(newest).encode()
 
-        async def play() -> None:
+        async def run_calls() -> None:
             topic = records.Topic.ENDPOINTS
             script = ((200, body), (200, encoded), (200, encoded))
-            async with Answers(*script) as one:
-                own = store.HttpStore(one.address)
-                page = await own.changes(topic, 4, 0)
+            async with ScriptedServer(*script) as server:
+                http_store = store.HttpStore(server.address)
+                page = await http_store.changes(topic, 4, 0)
                 self.assertEqual(8, page.next_offset)
                 self.assertEqual(
                     [(6, b'1'), (7, b'1')],
-                    [(each.offset, each.payload) for each in page.records],
+                    [
+                        (record.offset, record.payload)
+                        for record in page.records
+                    ],
                 )
                 self.assertEqual('a', page.records[-1].key)
-                found = (await own.newest(topic)).records
-                self.assertEqual([3, 4], [each.offset for each in found])
+                found = (await http_store.newest(topic)).records
+                self.assertEqual([3, 4], [record.offset for record in found])
                 self.assertEqual(b'1', found[-1].payload)
 
-        asyncio.run(play())
+        asyncio.run(run_calls())
 
     def test_pages_of_the_newest(self) -> None:
-        """Changes are followed from an end that was there before all pages.
+        """Changes are followed from the end offset of the first page.
 
-        An entry that was restarted while configurations came in quick
-        succession answered by an old one for four seconds: its page had the
-        configuration before the last, and an end after the last, so that the
-        last was never read.
+        With the end of the last page, a record written between two pages could
+        be missed: an entry that was restarted while configurations changed in
+        quick succession used an old one for four seconds, as its page held the
+        last but one configuration and an end offset after the last one.
         """
 
         def page(key: str, end: int, *, more: bool) -> bytes:
@@ -437,24 +450,26 @@
             answer = {'entries': [entry], 'hasMore': more, 'endOffset': end}
             return json.dumps(answer).encode()
 
-        async def play() -> None:
+        async def run_calls() -> None:
             script = (
                 (200, page('a', 5, more=True)),
                 (200, page('a', 7, more=True)),
                 (200, page('b', 8, more=False)),
             )
-            async with Answers(*script) as one:
-                found = await store.HttpStore(one.address).newest(
+            async with ScriptedServer(*script) as server:
+                found = await store.HttpStore(server.address).newest(
                     records.Topic.OPERATOR,
                 )
-            self.assertEqual(['a', 'b'], [each.key for each in found.records])
+            self.assertEqual(
+                ['a', 'b'], [record.key for record in found.records]
+            )
             self.assertEqual(5, found.next_offset)
-            self.assertIn(b'after=a', one.asked[2].target)
+            self.assertIn(b'after=a', server.requests[2].target)
 
-        asyncio.run(play())
+        asyncio.run(run_calls())
 
     def test_errors(self) -> None:
-        """Each refusal is a typed error."""
+        """Each error status raises its own error class."""
         table: tuple[tuple[int, bytes, type[Exception]], ...] = (
             (410, b'{"firstOffset":9}', errors.RecordsExpiredError),
             (429, b'', errors.ThrottledError),
@@ -463,38 +478,38 @@
             (200, framed((b'a', b'1'))[:-1], errors.MalformedMessageError),
         )
 
-        async def play() -> None:
+        async def run_calls() -> None:
             for status, body, expected in table:
-                async with Answers((status, body)) as one:
+                async with ScriptedServer((status, body)) as server:
                     with testtools.ExpectedException(expected):
-                        await store.HttpStore(one.address).changes(
+                        await store.HttpStore(server.address).changes(
                             records.Topic.OPERATOR,
                             0,
                             0,
                         )
 
-        asyncio.run(play())
+        asyncio.run(run_calls())
 
     def test_put(self) -> None:
-        """A record is framed with its key."""
+        """A record is encoded with length, key and value."""
 
-        async def play() -> None:
-            async with Answers((200, b'{}')) as one:
-                await store.HttpStore(one.address).put(
+        async def run_calls() -> None:
+            async with ScriptedServer((200, b'{}')) as server:
+                await store.HttpStore(server.address).put(
                     records.Topic.ENTRIES,
                     'key',
                     b'v',
                 )
-            self.assertEqual(b'\0\0\0\5\3keyv', one.asked[0].body)
+            self.assertEqual(b'\0\0\0\5\3keyv', server.requests[0].body)
 
-        asyncio.run(play())
+        asyncio.run(run_calls())
 
 
 class EngineTest(testtools.TestCase):
-    """The engine's calls."""
+    """The engine's and the origin's calls."""
 
     def test_report_and_order(self) -> None:
-        """An order names the state that it was decided on."""
+        """An order states the number of orders in the report it is based on."""
         report = {
             'models': [{'name': 'm', 'version': 1}],
             'layers': {'from': 0, 'target': 16, 'version': 1},
@@ -504,12 +519,12 @@
             'queued': 1,
         }
 
-        async def play() -> None:
+        async def run_calls() -> None:
             script = ((200, json.dumps(report).encode()), (202, b''))
-            async with Answers(*script) as one:
-                own = engine.HttpEngine(one.address)
-                found = await own.report()
-                await own.load('m', 2, found)
+            async with ScriptedServer(*script) as server:
+                http_engine = engine.HttpEngine(server.address)
+                found = await http_engine.report()
+                await http_engine.load('m', 2, found)
             self.assertEqual(
                 (endpoints.Weights(1, 0, 16), 2),
                 (
@@ -517,7 +532,7 @@
                     found.orders,
                 ),
             )
-            order = json.loads(one.asked[1].body)
+            order = json.loads(server.requests[1].body)
             self.assertEqual(
                 ('start', 'm', 2, 2),
                 (
@@ -528,23 +543,23 @@
                 ),
             )
 
-        asyncio.run(play())
+        asyncio.run(run_calls())
 
     def test_origin(self) -> None:
-        """A version that is too old has neither manifest nor pieces."""
+        """An expired version has neither a manifest nor pieces."""
 
-        async def play() -> None:
-            async with Answers((410, b''), (410, b'')) as one:
-                own = engine.HttpOrigin(one.address)
-                self.assertIsNone(await own.manifest('m', 1))
-                found = await own.piece('m', 1, 0)
+        async def run_calls() -> None:
+            async with ScriptedServer((410, b''), (410, b'')) as server:
+                http_origin = engine.HttpOrigin(server.address)
+                self.assertIsNone(await http_origin.manifest('m', 1))
+                found = await http_origin.piece('m', 1, 0)
                 self.assertEqual(weights.Piece(None), found)
 
-        asyncio.run(play())
+        asyncio.run(run_calls())
 
 
 class DirectoryTest(testtools.TestCase):
-    """Where to connect, and whether an entry is ready."""
+    """The directory of entries and the readiness probe."""
 
     class Offers:
         """An entry that offers itself."""
@@ -560,7 +575,7 @@
             return 1.5
 
     def test_answers(self) -> None:
-        """Each question has its answer, anything else none."""
+        """Both paths are answered; any other path yields 404."""
         offers = self.Offers()
         handler = directory.HttpDirectory().create_handler(offers)
         sent: list[tuple[int, bytes]] = []
@@ -569,7 +584,7 @@
             def send(self, status: int, pairs: object, body: bytes) -> None:
                 sent.append((status, body))
 
-        async def play() -> None:
+        async def run_calls() -> None:
             for target in (
                 b'/api/resolve?name=h',
                 b'/api/readyz',
@@ -584,7 +599,7 @@
                 )
                 await handler(request, typing.cast(replies.Reply, Reply()))
 
-        asyncio.run(play())
+        asyncio.run(run_calls())
         self.assertEqual([200, 503, 404], [status for status, _ in sent])
         self.assertEqual(
             {'addresses': ['10.0.0.1:80'], 'ttlS': 1.5},
--- a/tests/platform/test_registry.py
+++ b/tests/platform/test_registry.py
@@ -1,4 +1,4 @@
-"""Tests of records that other writers leave in the list of endpoints."""
+"""Tests of decoding endpoint and operator records of any writer."""
 
 from __future__ import annotations
 
@@ -30,85 +30,89 @@
 
 
 def entry(**changes: typing.Any) -> bytes:
-    """Return a record with some fields changed; ``...`` takes one away."""
+    """Return a record with some fields changed; ``...`` removes a field."""
     fields = {**ENTRY, **changes}
     return json.dumps(
         {name: field for name, field in fields.items() if field is not ...},
     ).encode()
 
 
-#: What other writers may leave: a story and the bytes.
+#: Records that other writers may leave: a description and the bytes.
 MALFORMED = (
-    ('nothing', b' '),
-    ('bytes that are no text', b'\xff\xfe\x00'),
-    ('text that is not JSON', b'ready'),
-    ('cut short', entry()[:-9]),
-    ('two in one', entry() + entry()),
+    ('blank', b' '),
+    ('binary bytes', b'\xff\xfe\x00'),
+    ('not JSON', b'ready'),
+    ('truncated', entry()[:-9]),
+    ('two records in one', entry() + entry()),
     ('a list', b'[]'),
-    ('no object', b'null'),
-    ('no field', b'{}'),
-    ('nested without end', b'{"x":' + b'[' * 99999 + b']' * 99999 + b'}'),
-    ('text that is no UTF-8', entry().replace(b'north-1', b'\xff\xff')),
+    ('null', b'null'),
+    ('no fields', b'{}'),
+    ('deeply nested', b'{"x":' + b'[' * 99999 + b']' * 99999 + b'}'),
+    ('invalid UTF-8', entry().replace(b'north-1', b'\xff\xff')),
     ('no service', entry(service=...)),
-    ('a service without a name', entry(service='')),
+    ('an empty service', entry(service='')),
     ('a service that is a number', entry(service=3)),
-    ('a service of any length', entry(service='s' * 100000)),
+    ('a very long service', entry(service='s' * 100000)),
     ('no address', entry(address=...)),
     ('an address that is a number', entry(address=80)),
     ('an address without a port', entry(address='10.0.0.1')),
-    ('a name in place of a number', entry(address='host:80')),
-    ('no such port', entry(address='10.0.0.1:99999')),
-    ('port nought', entry(address='10.0.0.1:0')),
-    ('no such number', entry(address='10.0.0.256:80')),
-    ('a port that is none', entry(address='10.0.0.1:8o')),
-    ('any address', entry(address='0.0.0.0:80')),
-    ('all machines', entry(address='255.255.255.255:80')),
-    ('a group', entry(address='224.0.0.1:80')),
+    ('a host name', entry(address='host:80')),
+    ('a port out of range', entry(address='10.0.0.1:99999')),
+    ('port zero', entry(address='10.0.0.1:0')),
+    ('an octet out of range', entry(address='10.0.0.256:80')),
+    ('a port that is not a number', entry(address='10.0.0.1:8o')),
+    ('the unspecified address', entry(address='0.0.0.0:80')),
+    ('the broadcast address', entry(address='255.255.255.255:80')),
+    ('a multicast address', entry(address='224.0.0.1:80')),
     ('IP version 6', entry(address='[::1]:80')),
     ('a URL', entry(address='http://10.0.0.1:80/')),
     ('an address with a line end', entry(address='10.0.0.1:80\r\n')),
-    ('an address of any length', entry(address='1' * 100000 + ':80')),
+    ('a very long address', entry(address='1' * 100000 + ':80')),
     ('no zone', entry(zone=...)),
     ('a zone that is a list', entry(zone=['north-1'])),
     ('no slots', entry(slots=...)),
-    ('slots below nothing', entry(slots=-1)),
-    ('no slot', entry(slots=0)),
-    ('slots in text', entry(slots='16')),
-    ('half a slot', entry(slots=1.5)),
-    ('slots beyond number', entry(slots=10**30)),
+    ('negative slots', entry(slots=-1)),
+    ('zero slots', entry(slots=0)),
+    ('slots as text', entry(slots='16')),
+    ('fractional slots', entry(slots=1.5)),
+    ('slots out of range', entry(slots=10**30)),
     ('no state', entry(state=...)),
-    ('a state that is not named', entry(state='paused')),
-    ('a state that is a flag', entry(state=True)),
+    ('an unknown state', entry(state='paused')),
+    ('a state that is a boolean', entry(state=True)),
     ('no heartbeat', entry(sequence=...)),
-    ('a heartbeat in text', entry(sequence='4')),
-    ('a heartbeat below nothing', entry(sequence=-4)),
-    ('a heartbeat beyond number', entry(sequence=2**70)),
-    ('a start in text', entry(born='1764727117000')),
+    ('a heartbeat as text', entry(sequence='4')),
+    ('a negative heartbeat', entry(sequence=-4)),
+    ('a heartbeat out of range', entry(sequence=2**70)),
+    ('a start as text', entry(born='1764727117000')),
     ('a start with a fraction', entry(born=1764727117000.5)),
     ('a start that is a float', entry(born=1764727117000.0)),
     ('a start that is null', entry(born=None)),
-    ('a start that is a flag', entry(born=True)),
-    ('a start below nothing', entry(born=-1)),
-    ('no start', entry(born=0)),
-    ('models that are none', entry(models='m')),
+    ('a start that is a boolean', entry(born=True)),
+    ('a negative start', entry(born=-1)),
+    ('a start of zero', entry(born=0)),
+    ('models as text', entry(models='m')),
     ('a model without a name', entry(models=[{'version': 1}])),
-    ('a version in text', entry(models=[{'name': 'm', 'version': '1'}])),
-    ('layers in text', entry(layers={'from': '0', 'target': 16})),
-    ('layers below nothing', entry(layers={'from': -1, 'target': 16})),
-    ('layers beyond a heartbeat', entry(layers={'from': 0, 'target': 10**6})),
+    ('a version as text', entry(models=[{'name': 'm', 'version': '1'}])),
+    ('layers as text', entry(layers={'from': '0', 'target': 16})),
+    ('negative layers', entry(layers={'from': -1, 'target': 16})),
     (
-        'weights beyond a heartbeat',
+        'layers beyond the range of heartbeats',
+        entry(layers={'from': 0, 'target': 10**6}),
+    ),
+    (
+        'a version beyond the range of heartbeats',
         entry(layers={'target': 1, 'version': 2**40}),
     ),
     ('a software version that is a number', entry(version=1)),
-    ('a coldness in text', entry(coldLeftMs='0')),
+    ('a cold time as text', entry(coldLeftMs='0')),
 )
-#: Keys that are no id: they would go into request heads, heartbeats and the log.
-ODD_KEYS = ('', 'i 1', 'i-1\r\nX-Tenant: t', 'i-\0', 'i-é', 'i' * 200)
+#: Keys that are not valid ids. Ids are copied to request heads, heartbeats and
+#: the log.
+INVALID_KEYS = ('', 'i 1', 'i-1\r\nX-Tenant: t', 'i-\0', 'i-é', 'i' * 200)
 
 
-class EntryTest(testtools.TestCase):
-    """What a record says."""
+class EndpointRecordTest(testtools.TestCase):
+    """Decoding of one endpoint record."""
 
     def read(self, payload: bytes, key: str = 'i-1') -> endpoints.Listing:
         """Decode a record."""
@@ -117,28 +121,28 @@
         return found
 
     def test_start(self) -> None:
-        """The start is told, or untold by older writers."""
+        """The start time is decoded; older writers omit it."""
         self.assertEqual(1764727117000, self.read(entry()).started_ms)
         self.assertEqual(0, self.read(entry(born=...)).started_ms)
 
     def test_plain_endpoint(self) -> None:
-        """One without an engine has no models, and may be new in its fields."""
+        """A plain service has no models; unknown fields are ignored."""
         found = self.read(entry(models=..., layers=..., news={'a': [1]}))
         self.assertEqual(endpoints.Weights(0, 0, 0), found.weights)
 
     def test_malformed(self) -> None:
-        """Each names no endpoint, and the error is of bounded length."""
-        for story, payload in MALFORMED:
+        """Each malformed record raises an error of bounded length."""
+        for description, payload in MALFORMED:
             error = self.assertRaises(
                 errors.MalformedMessageError,
                 self.read,
                 payload,
             )
-            self.assertLess(len(str(error)), 600, story)
+            self.assertLess(len(str(error)), 600, description)
 
-    def test_odd_keys(self) -> None:
-        """An id that can't be sent on names no endpoint either."""
-        for key in ODD_KEYS:
+    def test_invalid_keys(self) -> None:
+        """A key that is not a valid id raises an error."""
+        for key in INVALID_KEYS:
             self.assertRaises(
                 errors.MalformedMessageError,
                 self.read,
@@ -148,10 +152,10 @@
 
 
 class FuzzTest(testtools.TestCase):
-    """Whatever comes is an endpoint that can be used, or one typed error."""
+    """Any input yields a usable endpoint or a MalformedMessageError."""
 
     def check(self, payload: bytes) -> bool:
-        """Read a record; tell whether it names an endpoint."""
+        """Decode a record; return whether it describes an endpoint."""
         try:
             found = registry.read(records.Record('i-1', 0, payload))
         except errors.MalformedMessageError:
@@ -165,15 +169,15 @@
         return True
 
     def test_random_bytes(self) -> None:
-        """Bytes of no order."""
+        """Random bytes."""
         rng = random.Random(11)
         for _ in range(3000):
             self.check(rng.randbytes(rng.randrange(1, 300)))
 
     def test_changed_bytes(self) -> None:
-        """A record with some of its bytes changed, lost or doubled."""
+        """A record with some bytes changed, removed or duplicated."""
         rng = random.Random(12)
-        named = 0
+        decoded_count = 0
         for _ in range(6000):
             payload = bytearray(entry())
             for _ in range(rng.randrange(1, 4)):
@@ -186,23 +190,35 @@
                 else:
                     payload[at:at] = payload[at : at + rng.randrange(1, 20)]
                 payload = payload or bytearray(b' ')
-            named += self.check(bytes(payload))
-        self.assertGreater(named, 100)
+            decoded_count += self.check(bytes(payload))
+        self.assertGreater(decoded_count, 100)
 
     def test_changed_fields(self) -> None:
-        """A record with fields of another type, or none."""
+        """A record with fields removed or of another type."""
         rng = random.Random(13)
-        others = (..., None, True, -1, 0, 1.5, 2**80, '', 'x' * 300, [], {})
+        replacements = (
+            ...,
+            None,
+            True,
+            -1,
+            0,
+            1.5,
+            2**80,
+            '',
+            'x' * 300,
+            [],
+            {},
+        )
         needed = {'service', 'address', 'zone', 'slots', 'state', 'sequence'}
         for _ in range(6000):
             names = rng.sample(sorted(ENTRY), rng.randrange(1, 4))
-            changes = {name: rng.choice(others) for name in names}
-            is_named = self.check(entry(**changes))
+            changes = {name: rng.choice(replacements) for name in names}
+            is_endpoint = self.check(entry(**changes))
             if any(changes.get(name, 1) is ... for name in needed):
-                self.assertFalse(is_named, changes)
+                self.assertFalse(is_endpoint, changes)
 
     def test_keys(self) -> None:
-        """Keys of any text."""
+        """Keys of random text."""
         rng = random.Random(14)
         for _ in range(2000):
             key = ''.join(
@@ -217,13 +233,13 @@
             self.assertTrue(found.id.isascii() and found.id.isprintable())
             self.assertNotIn(' ', found.id)
 
-    def test_handed_on(self) -> None:
-        """What was passed over is handed on to peers as it is."""
+    def test_forwarding(self) -> None:
+        """Rejected records are forwarded to peers unchanged."""
         page = records.Page(
             tuple(
                 records.Record(key, number, payload)
                 for number, (key, (_, payload)) in enumerate(
-                    zip(ODD_KEYS, MALFORMED, strict=False),
+                    zip(INVALID_KEYS, MALFORMED, strict=False),
                 )
             ),
             9,
@@ -233,7 +249,7 @@
 
 
 class OperatorFuzzTest(testtools.TestCase):
-    """The operator's records: whole, or one typed error."""
+    """An operator's record is decoded, or raises MalformedMessageError."""
 
     CONFIG = (
         b'{"version":7,"routes":[{"name":"a","host":"h","pathPrefix":"/a/",'
@@ -243,7 +259,7 @@
     )
 
     def test_changed_bytes(self) -> None:
-        """A configuration and a version with some bytes changed."""
+        """A configuration and a desired version with some bytes changed."""
         rng = random.Random(15)
         for key, whole in (
             ('config', self.CONFIG),
@@ -260,11 +276,11 @@
                 except errors.MalformedMessageError:
                     continue
 
-    def test_odd_origin(self) -> None:
-        """An origin that can't be connected to.
+    def test_invalid_origin(self) -> None:
+        """A configuration with an invalid origin address is rejected.
 
-        An agent asked for its address and failed in each of its looks at what
-        is wanted, while the configuration before was sound.
+        If it replaced the valid one before, agents would fail each time they
+        look up the origin's address.
         """
         for origin in ('o', '10.0.0.1', '10.0.0.1:x', '[::1]:80'):
             payload = self.CONFIG.replace(b'10.0.0.1:80', origin.encode())
@@ -276,7 +292,7 @@
 
 
 class ReportTest(testtools.TestCase):
-    """An engine's report: all that is needed, or an error."""
+    """Required fields of an engine's report."""
 
     REPORT: typing.ClassVar[dict[str, typing.Any]] = {
         'models': [],
@@ -287,9 +303,10 @@
     }
 
     def test_fields(self) -> None:
-        """A report without a field isn't one of an empty engine.
+        """A report without a required field is malformed.
 
-        An agent took it for that, and had the engine load what it held.
+        With defaults for missing fields, an agent would take the engine for an
+        empty one and order it to load again.
         """
         kind = engine._Report
         msgspec.json.decode(json.dumps(self.REPORT), type=kind)
--- a/tests/platform/test_transport.py
+++ b/tests/platform/test_transport.py
@@ -1,4 +1,4 @@
-"""Tests of the exchange with the platform's services."""
+"""Tests of HTTP exchanges with the platform's services."""
 
 from __future__ import annotations
 
@@ -36,7 +36,7 @@
 
 @tables.expand
 class RawAnswerTest(testtools.TestCase):
-    """Answers that a broken server, or something between, might send."""
+    """Answers as a faulty server or proxy may send them."""
 
     def setUp(self):
         super().setUp()
@@ -57,7 +57,7 @@
         chunks=b'Transfer-Encoding: chunked\r\n\r\n2\r\nok\r\n0\r\n\r\n',
     )
     def test_whole(self, rest):
-        """A body with its end is taken."""
+        """A body with a length or a last chunk is accepted."""
         self.assertEqual(b'ok', self.exchange(_HEAD + rest).body)
 
     @tables.cases(
@@ -74,7 +74,7 @@
         b'Content-Length: 0\r\n\r\n',
     )
     def test_unavailable(self, answer):
-        """A lost or cut answer is no answer, and nothing is repeated."""
+        """A lost or truncated answer raises an error and is not retried."""
         error = self.assertRaises(
             errors.PlatformUnavailableError, self.exchange, answer
         )
@@ -93,7 +93,7 @@
         + b'\r\n0\r\n\r\n',
     )
     def test_malformed(self, answer):
-        """A body that could be cut unseen, or is too long, is not taken."""
+        """A body without a detectable end, or a too long one, is rejected."""
         self.assertRaises(errors.MalformedMessageError, self.exchange, answer)
 
     @tables.cases(
@@ -105,7 +105,7 @@
         negative=(b'-3', 1),
     )
     def test_throttled(self, case):
-        """The wait is what the header says, or a default where it is odd."""
+        """The wait is the header's, or the default if it is malformed."""
         header, seconds = case
         error = self.assertRaises(
             errors.ThrottledError,
@@ -122,15 +122,15 @@
         slow_link=(90, True),
     )
     def test_slow(self, case):
-        """A slow answer is taken where it gets on, and not where it doesn't.
+        """An answer is aborted below the least rate and accepted above it.
 
-        Without the first, a service that sends a byte now and then would
-        hold a caller for ever; without the second, a busy origin's chunks
-        would be given up and read again, which makes it busier.
+        Without a least rate, a service that sends a byte now and then would
+        block a caller forever. If all slow answers were aborted, the chunks of
+        a busy origin would be read again, which makes it busier.
         """
         size, whole = case
 
-        class Hasty(clock.ManualClock):
+        class FastClock(clock.ManualClock):
             def now(self):
                 self.advance(50)
                 return super().now()
@@ -138,7 +138,7 @@
         slow = transport.Transport(
             self.server.address,
             transport.Limits(least_rate=1),
-            Hasty(),
+            FastClock(),
         )
         self.addCleanup(slow.close)
         piece = b'%x\r\n%b\r\n' % (size, b'a' * size)
@@ -164,20 +164,20 @@
         strategies.binary(max_size=200),
     )
     def test_any_bytes(self, headed, garbage):
-        """Whatever arrives ends in an answer or in an error of ours."""
+        """Any bytes yield an answer or an error of this package."""
         with contextlib.suppress(errors.ClementinepassError):
             self.exchange(_HEAD + garbage if headed else garbage)
 
 
 class CannedTransport(transport.Transport):
-    """Answers without a socket."""
+    """Transport that returns a prepared reply without a socket."""
 
     def exchange(self, method, path, **options):
         return self.reply
 
 
 class DecoderTest(testtools.TestCase):
-    """Decoders raise nothing but the errors that they announce."""
+    """Decoders raise only the errors that they document."""
 
     def adapters(self, status, body):
         canned = CannedTransport('127.0.0.1:1')
--- a/tests/test_clock.py
+++ b/tests/test_clock.py
@@ -8,10 +8,10 @@
 
 
 class ManualClockTest(testtools.TestCase):
-    """The manual clock moves only when told to."""
+    """The manual clock changes only by calls of a test."""
 
     def test_advances(self) -> None:
-        """Advancing moves the time by just that much."""
+        """Advancing adds exactly the given seconds."""
         manual = clock.ManualClock(start=5)
         manual.advance(2)
         self.assertEqual(7, manual.now())
--- a/tests/test_lifecycle.py
+++ b/tests/test_lifecycle.py
@@ -1,4 +1,4 @@
-"""Begin to drain once, and end at once only on a second SIGTERM."""
+"""Tests of draining and of exiting on a second SIGTERM."""
 
 from __future__ import annotations
 
@@ -14,15 +14,15 @@
 
 
 class LifecycleTest(testtools.TestCase):
-    """The drain command and signals, in the orders that occur."""
+    """The drain command and SIGTERM in all relevant orders."""
 
     def test_drain_and_then_one_sigterm(self) -> None:
-        """The command and the first SIGTERM drain; a second SIGTERM ends.
+        """The command and the first SIGTERM drain; the second SIGTERM exits.
 
-        An operator sends `drain`, then the platform stops the process with
-        one SIGTERM, as it always does. The process ended at once with 143
-        and cut off the answers in progress: the command and the signal
-        shared one event, so the first SIGTERM was taken for the second.
+        After an operator's drain command, the platform stops the process with
+        one SIGTERM. If command and signal shared one event, that SIGTERM would
+        count as the second: the process would exit with 143 and cut off the
+        answers in progress.
         """
         cases: tuple[tuple[tuple[str, ...], list[int]], ...] = (
             ((_DRAIN,), []),
@@ -35,23 +35,25 @@
             ((_DRAIN, _SIGTERM, _SIGTERM), [143]),
         )
         for calls, expected in cases:
-            exits, drained = asyncio.run(_run(calls))
-            self.assertEqual((expected, 1), (exits, drained), calls)
+            exits, drain_count = asyncio.run(_run(calls))
+            self.assertEqual((expected, 1), (exits, drain_count), calls)
 
 
 async def _run(calls: tuple[str, ...]) -> tuple[list[int], int]:
-    """Make the calls; return exit codes and how often it was drained."""
+    """Make the calls; return exit codes and the number of drains."""
     exits: list[int] = []
-    drained: list[str] = []
-    life = lifecycle.Lifecycle(pathlib.Path('unused.ini'), exits.append)
+    drains: list[str] = []
+    daemon_lifecycle = lifecycle.Lifecycle(
+        pathlib.Path('unused.ini'), exits.append
+    )
 
     async def drain() -> None:
-        drained.append(_DRAIN)
+        drains.append(_DRAIN)
 
     for call in calls:
         if call == _DRAIN:
-            life.stop()
+            daemon_lifecycle.stop()
         else:
-            life.terminate()
-    await life.run(asyncio.sleep(3600), drain)
-    return exits, len(drained)
+            daemon_lifecycle.terminate()
+    await daemon_lifecycle.run(asyncio.sleep(3600), drain)
+    return exits, len(drains)
--- a/tests/test_machines_daemon.py
+++ b/tests/test_machines_daemon.py
@@ -1,4 +1,4 @@
-"""Tests of the daemon on the users' machines, as a process."""
+"""Tests of the daemon on the users' machines, run as a process."""
 
 from __future__ import annotations
 
@@ -19,12 +19,12 @@
 
 IP = '127.3.0.1'
 ROOT = pathlib.Path(__file__).parent.parent
-#: Signals that come in series, a request under way at each.
-_SIGNALS = 9
+#: Number of signals sent in series, each with a request in progress.
+_SIGNAL_COUNT = 9
 
 
 class Daemon:
-    """One entry as a process."""
+    """An entry run as a process."""
 
     def __init__(self, store: str) -> None:
         folder = tempfile.mkdtemp()
@@ -47,7 +47,7 @@
         self.process: asyncio.subprocess.Process | None = None
 
     async def start(self) -> None:
-        """Start it."""
+        """Start the process."""
         self.process = await asyncio.create_subprocess_exec(
             sys.executable,
             '-m',
@@ -62,18 +62,18 @@
         )
 
     async def end(self) -> None:
-        """End it, whatever it does."""
+        """Kill the process, unless it has ended."""
         if self.process is not None and self.process.returncode is None:
             self.process.kill()
             await self.process.wait()
 
     def signal(self, number: signal.Signals) -> None:
-        """Send it a signal."""
+        """Send a signal to the process."""
         assert self.process is not None
         self.process.send_signal(number)
 
     async def line(self, message: str) -> dict[str, typing.Any]:
-        """Return its next line with a message."""
+        """Return the next log line with the given message."""
         assert self.process is not None
         assert self.process.stdout is not None
         while True:
@@ -85,7 +85,7 @@
 
 
 async def get(port: int, target: bytes) -> pool.Answer:
-    """Ask the daemon."""
+    """Send a GET request to the daemon."""
     request = messages.request_bytes(b'GET', target, [(b'Host', b'h')], b'')
     return await pool.fetch(pool.Pool(IP, port), request, 10)
 
@@ -93,29 +93,29 @@
 class DaemonTest(testtools.TestCase):
     """Signals, settings and metrics of a process."""
 
-    def test_life(self) -> None:
-        """It starts, takes new settings, shows metrics and leaves.
+    def test_lifecycle(self) -> None:
+        """The daemon starts, reloads its settings, serves metrics and shuts down.
 
-        SIGHUP says that the settings have changed. Without a handler it ends
-        the process, and all callers' requests with it.
+        SIGHUP announces changed settings. Without a handler, the signal would
+        terminate the process and all its requests.
         """
 
-        async def play() -> None:
+        async def run_daemon() -> None:
             async with keyed_store.KeyedStore() as store:
                 store.put('keyed.op', 'config', machines.CONFIG)
                 daemon = Daemon(store.address)
                 try:
-                    await self._live(daemon)
+                    await self._run_lifecycle(daemon)
                 finally:
                     await daemon.end()
 
-        async def bounded() -> None:
+        async def run_with_timeout() -> None:
             async with asyncio.timeout(60):
-                await play()
+                await run_daemon()
 
-        asyncio.run(bounded())
+        asyncio.run(run_with_timeout())
 
-    async def _live(self, daemon: Daemon) -> None:
+    async def _run_lifecycle(self, daemon: Daemon) -> None:
         await daemon.start()
         await daemon.line('entry ready')
         self.assertEqual(
@@ -132,7 +132,7 @@
         self.assertTrue(read['changed'])
         daemon.path.write_text('{')
         daemon.signal(signal.SIGHUP)
-        await daemon.line(await self._stays(daemon))
+        await daemon.line(await self._await_rejection(daemon))
         metrics = await get(exposition.PORT, b'/metrics')
         self.assertIn(
             b'clementinepass_configuration_version 1',
@@ -143,8 +143,11 @@
         assert daemon.process is not None
         self.assertEqual(0, await daemon.process.wait())
 
-    async def _stays(self, daemon: Daemon) -> str:
-        """Wait until bad settings were refused; return the next message."""
+    async def _await_rejection(self, daemon: Daemon) -> str:
+        """Wait until invalid settings were rejected; restore valid ones.
+
+        :returns: the message that follows.
+        """
         assert daemon.process is not None
         assert daemon.process.stdout is not None
         while True:
@@ -155,14 +158,14 @@
                 return 'settings read'
 
     def test_signals_under_requests(self) -> None:
-        """A caller's answer was cut when the settings were read anew.
+        """Reloading the settings does not cut off answers in progress.
 
-        Signals come in series, with other settings and with none that can be
-        read, while requests are under way on kept connections and new ones
-        come. All are answered, by the same process.
+        SIGHUP arrives in series, with changed and with malformed settings,
+        while requests are in progress and new ones arrive on kept connections.
+        The same process answers all of them.
         """
 
-        async def play() -> None:
+        async def run_daemon() -> None:
             async with keyed_store.KeyedStore() as store:
                 desk = direct_endpoint.DirectEndpoint('i-desk')
                 async with desk:
@@ -178,17 +181,17 @@
                     store.put('keyed.servers', 'i-desk', listing)
                     daemon = Daemon(store.address)
                     try:
-                        await self._signalled(daemon, desk)
+                        await self._send_signals(daemon, desk)
                     finally:
                         await daemon.end()
 
-        async def bounded() -> None:
+        async def run_with_timeout() -> None:
             async with asyncio.timeout(60):
-                await play()
+                await run_daemon()
 
-        asyncio.run(bounded())
+        asyncio.run(run_with_timeout())
 
-    async def _signalled(
+    async def _send_signals(
         self,
         daemon: Daemon,
         desk: direct_endpoint.DirectEndpoint,
@@ -203,11 +206,11 @@
         )
         callers = pool.Pool(IP, daemon.ports[0])
         async with asyncio.TaskGroup() as tasks:
-            asked = []
-            for number in range(_SIGNALS):
+            requests = []
+            for number in range(_SIGNAL_COUNT):
                 desk.going.clear()
-                one = pool.fetch(callers, request, 10)
-                asked.append(tasks.create_task(one))
+                fetching = pool.fetch(callers, request, 10)
+                requests.append(tasks.create_task(fetching))
                 while len(desk.ran) <= number:
                     await asyncio.sleep(0.01)
                 grace = {'graceS': 0.5 + number / 10}
@@ -220,16 +223,16 @@
                 if number % 2:
                     desk.going.set()
             desk.going.set()
-        statuses = {task.result().status for task in asked}
+        statuses = {task.result().status for task in requests}
         self.assertEqual({200}, statuses)
-        self.assertEqual(_SIGNALS, len(desk.ran))
+        self.assertEqual(_SIGNAL_COUNT, len(desk.ran))
         assert daemon.process is not None
         self.assertIsNone(daemon.process.returncode)
 
     def test_bad_settings(self) -> None:
-        """Settings that can't be read end it with one line that says why."""
+        """Malformed settings end the process with one log line that says why."""
 
-        async def play() -> None:
+        async def run_daemon() -> None:
             daemon = Daemon('127.0.0.1:1')
             daemon.path.write_text('{}')
             await daemon.start()
@@ -239,4 +242,4 @@
             line = json.loads(output)
             self.assertIn('no settings', line['message'])
 
-        asyncio.run(play())
+        asyncio.run(run_daemon())
