--- a/clementinepass/lifecycle.py
+++ b/clementinepass/lifecycle.py
@@ -22,7 +22,7 @@
 
 
 class Lifecycle:
-    """Run a daemon until it is told to stop, then drain it.
+    """Run a daemon's work until a stop is requested, then drain it.
 
     :param path: the settings file; SIGHUP reloads the log level from it.
     :param exit_process: terminates the process at once with an exit code.
@@ -60,7 +60,7 @@
         work: Awaitable[None],
         drain: Callable[[], Awaitable[None]],
     ) -> None:
-        """Run ``work`` until it ends or a stop is requested, then drain."""
+        """Run ``work``; once a stop is requested, drain and cancel it."""
         self._install()
         work_task = asyncio.ensure_future(work)
         stop_task = asyncio.ensure_future(self._stop_requested.wait())
--- a/clementinepass/platform/operator.py
+++ b/clementinepass/platform/operator.py
@@ -39,7 +39,7 @@
     name: str
     host: str
     path_prefix: str
-    #: Whether requests may be retried; an unknown kind is never retried.
+    #: How often requests may run; those of an unknown kind run at most once.
     route_kind: str = ''
     timeout_ms: float = 30000
     #: Latency target; an answer within it earns its full value.
@@ -128,8 +128,10 @@
         config = decoding.decode(record.payload, _Config, _STEP, peer)
         return _routing(config)
     if record.key.startswith(_VERSION_PREFIX):
-        desired = decoding.decode(record.payload, _Version, _STEP, peer)
-        return intake.NamedVersion(desired.model, desired.version)
+        desired_version = decoding.decode(record.payload, _Version, _STEP, peer)
+        return intake.NamedVersion(
+            desired_version.model, desired_version.version
+        )
     return None
 
 
--- a/tests/platform/test_machines.py
+++ b/tests/platform/test_machines.py
@@ -130,7 +130,7 @@
         self.assertEqual('t', found.teams_by_key[b'k2'].name)
 
     def test_longest_prefix_and_weights(self) -> None:
-        """The longest prefix wins; an unknown kind is never retried."""
+        """The longest prefix wins; an unknown kind runs at most once."""
         found = operator.read(record('config', CONFIG))
         assert isinstance(found, routing.Routing)
         route = found.find_route(b'H.EXAMPLE', b'/a/b/c')
@@ -561,8 +561,8 @@
 class DirectoryTest(testtools.TestCase):
     """The directory of entries and the readiness probe."""
 
-    class Offers:
-        """An entry that offers itself."""
+    class FakeEntryDirectory:
+        """Directory that lists one entry, which is not ready."""
 
         is_ready = False
 
@@ -571,13 +571,13 @@
             return ['10.0.0.1:80']
 
         def list_max_age(self, now: float) -> float:
-            """Return how long to keep it."""
+            """Return how long to cache the list."""
             return 1.5
 
     def test_answers(self) -> None:
         """Both paths are answered; any other path yields 404."""
-        offers = self.Offers()
-        handler = directory.HttpDirectory().create_handler(offers)
+        entry_directory = self.FakeEntryDirectory()
+        handler = directory.HttpDirectory().create_handler(entry_directory)
         sent: list[tuple[int, bytes]] = []
 
         class Reply:
