--- a/clementinepass/direct/entry.py
+++ b/clementinepass/direct/entry.py
@@ -44,7 +44,7 @@
     store: records.Store
     dialect: calls.Dialect
     directory_handlers: directory.HandlerFactory
-    readers: intake.Readers
+    readers: intake.Decoders
 
 
 class Entry:
@@ -65,26 +65,26 @@
         self._adapters = adapters
         self.cluster = cluster_state.ClusterState(local_node)
         record_intake = intake.Intake(self.cluster, adapters.readers)
-        self._followers = record_intake.followers(adapters.store, rng)
+        self._followers = record_intake.create_followers(adapters.store, rng)
         start_delay = start_reading.read_delay(
             local_node.ip, local_node.seeds, rng
         )
         for follower in self._followers.values():
-            follower.patience = start_delay
+            follower.peer_wait_seconds = start_delay
         self.peers = gossip.Peers(
             local_node, self._followers, self.cluster, rng
         )
         for topic, follower in self._followers.items():
-            follower.turns = self.peers.turns_by_topic[topic]
-            follower.tell_relying = self.peers.tell_relying
-            follower.tell_all = self.peers.speak
-        self._subscribing = subscribing.Subscribing(
+            follower.schedule = self.peers.read_turns_by_topic[topic]
+            follower.on_changes = self.peers.update_dependents
+            follower.on_missed_changes = self.peers.send_heartbeat
+        self._subscribing = subscribing.LoadSubscriptions(
             local_node,
             self.cluster,
             self.peers.subscribe,
         )
         # Agents have eight seconds for five seconds' work.
-        self.cluster.on_named = self._announce_version
+        self.cluster.on_desired_version = self._announce_version
         log = request_log.RequestLog(registry)
         #: The cluster state, as metrics.
         self.gauges = gauges.Gauges(
@@ -145,7 +145,9 @@
         what comes.
         """
         offer_seconds = self._drain_state.list_policy.listed_seconds
-        draining_members = self.peers.members.leaving_lately(now, offer_seconds)
+        draining_members = self.peers.members.recently_draining(
+            now, offer_seconds
+        )
         addresses = [member.callers for member in draining_members]
         if not addresses or self._drain_state.is_listed(now):
             addresses.append(self._local_node.callers)
@@ -198,12 +200,12 @@
     async def _become_ready(self) -> None:
         """Be ready once configuration and endpoints are known."""
         while not all(
-            follower.started for follower in self._followers.values()
+            follower.is_initialized for follower in self._followers.values()
         ) or (self.cluster.routing is None):
             await asyncio.sleep(0.02)
         if self.peers.phase is members.Phase.STARTING:
             self.peers.phase = members.Phase.READY
-            self.peers.speak()
+            self.peers.send_heartbeat()
             logger.bind(
                 node=self._local_node.name,
                 seconds=uptime.seconds(),
@@ -216,7 +218,7 @@
         while True:
             try:
                 page = await store.newest(records.Topic.ENTRIES)
-                self.peers.met(page.ips)
+                self.peers.contact(page.ips)
                 if not any(
                     record.key == self._local_node.ip for record in page.records
                 ):
@@ -234,16 +236,18 @@
         while True:
             await asyncio.sleep(_CLEANUP_SECONDS)
             now = loop.time()
-            for endpoint in self.cluster.forget(now):
+            for endpoint in self.cluster.remove_expired(now):
                 self._sender.close_connections(endpoint.listing.id)
-            self.peers.members.forget(now)
+            self.peers.members.remove_expired(now)
 
     def _announce_version(self) -> None:
-        self.peers.speak(whole=True)
+        self.peers.send_heartbeat(full=True)
 
     def _count_entries(self) -> int:
         now = asyncio.get_running_loop().time()
-        return 1 + self.peers.members.lately(now, _ENTRY_COUNT_SECONDS)
+        return 1 + self.peers.members.count_seen_within(
+            now, _ENTRY_COUNT_SECONDS
+        )
 
     def _count_ready_peers(self) -> int:
         now = asyncio.get_running_loop().time()
--- a/clementinepass/direct/intake.py
+++ b/clementinepass/direct/intake.py
@@ -1,4 +1,4 @@
-"""Take the store's records into what a process knows."""
+"""Apply the store's records to the cluster state."""
 
 from __future__ import annotations
 
@@ -16,115 +16,136 @@
 
     from clementinepass.direct import cluster_state, endpoints
 
-#: Seconds that an endpoint is used whose listing lapsed while the store was
-#: away: nearly the two seconds in which endpoints list themselves again, and
-#: less than those after which one that is gone must get nothing.
-_LAPSE_GRACE = 1.9
-#: Seconds after the end of an outage by which an endpoint that lives has listed
-#: itself again, and this entry has heard of it.
-_RELISTED = 2.4
-#: Seconds after which a key's malformed records are written of again: their
-#: writer may write them anew with each heartbeat, several times a second.
-_TOLD_SECONDS = 30.0
-#: Keys written of in that time; a writer may use any number of them.
-_MOST_TOLD = 100
-
-
-class NamedVersion(typing.NamedTuple):
+#: Seconds for which an endpoint is still used after its listing lapsed during
+#: an outage of the store. Nearly the two seconds in which endpoints list
+#: themselves again, and less than the two seconds after which an endpoint that
+#: is gone must get no more requests.
+_LAPSE_GRACE_SECONDS = 1.9
+#: Seconds after the end of an outage by which a live endpoint has listed itself
+#: again and this entry has received the listing.
+_RELIST_SECONDS = 2.4
+#: Seconds between log lines on malformed records of one key: their writer may
+#: repeat them with each heartbeat, several times a second.
+_LOG_INTERVAL_SECONDS = 30.0
+#: Most keys logged in that time: a writer may use any number of keys.
+_MAX_LOGGED_KEYS = 100
+
+
+class DesiredVersion(typing.NamedTuple):
     """The version of a model's weights that endpoints should serve."""
 
     model: str
     version: int
 
 
-class Readers(typing.NamedTuple):
-    """Decode records; each raises ``MalformedMessageError``.
+class Decoders(typing.NamedTuple):
+    """Functions that decode records or raise ``MalformedMessageError``.
 
-    :param operator: returns ``None`` for a record of no concern.
-    :param endpoint: returns ``None`` where the endpoint was removed.
+    :param operator: decodes an operator's record; returns ``None`` for one
+        that is neither a configuration nor a desired version.
+    :param endpoint: decodes a listing; returns ``None`` for a removed one.
     """
 
     operator: Callable[
         [records.Record],
-        routing.Routing | NamedVersion | None,
+        routing.Routing | DesiredVersion | None,
     ]
     endpoint: Callable[[records.Record], endpoints.Listing | None]
 
 
 class Intake:
-    """Decode records and take them into the cluster state.
+    """Decodes records and applies them to the cluster state.
 
-    What can't be decoded changes nothing: what was in force stays so, but for
-    the endpoint of that record's own key, which gets nothing more.
+    Malformed records are ignored, except that an endpoint whose own record is
+    malformed gets no more requests.
     """
 
     __slots__ = (
         '_cluster',
-        '_listings',
-        '_operator',
-        '_readers',
-        '_told_by_key',
+        '_endpoint_follower',
+        '_operator_follower',
+        '_decoders',
+        '_logged_at_by_key',
     )
 
     def __init__(
-        self, known: cluster_state.ClusterState, readers: Readers
+        self, cluster: cluster_state.ClusterState, decoders: Decoders
     ) -> None:
-        self._cluster = known
-        self._readers = readers
-        self._listings: follower.Follower | None = None
-        self._operator: follower.Follower | None = None
-        #: When a malformed record of a key was last written of.
-        self._told_by_key: dict[str, float] = {}
-
-    def followers(
+        self._cluster = cluster
+        self._decoders = decoders
+        self._endpoint_follower: follower.Follower | None = None
+        self._operator_follower: follower.Follower | None = None
+        #: When a malformed record of a key was last logged.
+        self._logged_at_by_key: dict[str, float] = {}
+
+    def create_followers(
         self,
         store: records.Store,
         rng: random.Random,
     ) -> dict[records.Topic, follower.Follower]:
-        """Return what follows the operator and the endpoints."""
-        self._operator = follower.Follower(
+        """Return the followers of the operator's and endpoints' records."""
+        self._operator_follower = follower.Follower(
             store,
             records.Topic.OPERATOR,
-            self._operator_wrote,
+            self._apply_operator_record,
             rng,
         )
-        self._listings = follower.Follower(
+        self._endpoint_follower = follower.Follower(
             store,
             records.Topic.ENDPOINTS,
-            self._endpoint_wrote,
+            self._apply_endpoint_record,
             rng,
         )
-        self._cluster.store_contact = self._operator_contact
-        return {one.topic: one for one in (self._operator, self._listings)}
+        self._cluster.last_store_contact = self._last_operator_contact
+        return {
+            topic_follower.topic: topic_follower
+            for topic_follower in (
+                self._operator_follower,
+                self._endpoint_follower,
+            )
+        }
 
-    def _operator_contact(self) -> float:
-        return 0 if self._operator is None else self._operator.contact
+    def _last_operator_contact(self) -> float:
+        return (
+            0
+            if self._operator_follower is None
+            else self._operator_follower.last_contact
+        )
 
-    def _operator_wrote(self, record: records.Record) -> None:
+    def _apply_operator_record(self, record: records.Record) -> None:
         try:
-            word = self._readers.operator(record)
+            decoded = self._decoders.operator(record)
         except errors.MalformedMessageError as error:
-            self._passed_over(record, error)
+            self._log_malformed(record, error)
             return
-        if isinstance(word, NamedVersion):
+        if isinstance(decoded, DesiredVersion):
             now = asyncio.get_running_loop().time()
-            if self._operator is not None and not self._operator.started:
-                self._cluster.found_named(word.model, word.version, now)
+            if (
+                self._operator_follower is not None
+                and not self._operator_follower.is_initialized
+            ):
+                self._cluster.add_earlier_desired_version(
+                    decoded.model, decoded.version, now
+                )
             else:
-                self._cluster.named(word.model, word.version, now)
-        elif word is not None:
-            self._cluster.configured(word)
+                self._cluster.add_desired_version(
+                    decoded.model, decoded.version, now
+                )
+        elif decoded is not None:
+            self._cluster.apply_configuration(decoded)
 
-    def _endpoint_wrote(self, record: records.Record) -> None:
+    def _apply_endpoint_record(self, record: records.Record) -> None:
         try:
-            listing = self._readers.endpoint(record)
+            listing = self._decoders.endpoint(record)
         except errors.MalformedMessageError as error:
-            self._passed_over(record, error)
+            self._log_malformed(record, error)
             self._cluster.endpoints.mark_unreadable(record.key)
             return
         if listing is None:
-            self._dropped(record.key)
-        elif self._cluster.listed(listing) and self._has_listings:
+            self._remove_endpoint(record.key)
+        elif (
+            self._cluster.update_listing(listing) and self._has_initial_listings
+        ):
             logger.bind(
                 endpoint=listing.id,
                 service=listing.service,
@@ -136,39 +157,47 @@
             ).info('endpoint listed')
 
     @property
-    def _has_listings(self) -> bool:
-        """Tell whether the endpoints that there were at first are known.
+    def _has_initial_listings(self) -> bool:
+        """Return whether the initial listings have been applied.
 
-        A line for each of thousands took longer than to take them.
+        They are not logged: with thousands of endpoints the log lines would
+        take longer than applying the listings.
         """
-        return self._listings is not None and self._listings.started
+        return (
+            self._endpoint_follower is not None
+            and self._endpoint_follower.is_initialized
+        )
 
-    def _dropped(self, endpoint_id: str) -> None:
+    def _remove_endpoint(self, endpoint_id: str) -> None:
         now = asyncio.get_running_loop().time()
-        follow = self._listings
-        age = None if follow is None else follow.outage_age(now)
-        grace = 0 if age is None else min(_LAPSE_GRACE, _RELISTED - age)
+        topic_follower = self._endpoint_follower
+        age = None if topic_follower is None else topic_follower.outage_age(now)
+        grace = (
+            0
+            if age is None
+            else min(_LAPSE_GRACE_SECONDS, _RELIST_SECONDS - age)
+        )
         if self._cluster.endpoints.mark_removed(endpoint_id, now, grace):
             logger.bind(endpoint=endpoint_id, used_for=grace).info(
                 'endpoint dropped from the list',
             )
 
-    def _passed_over(self, record: records.Record, error: Exception) -> None:
-        """Write a line of a malformed record, unless there was one lately.
+    def _log_malformed(self, record: records.Record, error: Exception) -> None:
+        """Log a malformed record, unless its key was logged lately.
 
-        Failure: another writer's record was written anew with each heartbeat,
-        and its lines pushed out those of others.
+        Another writer may repeat a malformed record with each heartbeat; its
+        lines would crowd out others.
         """
         now = asyncio.get_running_loop().time()
-        self._told_by_key = {
+        self._logged_at_by_key = {
             key: at
-            for key, at in self._told_by_key.items()
-            if now - at < _TOLD_SECONDS
+            for key, at in self._logged_at_by_key.items()
+            if now - at < _LOG_INTERVAL_SECONDS
         }
-        is_told = record.key in self._told_by_key
-        if is_told or len(self._told_by_key) >= _MOST_TOLD:
+        is_logged = record.key in self._logged_at_by_key
+        if is_logged or len(self._logged_at_by_key) >= _MAX_LOGGED_KEYS:
             return
-        self._told_by_key[record.key] = now
+        self._logged_at_by_key[record.key] = now
         logger.bind(key=record.key, offset=record.offset).error(
             'record passed over: {}',
             error,
--- a/clementinepass/direct/leaving.py
+++ b/clementinepass/direct/leaving.py
@@ -62,8 +62,8 @@
         loop.add_signal_handler(signal.SIGINT, self._stop_requested.set)
         await self._stop_requested.wait()
         plan = self._drain_state.start(loop.time())
-        self._peers.phase = members.Phase.LEAVING
-        self._peers.speak()
+        self._peers.phase = members.Phase.DRAINING
+        self._peers.send_heartbeat()
         self._front.is_draining = True
         self._request_handler.finish_by(plan.last_answer_at)
         logger.bind(
--- a/clementinepass/direct/path.py
+++ b/clementinepass/direct/path.py
@@ -207,7 +207,7 @@
             ending,
             status,
             request_log.RefusalContext(
-                configuration=self._cluster.configuration,
+                configuration=self._cluster.configuration_version,
                 last_in=self._last_configuration_with(call, ending),
                 store_age=self._cluster.store_age,
             ),
--- a/clementinepass/direct/record_server.py
+++ b/clementinepass/direct/record_server.py
@@ -1,4 +1,4 @@
-"""Serve records of the store to peers that know less of them."""
+"""Serve records of the store to peers that have read less of it."""
 
 from __future__ import annotations
 
@@ -13,108 +13,116 @@
     from clementinepass.direct import follower
     from clementinepass.http import messages, replies
 
-#: Level of compression that costs least time.
-_FASTEST = 1
+#: The zlib level that takes the least time.
+_FASTEST_COMPRESSION = 1
 _OK = 200
-#: Answers kept by topic: those that ask at the same moment know one of a few
-#: offsets, mostly nothing.
-_MOST_KEPT = 4
+#: Responses cached per topic: peers that send requests at the same moment
+#: start from a few different offsets, most of them from 0.
+_MAX_CACHED_RESPONSES = 4
 
 
-class _Key(typing.NamedTuple):
-    """What an answer is for, and what was known when it was written."""
+class _CacheKey(typing.NamedTuple):
+    """The request that a response is for, and the state it was made from."""
 
     topic: records.Topic
     offset: int
     revision: int
     next_offset: int
 
-    def is_current(self, newest: _Key) -> bool:
-        """Tell whether nothing has changed since."""
-        mine = self.revision, self.next_offset
-        return mine == (newest.revision, newest.next_offset)
+    def is_current(self, newest: _CacheKey) -> bool:
+        """Return whether the topic's state is still that of a newer key."""
+        state = self.revision, self.next_offset
+        return state == (newest.revision, newest.next_offset)
 
 
-class _Answer(typing.NamedTuple):
-    """Records from an offset on, as they are sent."""
+class _Response(typing.NamedTuple):
+    """Encoded records from an offset on."""
 
     body: bytes
     compressed: bytes
 
 
 class RecordServer:
-    """Serves what the followers have from an offset on.
+    """Serves the followers' records from an offset on.
 
-    Load: a snapshot of 3,000 endpoints, asked for by 300 processes that start
-    together.  To write and compress it takes longer than to send it; done for
-    each, the last were answered when they had long given up and asked anew.
+    Responses are cached.  When 300 processes start together and request a
+    snapshot of 3,000 endpoints, encoding and compressing it takes longer than
+    sending it.  Done for each of them, the last responses would come after
+    their requests had timed out and been sent again.
     """
 
-    __slots__ = ('_answers_by_key', '_followers')
+    __slots__ = ('_responses_by_key', '_followers')
 
     def __init__(
         self,
         followers: dict[records.Topic, follower.Follower],
     ) -> None:
         self._followers = followers
-        self._answers_by_key: dict[_Key, _Answer] = {}
+        self._responses_by_key: dict[_CacheKey, _Response] = {}
 
-    def serves(self, request: messages.Request) -> bool:
-        """Tell whether a request asks for records."""
+    def handles(self, request: messages.Request) -> bool:
+        """Return whether a request is for records."""
         return self._topic(request) is not None
 
-    def serve(self, request: messages.Request, reply: replies.Reply) -> None:
-        """Hand over what a topic has from an offset on.
+    def handle(self, request: messages.Request, reply: replies.Reply) -> None:
+        """Send the records of a topic from an offset on.
 
-        Load: a configuration of 50 KB that a few hand to all of a region. They
-        are compressed, or the links of those few would be full.
+        They are compressed if the peer accepts it: a few entries send each
+        configuration, some 50 KB, to all of a region, and would saturate
+        their links.
         """
         topic = self._topic(request)
         if topic is None:
             raise KeyError(request.path)
         offset = int(request.target.partition(b'?')[2] or b'0')
-        answer = self._answer(self._followers[topic], offset)
+        response = self._response(self._followers[topic], offset)
         if b'deflate' in request.headers.tokens(b'accept-encoding'):
             pairs = [(b'Content-Encoding', b'deflate')]
-            reply.send(_OK, pairs, answer.compressed)
+            reply.send(_OK, pairs, response.compressed)
         else:
-            reply.send(_OK, [], answer.body)
+            reply.send(_OK, [], response.body)
 
     def _topic(self, request: messages.Request) -> records.Topic | None:
         for topic in self._followers:
-            if request.path == catching_up.PATH + topic.value.encode():
+            if request.path == catching_up.PATH_PREFIX + topic.value.encode():
                 return topic
         return None
 
-    def _answer(self, own: follower.Follower, offset: int) -> _Answer:
-        age = own.outage_age(asyncio.get_running_loop().time())
+    def _response(
+        self, topic_follower: follower.Follower, offset: int
+    ) -> _Response:
+        age = topic_follower.outage_age(asyncio.get_running_loop().time())
         if age is not None:
-            # How old the outage is differs from moment to moment.
-            return _written(own.known.since(offset)._replace(outage_age=age))
-        key = _Key(
-            own.topic,
+            # Not cached: the age of the outage changes all the time.
+            return _encode(
+                topic_follower.state.since(offset)._replace(outage_age=age)
+            )
+        key = _CacheKey(
+            topic_follower.topic,
             offset,
-            own.known.revision,
-            own.known.next_offset,
+            topic_follower.state.revision,
+            topic_follower.state.next_offset,
         )
-        known = self._answers_by_key.get(key)
-        if known is None:
-            known = _written(own.known.since(offset))
-            self._keep(key, known)
-        return known
-
-    def _keep(self, key: _Key, answer: _Answer) -> None:
-        """Keep an answer; drop those that are out of date, and the oldest."""
-        of_topic = [
-            each for each in self._answers_by_key if each.topic is key.topic
+        response = self._responses_by_key.get(key)
+        if response is None:
+            response = _encode(topic_follower.state.since(offset))
+            self._cache_response(key, response)
+        return response
+
+    def _cache_response(self, key: _CacheKey, response: _Response) -> None:
+        """Cache a response; evict outdated ones, and the oldest."""
+        topic_keys = [
+            cached
+            for cached in self._responses_by_key
+            if cached.topic is key.topic
         ]
-        current = [each for each in of_topic if each.is_current(key)]
-        for each in of_topic:
-            if each not in current[1 - _MOST_KEPT :]:
-                del self._answers_by_key[each]
-        self._answers_by_key[key] = answer
+        current = [cached for cached in topic_keys if cached.is_current(key)]
+        for cached in topic_keys:
+            if cached not in current[1 - _MAX_CACHED_RESPONSES :]:
+                del self._responses_by_key[cached]
+        self._responses_by_key[key] = response
 
 
-def _written(page: records.Page) -> _Answer:
+def _encode(page: records.Page) -> _Response:
     body = wire_heartbeats.write_records(page)
-    return _Answer(body, zlib.compress(body, _FASTEST))
+    return _Response(body, zlib.compress(body, _FASTEST_COMPRESSION))
--- a/clementinepass/direct/selection.py
+++ b/clementinepass/direct/selection.py
@@ -70,7 +70,7 @@
         while endpoint is None and loop.time() < wait_deadline:
             if self._cluster.candidates(admitted.service, loop.time()):
                 break
-            if not self._cluster.loading(admitted.service, loop.time()):
+            if not self._cluster.is_loading(admitted.service, loop.time()):
                 break
             await asyncio.sleep(_POLL_SECONDS)
             endpoint = self.select(admitted)
@@ -194,7 +194,7 @@
     ) -> float:
         if engine is None:
             return math.inf
-        start_deadline = self._cluster.begin_by(
+        start_deadline = self._cluster.start_deadline(
             engine, endpoint.weights.version
         )
         return start_deadline - now
--- a/clementinepass/machines.py
+++ b/clementinepass/machines.py
@@ -144,8 +144,8 @@
     await process.run()
 
 
-def _readers() -> intake.Readers:
-    return intake.Readers(operator=operator.read, endpoint=registry.read)
+def _readers() -> intake.Decoders:
+    return intake.Decoders(operator=operator.read, endpoint=registry.read)
 
 
 def _tune_garbage_collector() -> None:
--- a/clementinepass/platform/operator.py
+++ b/clementinepass/platform/operator.py
@@ -116,7 +116,7 @@
 
 def read(
     record: records.Record,
-) -> routing.Routing | intake.NamedVersion | None:
+) -> routing.Routing | intake.DesiredVersion | None:
     """Decode an operator's record; ``None`` if its key is not relevant.
 
     :raises MalformedMessageError: the record can't be decoded.
@@ -129,7 +129,7 @@
         return _routing(config)
     if record.key.startswith(_VERSION_PREFIX):
         desired_version = decoding.decode(record.payload, _Version, _STEP, peer)
-        return intake.NamedVersion(
+        return intake.DesiredVersion(
             desired_version.model, desired_version.version
         )
     return None
--- a/tests/direct/test_announcer.py
+++ b/tests/direct/test_announcer.py
@@ -37,13 +37,13 @@
     """Peers that record what would be sent."""
 
     def __init__(self) -> None:
-        self.held: tuple[heartbeats.Held, ...] = ()
-        self.announcements: list[heartbeats.Held] = []
+        self.engine_statuses: tuple[heartbeats.EngineStatus, ...] = ()
+        self.announcements: list[heartbeats.EngineStatus] = []
         self.members = members.Members('10.0.0.1')
 
-    def tell(self, ips: list[str]) -> None:
+    def send_to(self, ips: list[str]) -> None:
         """Record an announcement."""
-        self.announcements.extend(self.held)
+        self.announcements.extend(self.engine_statuses)
 
 
 class AnnouncerTest(testtools.TestCase):
@@ -52,7 +52,7 @@
     def announce(
         self,
         scenario: typing.Callable[[announcer.Announcer], None],
-    ) -> list[heartbeats.Held]:
+    ) -> list[heartbeats.EngineStatus]:
         """Run a scenario; return the first copy of each announcement."""
         peers = _Peers()
 
@@ -84,7 +84,8 @@
 
         announcements = self.announce(scenario)
         self.assertEqual(
-            heartbeats.Held(ENGINE, 3, 0, 0, congested=True), announcements[-1]
+            heartbeats.EngineStatus(ENGINE, 3, 0, 0, congested=True),
+            announcements[-1],
         )
 
     def test_start_included(self) -> None:
@@ -104,10 +105,10 @@
             {1000}, {announcement.started for announcement in announcements}
         )
         sent = wire_heartbeats.write_heartbeat(
-            heartbeats.Heartbeat(held=tuple(announcements[-1:]))
+            heartbeats.Heartbeat(engine_statuses=tuple(announcements[-1:]))
         )
         read = wire_heartbeats.read_heartbeat(sent, 'p')
-        self.assertEqual(tuple(announcements[-1:]), read.held)
+        self.assertEqual(tuple(announcements[-1:]), read.engine_statuses)
 
     def test_congestion_end(self) -> None:
         """The end of congestion is announced once."""
@@ -133,8 +134,8 @@
         cluster.endpoints.apply_listing(
             endpoints.Listing('i', 's', ENGINE, 'a', 16, False, 1, HELD),
         )
-        cluster.heard_held(
-            heartbeats.Held(ENGINE, 2, 0, 4, congested=True),
+        cluster.update_engine_status(
+            heartbeats.EngineStatus(ENGINE, 2, 0, 4, congested=True),
             now[0],
         )
 
@@ -168,4 +169,6 @@
             {1000},
             {announcement.started for announcement in peers.announcements},
         )
-        self.assertEqual(HELD, endpoints.Weights(*peers.held[0][1:4]))
+        self.assertEqual(
+            HELD, endpoints.Weights(*peers.engine_statuses[0][1:4])
+        )
