--- a/clementinepass/machines.py
+++ b/clementinepass/machines.py
@@ -105,16 +105,16 @@
     from clementinepass.direct import entry  # noqa: PLC0415
     from clementinepass.platform import dialect, directory  # noqa: PLC0415
 
-    boundary = entry.PlatformAdapters(
+    adapters = entry.PlatformAdapters(
         store=store.HttpStore(local_node.store),
         dialect=dialect.HeaderDialect(),
         directory_handlers=directory.HttpDirectory(),
-        readers=_readers(),
+        readers=_decoders(),
     )
     metrics_registry = aioprometheus.Registry()
     process = entry.Entry(
         local_node,
-        boundary,
+        adapters,
         metrics_registry,
         random.Random(),
     )
@@ -128,15 +128,15 @@
     from clementinepass.direct import agent  # noqa: PLC0415
     from clementinepass.platform import engine  # noqa: PLC0415
 
-    boundary = agent.Boundary(
+    adapters = agent.Boundary(
         store=store.HttpStore(local_node.store),
         engine=engine.HttpEngine(local_node.endpoint),
         origin=engine.HttpOrigin,
-        readers=_readers(),
+        readers=_decoders(),
     )
     metrics_registry = aioprometheus.Registry()
     process = agent.Agent(
-        local_node, boundary, metrics_registry, random.Random()
+        local_node, adapters, metrics_registry, random.Random()
     )
     metrics = exposition.MetricsServer(metrics_registry, process.gauges.update)
     await metrics.listen(local_node.ip)
@@ -144,8 +144,10 @@
     await process.run()
 
 
-def _readers() -> intake.Decoders:
-    return intake.Decoders(operator=operator.read, endpoint=registry.read)
+def _decoders() -> intake.Decoders:
+    return intake.Decoders(
+        operator=operator.decode_record, endpoint=registry.decode_record
+    )
 
 
 def _tune_garbage_collector() -> None:
--- a/clementinepass/platform/operator.py
+++ b/clementinepass/platform/operator.py
@@ -114,7 +114,7 @@
     version: decoding.Positive
 
 
-def read(
+def decode_record(
     record: records.Record,
 ) -> routing.Routing | intake.DesiredVersion | None:
     """Decode an operator's record; ``None`` if its key is not relevant.
--- a/clementinepass/platform/registry.py
+++ b/clementinepass/platform/registry.py
@@ -60,7 +60,7 @@
     cold_left_ms: float = 0
 
 
-def read(record: records.Record) -> endpoints.Listing | None:
+def decode_record(record: records.Record) -> endpoints.Listing | None:
     """Decode an endpoint's record; ``None`` if the record was removed.
 
     :raises MalformedMessageError: the record does not describe an endpoint.
--- a/standins/machines.py
+++ b/standins/machines.py
@@ -29,7 +29,9 @@
 
 CHUNKS = 12
 LAYERS = 4
-READERS = intake.Decoders(operator=operator.read, endpoint=registry.read)
+READERS = intake.Decoders(
+    operator=operator.decode_record, endpoint=registry.decode_record
+)
 #: A route of streams that may be resumed; its service is to be named.
 STREAM_ROUTE: dict[str, typing.Any] = {
     'name': 'stream',
--- a/tests/direct/test_intake.py
+++ b/tests/direct/test_intake.py
@@ -16,7 +16,9 @@
 from tests.direct import test_cluster_state
 from tests.platform import test_registry
 
-DECODERS = intake.Decoders(operator=operator.read, endpoint=registry.read)
+DECODERS = intake.Decoders(
+    operator=operator.decode_record, endpoint=registry.decode_record
+)
 
 
 class _NoStore:
--- a/tests/platform/test_machines.py
+++ b/tests/platform/test_machines.py
@@ -98,7 +98,7 @@
 
     def test_configuration(self) -> None:
         """Each field is decoded with its meaning and unit."""
-        found = operator.read(record('config', CONFIG))
+        found = operator.decode_record(record('config', CONFIG))
         assert isinstance(found, routing.Routing)
         route = found.find_route(b'h.example:80', b'/a/x')
         assert route is not None
@@ -131,7 +131,7 @@
 
     def test_longest_prefix_and_weights(self) -> None:
         """The longest prefix wins; an unknown kind runs at most once."""
-        found = operator.read(record('config', CONFIG))
+        found = operator.decode_record(record('config', CONFIG))
         assert isinstance(found, routing.Routing)
         route = found.find_route(b'H.EXAMPLE', b'/a/b/c')
         assert route is not None
@@ -145,28 +145,32 @@
     def test_no_teams(self) -> None:
         """Without a list of teams no key is needed; with an empty list it is."""
         without = {key: CONFIG[key] for key in CONFIG if key != 'tenants'}
-        found = operator.read(record('config', without))
+        found = operator.decode_record(record('config', without))
         assert isinstance(found, routing.Routing)
         self.assertFalse(found.requires_key)
-        found = operator.read(record('config', {**CONFIG, 'tenants': []}))
+        found = operator.decode_record(
+            record('config', {**CONFIG, 'tenants': []})
+        )
         assert isinstance(found, routing.Routing)
         self.assertTrue(found.requires_key)
 
     def test_version(self) -> None:
         """Desired versions are decoded; irrelevant records are ignored."""
-        found = operator.read(
+        found = operator.decode_record(
             record('version/m', {'model': 'm', 'version': 2}),
         )
         self.assertEqual(intake.DesiredVersion('m', 2), found)
-        self.assertIsNone(operator.read(record('else', {})))
-        self.assertIsNone(operator.read(records.Record('config', 0, None)))
+        self.assertIsNone(operator.decode_record(record('else', {})))
+        self.assertIsNone(
+            operator.decode_record(records.Record('config', 0, None))
+        )
 
     def test_malformed(self) -> None:
         """A malformed configuration raises an error."""
         for payload in (b'', b'{', b'[]', b'{"version": "x"}', b'\xff'):
             self.assertRaises(
                 errors.MalformedMessageError,
-                operator.read,
+                operator.decode_record,
                 records.Record('config', 0, payload or b' '),
             )
 
@@ -187,26 +191,28 @@
 
     def test_records(self) -> None:
         """An endpoint that is ready, one that drains, one without weights."""
-        found = registry.read(record('i-1', self.ENTRY))
+        found = registry.decode_record(record('i-1', self.ENTRY))
         assert found is not None
         self.assertEqual(endpoints.Weights(1, 0, 16), found.weights)
         self.assertFalse(found.draining)
-        found = registry.read(
+        found = registry.decode_record(
             record('i-1', {**self.ENTRY, 'state': 'draining'})
         )
         assert found is not None
         self.assertTrue(found.draining)
         empty = {**self.ENTRY, 'models': [], 'layers': None}
-        found = registry.read(record('i-1', empty))
+        found = registry.decode_record(record('i-1', empty))
         assert found is not None
         self.assertEqual(endpoints.Weights(0, 0, 0), found.weights)
 
     def test_removed_and_malformed(self) -> None:
         """A removal yields ``None``; a malformed record raises an error."""
-        self.assertIsNone(registry.read(records.Record('i-1', 0, None)))
+        self.assertIsNone(
+            registry.decode_record(records.Record('i-1', 0, None))
+        )
         self.assertRaises(
             errors.MalformedMessageError,
-            registry.read,
+            registry.decode_record,
             record('i-1', {'address': 3}),
         )
 
--- a/tests/platform/test_registry.py
+++ b/tests/platform/test_registry.py
@@ -116,7 +116,7 @@
 
     def read(self, payload: bytes, key: str = 'i-1') -> endpoints.Listing:
         """Decode a record."""
-        found = registry.read(records.Record(key, 0, payload))
+        found = registry.decode_record(records.Record(key, 0, payload))
         assert found is not None
         return found
 
@@ -157,7 +157,7 @@
     def check(self, payload: bytes) -> bool:
         """Decode a record; return whether it describes an endpoint."""
         try:
-            found = registry.read(records.Record('i-1', 0, payload))
+            found = registry.decode_record(records.Record('i-1', 0, payload))
         except errors.MalformedMessageError:
             return False
         if found is not None:
@@ -226,7 +226,7 @@
                 for _ in range(rng.randrange(1, 20))
             )
             try:
-                found = registry.read(records.Record(key, 0, entry()))
+                found = registry.decode_record(records.Record(key, 0, entry()))
             except errors.MalformedMessageError:
                 continue
             assert found is not None
@@ -265,14 +265,16 @@
             ('config', self.CONFIG),
             ('version/m', b'{"model":"m","version":2}'),
         ):
-            operator.read(records.Record(key, 0, whole))
+            operator.decode_record(records.Record(key, 0, whole))
             for _ in range(4000):
                 payload = bytearray(whole)
                 for _ in range(rng.randrange(1, 3)):
                     at = rng.randrange(len(payload))
                     payload[at] = rng.randrange(256)
                 try:
-                    operator.read(records.Record(key, 0, bytes(payload)))
+                    operator.decode_record(
+                        records.Record(key, 0, bytes(payload))
+                    )
                 except errors.MalformedMessageError:
                     continue
 
@@ -286,7 +288,7 @@
             payload = self.CONFIG.replace(b'10.0.0.1:80', origin.encode())
             self.assertRaises(
                 errors.MalformedMessageError,
-                operator.read,
+                operator.decode_record,
                 records.Record('config', 0, payload),
             )
 
