--- a/clementinepass/agent/assembly.py
+++ b/clementinepass/agent/assembly.py
@@ -98,7 +98,7 @@
     async def run(self, path: pathlib.Path) -> None:
         """Serve until told to leave."""
         daemon = self._settings.daemon
-        exposed = exposition.Exposition(
+        exposed = exposition.MetricsServer(
             daemon.metrics_listen.host,
             daemon.metrics_listen.port,
             self._registry,
--- a/clementinepass/cli/config_commands.py
+++ b/clementinepass/cli/config_commands.py
@@ -15,7 +15,7 @@
     changes,
     checks,
     folder,
-    history as past,
+    history as publication_history,
     publisher,
     schema,
 )
@@ -35,7 +35,7 @@
         help='Where the log service is, host:port.',
     ),
 ]
-Removed = typing.Annotated[
+RemovedSections = typing.Annotated[
     tuple[str, ...],
     cyclopts.Parameter(
         name='--remove',
@@ -71,7 +71,7 @@
     id: str
 
 
-class Shown(msgspec.Struct, frozen=True):
+class SectionInForce(msgspec.Struct, frozen=True):
     """One section in force."""
 
     section: str
@@ -88,7 +88,7 @@
     :param path: the folder of INI files.
     :param json: print one JSON document.
     """
-    with exits.reported():
+    with exits.report_errors():
         sections = folder.read(path)
         checks.check(sections)
     names = sorted(sections.by_name)
@@ -107,13 +107,13 @@
     :param path: the folder of INI files.
     :param json: print one JSON document instead of a table.
     """
-    with exits.reported():
+    with exits.report_errors():
         sections = folder.read(path)
-        current = _publisher(log).current()
-    wanted = changes.Changes.between(current, sections, ())
-    in_force = current.values_by_section()
+        state = _publisher(log).current()
+    wanted = changes.Changes.between(state, sections, ())
+    in_force = state.values_by_section()
     shown = Differences(
-        current.revision,
+        state.revision,
         tuple(_differences(in_force, wanted.set_by_section)),
         tuple(
             name
@@ -127,7 +127,10 @@
     output.print_table(
         f'against revision {shown.revision}',
         ('section', 'key', 'in force', 'folder'),
-        (msgspec.structs.astuple(row) for row in shown.differences),
+        (
+            msgspec.structs.astuple(difference)
+            for difference in shown.differences
+        ),
     )
     for name in shown.only_in_force:
         output.screen.print(f'only in force: {name}', markup=False)
@@ -145,7 +148,7 @@
         str,
         cyclopts.Parameter(env_var='CLEMENTINEPASS_OPERATOR'),
     ] = '',
-    remove: Removed = (),
+    remove: RemovedSections = (),
     base: int | None = None,
     timeout: float = 10,
     json: bool = False,
@@ -165,7 +168,7 @@
         look for the own record; each.
     :param json: print one JSON document.
     """
-    with exits.reported():
+    with exits.report_errors():
         accepted = _publisher(log, timeout).publish(
             folder.read(path),
             remove,
@@ -197,23 +200,23 @@
     :param section: the section to show; all by default.
     :param json: print one JSON document instead of a table.
     """
-    with exits.reported():
-        current = _publisher(log).current()
+    with exits.report_errors():
+        state = _publisher(log).current()
     shown = [
-        Shown(name, found.revision, found.values)
-        for name, found in sorted(current.sections_by_name.items())
+        SectionInForce(name, found.revision, found.values)
+        for name, found in sorted(state.sections_by_name.items())
         if section in {'', name} and schema.kind_of(name) != schema.KEY_OWNER
     ]
     if json:
         output.print_json(shown)
     else:
         output.print_table(
-            f'in force at revision {current.revision}',
+            f'in force at revision {state.revision}',
             ('section', 'revision', 'key', 'value'),
             (
-                (one.section, one.revision, key, text)
-                for one in shown
-                for key, text in (one.values or {'': ''}).items()
+                (section_in_force.section, section_in_force.revision, key, text)
+                for section_in_force in shown
+                for key, text in (section_in_force.values or {'': ''}).items()
             ),
         )
     if section and not shown:
@@ -237,11 +240,11 @@
     :param limit: the most publications to show, counted from the newest.
     :param json: print one JSON document instead of a table.
     """
-    with exits.reported():
-        events = past.read(_connect(log))
-    chosen = [event for event in events if id in {'', event.id}][-limit:]
+    with exits.report_errors():
+        events = publication_history.read(_connect(log))
+    selected = [event for event in events if id in {'', event.id}][-limit:]
     if json:
-        output.print_json(chosen)
+        output.print_json(selected)
     else:
         output.print_table(
             'publications',
@@ -255,10 +258,10 @@
                     event.detail,
                     event.id,
                 )
-                for event in chosen
+                for event in selected
             ),
         )
-    if id and not chosen:
+    if id and not selected:
         sys.stderr.write(f'publication {id} is not in the log, as yet\n')
         sys.exit(exits.REJECTED)
 
@@ -282,13 +285,13 @@
     set_by_section: dict[str, dict[str, str]],
 ) -> typing.Iterator[Difference]:
     for section, wanted in sorted(set_by_section.items()):
-        present = in_force.get(section, {})
-        for key in sorted(present.keys() | wanted.keys()):
-            row = Difference(
+        current_values = in_force.get(section, {})
+        for key in sorted(current_values.keys() | wanted.keys()):
+            difference = Difference(
                 section,
                 key,
-                present.get(key, ''),
+                current_values.get(key, ''),
                 wanted.get(key, ''),
             )
-            if row.in_force != row.folder:
-                yield row
+            if difference.in_force != difference.folder:
+                yield difference
--- a/clementinepass/cli/entry_client.py
+++ b/clementinepass/cli/entry_client.py
@@ -9,8 +9,8 @@
 
 from clementinepass import errors
 
-_TIMEOUT = 10
-_SUCCESS = 200
+_TIMEOUT_SECONDS = 10
+_OK_STATUS = 200
 
 
 class AgentState(msgspec.Struct, frozen=True):
@@ -66,7 +66,7 @@
     agents: tuple[Agent, ...]
 
 
-class Offered(msgspec.Struct, frozen=True):
+class OfferedEntry(msgspec.Struct, frozen=True):
     """An address that a caller may use."""
 
     address: str
@@ -77,7 +77,7 @@
 class OfferedList(msgspec.Struct, frozen=True):
     """The addresses for a caller, the best first."""
 
-    entries: tuple[Offered, ...]
+    entries: tuple[OfferedEntry, ...]
     #: Seconds for which the list may be kept.
     max_age: float
 
@@ -93,17 +93,19 @@
 
     def __init__(self, address: str) -> None:
         self._address = address
-        self._http = urllib3.PoolManager(retries=False, timeout=_TIMEOUT)
+        self._http = urllib3.PoolManager(
+            retries=False, timeout=_TIMEOUT_SECONDS
+        )
 
     def status(self) -> Status:
         """Return the entry's view of the system."""
         return self._get('/v1/status', Status)
 
-    def offered(self) -> OfferedList:
+    def offered_entries(self) -> OfferedList:
         """Return the entries that callers should use."""
         return self._get('/v1/entries', OfferedList)
 
-    def complete(
+    def post(
         self,
         path: str,
         body: bytes,
@@ -120,24 +122,24 @@
                 body=body,
                 headers={'Content-Type': 'application/json', **headers},
                 preload_content=False,
-                timeout=urllib3.Timeout(connect=_TIMEOUT, read=None),
+                timeout=urllib3.Timeout(connect=_TIMEOUT_SECONDS, read=None),
             )
         except urllib3.exceptions.HTTPError as error:
             raise self._unavailable(path, error) from error
 
-    def _get(self, path: str, document: type[_Document]) -> _Document:
+    def _get(self, path: str, document_type: type[_Document]) -> _Document:
         try:
             answer = self._http.request('GET', f'http://{self._address}{path}')
         except urllib3.exceptions.HTTPError as error:
             raise self._unavailable(path, error) from error
-        if answer.status != _SUCCESS:
+        if answer.status != _OK_STATUS:
             raise errors.PeerUnavailableError(
                 f'status {answer.status}',
                 step=path,
                 peer=self._address,
             )
         try:
-            return msgspec.json.decode(answer.data, type=document)
+            return msgspec.json.decode(answer.data, type=document_type)
         except msgspec.MsgspecError as error:
             raise errors.MalformedMessageError(
                 str(error),
--- a/clementinepass/cli/exits.py
+++ b/clementinepass/cli/exits.py
@@ -30,7 +30,7 @@
 
 
 @contextlib.contextmanager
-def reported() -> Iterator[None]:
+def report_errors() -> Iterator[None]:
     """Print an error with its step and peer, and exit with its code."""
     try:
         yield
--- a/clementinepass/cli/explain_command.py
+++ b/clementinepass/cli/explain_command.py
@@ -31,15 +31,15 @@
     :param files: one for each process, named after it.
     :param json: print one JSON document instead of tables.
     """
-    collected = _collected(files)
-    story = collected.story(request)
+    collection = _collect(files)
+    story = collection.build_story(request)
     if story is None:
         sys.stderr.write(
             f'{request}: no line of {len(files)} files is of this request; of '
             'those that go well one in sixteen is written of '
-            f'(lines that could not be read: {collected.unread})\n',
+            f'(lines that could not be read: {collection.unreadable_lines})\n',
         )
-        for line in collected.killed():
+        for line in collection.find_killed_entries():
             sys.stderr.write(
                 f'may be missing: {line.process} began anew at '
                 f'{line.fields.get("time")} without having stopped; what was '
@@ -49,13 +49,15 @@
     if json:
         output.print_json(story)
         return
-    _show(request, story)
-    if collected.unread:
-        output.screen.print(f'{collected.unread} lines could not be read')
+    _print_story(request, story)
+    if collection.unreadable_lines:
+        output.screen.print(
+            f'{collection.unreadable_lines} lines could not be read'
+        )
 
 
-def _collected(files: Sequence[pathlib.Path]) -> stories.Collected:
-    collected = stories.Collected()
+def _collect(files: Sequence[pathlib.Path]) -> stories.LogCollection:
+    collection = stories.LogCollection()
     if not files:
         sys.stderr.write('no files: name the log of each process\n')
         sys.exit(exits.BAD_INPUT)
@@ -65,21 +67,26 @@
         except OSError as error:
             sys.stderr.write(f'{path}: {error.strerror}\n')
             sys.exit(exits.BAD_INPUT)
-        collected.add(path.stem, payload.splitlines())
-    return collected
+        collection.add(path.stem, payload.splitlines())
+    return collection
 
 
-def _show(request: str, story: stories.Story) -> None:
-    begun = story.lines[0].at
+def _print_story(request: str, story: stories.Story) -> None:
+    started_at = story.lines[0].at
     output.print_table(
         f'request {request}',
         ('seconds', 'process', 'what', 'why'),
         [
-            (f'{line.at - begun:.3f}', line.process, line.message, line.details)
+            (
+                f'{line.at - started_at:.3f}',
+                line.process,
+                line.message,
+                line.details,
+            )
             for line in story.lines
         ],
     )
-    _show_cause(story)
+    _print_cause(story)
     output.print_table(
         'believed when it came',
         ('process', 'what', 'for seconds', 'of'),
@@ -97,21 +104,22 @@
         output.screen.print(f'may be missing: {gap}')
 
 
-def _show_cause(story: stories.Story) -> None:
+def _print_cause(story: stories.Story) -> None:
     verdict = story.verdict
     output.screen.print(
         f'cause: {verdict.cause.value}: {verdict.sentence}',
         markup=False,
     )
-    for sentence in verdict.led:
+    for sentence in verdict.contributions:
         output.screen.print(f'led to it: {sentence}', markup=False)
-    for observation in story.deciding:
+    for observation in story.deciding_observations:
         output.screen.print(
             f'by: {observation.line.message} {observation.line.details}, '
             f'{observation.age:.1f} s before it ended',
             markup=False,
         )
-    if story.wrong is not None:
+    if story.first_failure is not None:
         output.screen.print(
-            f'first went wrong: {story.wrong.message} at {story.wrong.process}',
+            f'first went wrong: {story.first_failure.message} '
+            f'at {story.first_failure.process}',
         )
--- a/clementinepass/cli/rollout_commands.py
+++ b/clementinepass/cli/rollout_commands.py
@@ -18,8 +18,8 @@
 
 app = cyclopts.App(name='rollout', help='Follow rollouts of versions.')
 
-_INTERVAL = 0.5
-_ENGINE = 'engine'
+_POLL_INTERVAL_SECONDS = 0.5
+_ENGINE_KIND = 'engine'
 
 
 class Replica(msgspec.Struct, frozen=True):
@@ -52,13 +52,13 @@
         replicas = tuple(
             _to_replica(agent)
             for agent in status.agents
-            if agent.state is None or agent.state.kind == _ENGINE
+            if agent.state is None or agent.state.kind == _ENGINE_KIND
         )
-        serving = sum(one.phase == 'serving' for one in replicas)
+        serving = sum(replica.phase == 'serving' for replica in replicas)
         return cls(serving, replicas)
 
     @property
-    def done(self) -> bool:
+    def is_complete(self) -> bool:
         """Tell whether every replica serves what is wanted."""
         return bool(self.replicas) and self.serving == len(self.replicas)
 
@@ -80,18 +80,18 @@
     :param json: print one JSON document for each look.
     """
     client = entry_client.EntryClient(entry)
-    with exits.reported():
+    with exits.report_errors():
         rollout = Rollout.from_status(client.status())
         if watch and not json:
             rollout = _watch(client, rollout)
-        while watch and json and not rollout.done:
+        while watch and json and not rollout.is_complete:
             output.print_json(rollout)
-            time.sleep(_INTERVAL)
+            time.sleep(_POLL_INTERVAL_SECONDS)
             rollout = Rollout.from_status(client.status())
     if json:
         output.print_json(rollout)
     else:
-        _print(rollout)
+        _print_rollout(rollout)
 
 
 def _watch(client: entry_client.EntryClient, rollout: Rollout) -> Rollout:
@@ -106,13 +106,17 @@
         with progress.Progress(*columns, console=output.screen) as bar:
             chunks = bar.add_task('chunks held')
             serving = bar.add_task('replicas serving')
-            while not rollout.done:
-                time.sleep(_INTERVAL)
+            while not rollout.is_complete:
+                time.sleep(_POLL_INTERVAL_SECONDS)
                 rollout = Rollout.from_status(client.status())
                 bar.update(
                     chunks,
-                    completed=sum(one.chunks_held for one in rollout.replicas),
-                    total=sum(one.chunks_wanted for one in rollout.replicas),
+                    completed=sum(
+                        replica.chunks_held for replica in rollout.replicas
+                    ),
+                    total=sum(
+                        replica.chunks_wanted for replica in rollout.replicas
+                    ),
                 )
                 bar.update(
                     serving,
@@ -120,12 +124,12 @@
                     total=len(rollout.replicas),
                 )
     except KeyboardInterrupt:
-        _print(rollout)
+        _print_rollout(rollout)
         sys.exit(exits.REJECTED)
     return rollout
 
 
-def _print(rollout: Rollout) -> None:
+def _print_rollout(rollout: Rollout) -> None:
     output.print_table(
         f'{rollout.serving} of {len(rollout.replicas)} replicas serve',
         (
@@ -141,12 +145,12 @@
             'MB from store',
             'trouble',
         ),
-        sorted(_row(replica) for replica in rollout.replicas),
+        sorted(_replica_row(replica) for replica in rollout.replicas),
     )
 
 
-def _row(replica: Replica) -> list[str]:
-    megabyte = 1e6
+def _replica_row(replica: Replica) -> list[str]:
+    bytes_per_megabyte = 1e6
     return [
         replica.failure_domain,
         replica.agent,
@@ -155,9 +159,9 @@
         replica.wanted,
         replica.serving,
         f'{replica.chunks_held}/{replica.chunks_wanted}',
-        f'{replica.bytes_origin / megabyte:.1f}',
-        f'{replica.bytes_peers / megabyte:.1f}',
-        f'{replica.bytes_store / megabyte:.1f}',
+        f'{replica.bytes_origin / bytes_per_megabyte:.1f}',
+        f'{replica.bytes_peers / bytes_per_megabyte:.1f}',
+        f'{replica.bytes_store / bytes_per_megabyte:.1f}',
         replica.trouble,
     ]
 
@@ -183,7 +187,7 @@
         agent.id,
         agent.failure_domain,
         model=state.serves,
-        phase=_phase_of(state),
+        phase=_derive_phase(state),
         wanted=state.wanted,
         serving=state.version,
         chunks_held=state.chunks_held,
@@ -195,7 +199,7 @@
     )
 
 
-def _phase_of(state: entry_client.AgentState) -> str:
+def _derive_phase(state: entry_client.AgentState) -> str:
     if state.wanted and state.version == state.wanted:
         return 'serving'
     if state.trouble:
--- a/clementinepass/cli/settings_commands.py
+++ b/clementinepass/cli/settings_commands.py
@@ -15,8 +15,8 @@
     help="Check the daemon's settings and write their reference.",
 )
 
-_ROOT = pathlib.Path(__file__).parent.parent.parent
-_REFERENCE = _ROOT / 'docs' / 'operators' / 'settings.md'
+_PROJECT_ROOT = pathlib.Path(__file__).parent.parent.parent
+_REFERENCE_PAGE = _PROJECT_ROOT / 'docs' / 'operators' / 'settings.md'
 
 
 @app.command
@@ -28,7 +28,7 @@
     :param path: the INI file.
     :param json: print one JSON document.
     """
-    with exits.reported():
+    with exits.report_errors():
         checked = settings.Settings.from_file(path)
     role = checked.daemon.role.value
     if json:
@@ -39,7 +39,7 @@
 
 @app.command
 def reference(
-    path: pathlib.Path = _REFERENCE,
+    path: pathlib.Path = _REFERENCE_PAGE,
     *,
     check: bool = False,  # noqa: WPS442 (the option's name)
 ) -> None:
--- a/clementinepass/cli/system_commands.py
+++ b/clementinepass/cli/system_commands.py
@@ -22,8 +22,8 @@
     ),
 ]
 
-_DRAIN_TIMEOUT = 10.0
-_FIRST_FAILURE = 400
+_DRAIN_TIMEOUT_SECONDS = 10.0
+_MIN_ERROR_STATUS = 400
 
 
 def status(*, entry: EntryAddress, json: bool = False) -> None:
@@ -33,21 +33,27 @@
 
     :param json: print one JSON document instead of tables.
     """
-    with exits.reported():
-        shown = entry_client.EntryClient(entry).status()
+    with exits.report_errors():
+        system_status = entry_client.EntryClient(entry).status()
     if json:
-        output.print_json(shown)
+        output.print_json(system_status)
         return
     output.print_table(
-        f'entries seen by {shown.entry}, configuration {shown.revision}',
+        f'entries seen by {system_status.entry}, '
+        f'configuration {system_status.revision}',
         ('failure domain', 'entry', 'callers', 'state'),
         sorted(
-            (one.failure_domain, one.id, one.callers_address, one.state)
-            for one in shown.entries
+            (
+                seen_entry.failure_domain,
+                seen_entry.id,
+                seen_entry.callers_address,
+                seen_entry.state,
+            )
+            for seen_entry in system_status.entries
         ),
     )
     output.print_table(
-        f'endpoints, {shown.in_progress} requests in progress here',
+        f'endpoints, {system_status.in_progress} requests in progress here',
         (
             'failure domain',
             'agent',
@@ -58,7 +64,7 @@
             'running',
             'configuration',
         ),
-        sorted(_agent_row(agent) for agent in shown.agents),
+        sorted(_agent_row(agent) for agent in system_status.agents),
     )
 
 
@@ -69,17 +75,17 @@
 
     :param json: print one JSON document instead of a table.
     """
-    with exits.reported():
-        offered = entry_client.EntryClient(entry).offered()
+    with exits.report_errors():
+        offered_entries = entry_client.EntryClient(entry).offered_entries()
     if json:
-        output.print_json(offered)
+        output.print_json(offered_entries)
         return
     output.print_table(
-        f'use in this order, for {offered.max_age} s',
+        f'use in this order, for {offered_entries.max_age} s',
         ('address', 'failure domain', 'region'),
         (
-            (one.address, one.failure_domain, one.region)
-            for one in offered.entries
+            (offered.address, offered.failure_domain, offered.region)
+            for offered in offered_entries.entries
         ),
     )
 
@@ -93,7 +99,7 @@
 
     :param address: where the process listens for other processes.
     """
-    with exits.reported():
+    with exits.report_errors():
         asyncio.run(_drain(addresses.Address.from_text(address)))
     output.screen.print(f'{address} is leaving')
 
@@ -127,8 +133,8 @@
             'stream': stream,
         },
     )
-    with exits.reported():
-        answer = entry_client.EntryClient(entry).complete(
+    with exits.report_errors():
+        answer = entry_client.EntryClient(entry).post(
             '/v1/completions',
             body,
             {'Authorization': f'Bearer {key}'},
@@ -137,17 +143,17 @@
             sys.stdout.write(piece.decode(errors='replace'))
             sys.stdout.flush()
     sys.stdout.write('\n')
-    if answer.status >= _FIRST_FAILURE:
+    if answer.status >= _MIN_ERROR_STATUS:
         sys.exit(exits.REJECTED)
 
 
 def _agent_row(agent: entry_client.Agent) -> list[str]:
-    connection = [agent.failure_domain, agent.id, agent.liveness]
+    agent_columns = [agent.failure_domain, agent.id, agent.liveness]
     state = agent.state
     if state is None:
-        return connection
+        return agent_columns
     return [
-        *connection,
+        *agent_columns,
         state.phase,
         state.serves,
         state.version,
@@ -160,13 +166,13 @@
     async with capnp.kj_loop():
         connection = await connections.Connection.open(
             address,
-            _DRAIN_TIMEOUT,
+            _DRAIN_TIMEOUT_SECONDS,
         )
         process = connection.bootstrap(schema.peers.Process)
         await connections.call(
             process.drain(),
             step='drain',
             peer=str(address),
-            timeout=_DRAIN_TIMEOUT,
+            timeout=_DRAIN_TIMEOUT_SECONDS,
         )
         connection.close()
--- a/clementinepass/entry/assembly.py
+++ b/clementinepass/entry/assembly.py
@@ -103,7 +103,7 @@
         """Serve until told to leave."""
         daemon = self._settings.daemon
         callers = self._callers_server()
-        health = exposition.Exposition(
+        health = exposition.MetricsServer(
             daemon.metrics_listen.host,
             daemon.metrics_listen.port,
             self._registry,
--- a/clementinepass/ini/reader.py
+++ b/clementinepass/ini/reader.py
@@ -9,7 +9,7 @@
 if typing.TYPE_CHECKING:
     import pathlib
 
-_COMMENTS = ('#', ';')
+_COMMENT_PREFIXES = ('#', ';')
 _DELIMITER = '='
 
 
@@ -79,7 +79,7 @@
     document = Document(file)
     parser = configparser.RawConfigParser(
         delimiters=(_DELIMITER,),
-        comment_prefixes=_COMMENTS,
+        comment_prefixes=_COMMENT_PREFIXES,
         empty_lines_in_values=False,
         default_section='',
         strict=False,
@@ -117,42 +117,48 @@
     def locate(self, text: str) -> None:
         """Walk the lines and note sections, keys and duplicates."""
         # configparser ends lines at line feeds only, unlike splitlines().
-        for number, line in enumerate(text.split('\n'), start=1):
+        for line_number, line in enumerate(text.split('\n'), start=1):
             stripped = line.strip()
-            if not stripped or stripped.startswith(_COMMENTS):
+            if not stripped or stripped.startswith(_COMMENT_PREFIXES):
                 continue
             if line[0].isspace():
-                self._fault(number, stripped, 'must not be indented')
-            elif self._header(stripped) is not None:
-                self._open(number, self._header(stripped) or '')
+                self._add_fault(line_number, stripped, 'must not be indented')
+            elif self._parse_header(stripped) is not None:
+                self._enter_section(
+                    line_number, self._parse_header(stripped) or ''
+                )
             elif _DELIMITER in stripped:
-                self._note(number, stripped.partition(_DELIMITER)[0].strip())
+                self._add_key(
+                    line_number, stripped.partition(_DELIMITER)[0].strip()
+                )
 
-    def _header(self, stripped: str) -> str | None:
+    def _parse_header(self, stripped: str) -> str | None:
         match = self._parser.SECTCRE.match(stripped)
         return match.group('header') if match else None
 
-    def _open(self, number: int, name: str) -> None:
+    def _enter_section(self, line_number: int, name: str) -> None:
         earlier = self._document.sections_by_name.get(name)
         if earlier is not None:
-            self._fault(number, name, 'duplicate section')
-        section = earlier or Section(name, self._document.file, number)
+            self._add_fault(line_number, name, 'duplicate section')
+        section = earlier or Section(name, self._document.file, line_number)
         self._document.sections_by_name[name] = section
         self._section = section
 
-    def _note(self, number: int, key: str) -> None:
+    def _add_key(self, line_number: int, key: str) -> None:
         section = self._section
         if section is None or not self._parser.has_option(section.name, key):
             return
         if key in section.entries_by_key:
-            self._fault(number, key, f'duplicate key in [{section.name}]')
+            self._add_fault(
+                line_number, key, f'duplicate key in [{section.name}]'
+            )
             return
         section.entries_by_key[key] = Entry(
             self._parser.get(section.name, key),
             self._document.file,
-            number,
+            line_number,
         )
 
-    def _fault(self, number: int, key: str, detail: str) -> None:
-        fault = Fault(self._document.file, number, key, detail)
+    def _add_fault(self, line_number: int, key: str, detail: str) -> None:
+        fault = Fault(self._document.file, line_number, key, detail)
         self._document.faults.append(fault)
--- a/clementinepass/ini/values.py
+++ b/clementinepass/ini/values.py
@@ -13,10 +13,10 @@
 _NAME = re.compile(r'[A-Za-z0-9][A-Za-z0-9._-]{0,99}')
 _SHA256 = re.compile('[0-9a-f]{64}')
 _COUNT = re.compile('[0-9]{1,12}')
-_MOST_PORTS = 65535
+_MAX_PORT = 65535
 _PERCENT = 100
-_DURATIONS = {'ms': 0.001, 's': 1, 'min': 60, 'h': 3600}
-_SIZES = {
+_SECONDS_BY_UNIT = {'ms': 0.001, 's': 1, 'min': 60, 'h': 3600}
+_BYTES_BY_UNIT = {
     'B': 1,
     'KB': 1000,
     'MB': 1000**2,
@@ -25,8 +25,8 @@
     'MiB': 1024**2,
     'GiB': 1024**3,
 }
-_RATES = {f'{unit}/s': factor for unit, factor in _SIZES.items()}
-_BOOLEANS = {
+_RATE_BY_UNIT = {f'{unit}/s': factor for unit, factor in _BYTES_BY_UNIT.items()}
+_BOOLEAN_BY_WORD = {
     'yes': True,
     'true': True,
     'on': True,
@@ -71,7 +71,7 @@
     Host names are refused, since a lookup may hang or change.
     """
     host, _, port = text.rpartition(':')
-    if not _COUNT.fullmatch(port) or int(port) > _MOST_PORTS:
+    if not _COUNT.fullmatch(port) or int(port) > _MAX_PORT:
         raise ValueError('no port')
     bracketed = host.startswith('[') and host.endswith(']')
     number = ipaddress.ip_address(host[1:-1] if bracketed else host)
@@ -83,11 +83,11 @@
 def choice(*options: str) -> ValueType[str]:
     """Return a type whose values are the given words."""
     return ValueType(
-        f'one of {", ".join(options)}', options[0], _Words(options)
+        f'one of {", ".join(options)}', options[0], _Choice(options)
     )
 
 
-def _with_units(
+def _number_with_units(
     units: dict[str, float],
 ) -> typing.Callable[[str], float]:
     def parse(text: str) -> float:
@@ -99,10 +99,10 @@
     return parse
 
 
-def _whole(
+def _integer_with_units(
     units: dict[str, int],
 ) -> typing.Callable[[str], int]:
-    parse_number = _with_units({**units})
+    parse_number = _number_with_units({**units})
 
     def parse(text: str) -> int:
         return round(parse_number(text))
@@ -110,7 +110,7 @@
     return parse
 
 
-def _matching(pattern: re.Pattern[str]) -> typing.Callable[[str], str]:
+def _match_parser(pattern: re.Pattern[str]) -> typing.Callable[[str], str]:
     def parse(text: str) -> str:
         if pattern.fullmatch(text) is None:
             raise ValueError('does not match')
@@ -120,7 +120,7 @@
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
-class _Words:
+class _Choice:
     options: tuple[str, ...]
 
     def __call__(self, text: str) -> str:
@@ -130,13 +130,13 @@
 
 
 def _parse_boolean(text: str) -> bool:
-    if text not in _BOOLEANS:
+    if text not in _BOOLEAN_BY_WORD:
         raise ValueError('neither yes nor no')
-    return _BOOLEANS[text]
+    return _BOOLEAN_BY_WORD[text]
 
 
 def _parse_count(text: str) -> int:
-    return int(_matching(_COUNT)(text))
+    return int(_match_parser(_COUNT)(text))
 
 
 def _parse_positive(text: str) -> int:
@@ -147,18 +147,20 @@
 
 
 def _parse_percentage(text: str) -> float:
-    share = _with_units({'%': 1 / _PERCENT})(text)
-    if not 0 < share <= 1:
+    fraction = _number_with_units({'%': 1 / _PERCENT})(text)
+    if not 0 < fraction <= 1:
         raise ValueError('outside 0% to 100%')
-    return share
+    return fraction
 
 
 #: Seconds, written ``250ms``, ``4s``, ``2min`` or ``1h``.
-DURATION = ValueType('a duration', '250ms', _with_units(_DURATIONS))
+DURATION = ValueType(
+    'a duration', '250ms', _number_with_units(_SECONDS_BY_UNIT)
+)
 #: Bytes, written ``64MB`` or ``64MiB``.
-SIZE = ValueType('a size', '64MB', _whole(_SIZES))
+SIZE = ValueType('a size', '64MB', _integer_with_units(_BYTES_BY_UNIT))
 #: Bytes a second, written ``100MB/s``.
-RATE = ValueType('a rate', '100MB/s', _whole(_RATES))
+RATE = ValueType('a rate', '100MB/s', _integer_with_units(_RATE_BY_UNIT))
 #: A share above 0 and up to 1, written ``25%``.
 PERCENTAGE = ValueType('a percentage', '25%', _parse_percentage)
 #: A whole number from 0.
@@ -170,10 +172,10 @@
 #: IP number and port.
 ADDRESS = ValueType('an IP number and port', '127.0.0.1:7000', parse_address)
 #: Letters, digits, dots, dashes and underscores.
-NAME = ValueType('a name', 'kigali-1', _matching(_NAME))
+NAME = ValueType('a name', 'kigali-1', _match_parser(_NAME))
 #: A SHA-256 in lower-case hexadecimal.
 SHA256 = ValueType(
     'a SHA-256 in 64 lower-case hexadecimal digits',
     '9f86d081...',
-    _matching(_SHA256),
+    _match_parser(_SHA256),
 )
--- a/clementinepass/observability/causes.py
+++ b/clementinepass/observability/causes.py
@@ -29,30 +29,30 @@
 
     # This entry and its bounds.
     STARTING = 'starting'
-    LEAVING = 'leaving'
-    CUT_AT_END = 'cut_at_end'
-    PROCESS_GONE = 'process_gone'
-    OWN_FAULT = 'own_fault'
+    DRAINING = 'leaving'
+    CUT_AT_SHUTDOWN = 'cut_at_end'
+    PROCESS_KILLED = 'process_gone'
+    INTERNAL_ERROR = 'own_fault'
     DEADLINE = 'deadline'
-    ROUTE_TIME = 'route_time'
-    BUDGET = 'budget'
+    ROUTE_TIMEOUT = 'route_time'
+    RETRY_BUDGET_SPENT = 'budget'
 
     # Endpoints.
     OVERLOAD = 'overload'
     NO_ENDPOINT = 'no_endpoint'
     NO_WEIGHTS = 'no_weights'
-    TURNED_AWAY = 'turned_away'
+    REJECTED = 'turned_away'
     MISDIRECTED = 'misdirected'
     UNREACHABLE = 'unreachable'
-    ENDPOINT_LOST = 'endpoint_lost'
-    ENDPOINT_ENDED = 'endpoint_ended'
+    ENDPOINT_CONNECTION_LOST = 'endpoint_lost'
+    ENDPOINT_CLOSED = 'endpoint_ended'
     ENDPOINT_SILENT = 'endpoint_silent'
-    ENDPOINT_SPOILT = 'endpoint_spoilt'
+    ENDPOINT_MALFORMED = 'endpoint_spoilt'
     ENDPOINT_FAILED = 'endpoint_failed'
     WEIGHTS_TOO_OLD = 'weights_too_old'
-    TOOK_UP_WEIGHTS = 'took_up_weights'
+    ENGINE_LOADING = 'took_up_weights'
 
-    NOT_KNOWN = 'not_known'
+    UNKNOWN = 'not_known'
 
 
 #: A sentence for each cause; names in braces are fields of its line.
@@ -98,41 +98,45 @@
         'the configuration sends it to service {service}, which it lacks'
     ),
     Cause.STARTING: 'the entry had just started and knew no configuration',
-    Cause.LEAVING: 'the entry was told to end and had no time left for it',
-    Cause.CUT_AT_END: 'the entry was told to end, and cut it off at its end',
-    Cause.PROCESS_GONE: (
+    Cause.DRAINING: 'the entry was told to end and had no time left for it',
+    Cause.CUT_AT_SHUTDOWN: (
+        'the entry was told to end, and cut it off at its end'
+    ),
+    Cause.PROCESS_KILLED: (
         'the entry was killed or crashed: it started again at {time} without '
         'having stopped'
     ),
-    Cause.OWN_FAULT: 'the entry met a fault that nobody foresaw: {error}',
+    Cause.INTERNAL_ERROR: 'the entry met a fault that nobody foresaw: {error}',
     Cause.DEADLINE: (
         'the time that its caller gave it was over after {seconds} s'
     ),
-    Cause.ROUTE_TIME: (
+    Cause.ROUTE_TIMEOUT: (
         'the time that its route gives it was over after {seconds} s'
     ),
-    Cause.BUDGET: 'the budget of repeats was spent, so it was not sent again',
+    Cause.RETRY_BUDGET_SPENT: (
+        'the budget of repeats was spent, so it was not sent again'
+    ),
     Cause.OVERLOAD: 'even the best endpoint had too many waiting',
     Cause.NO_ENDPOINT: 'no endpoint of service {service} was there to run it',
     Cause.NO_WEIGHTS: (
         'endpoints of service {service} were there, none with whole weights '
         'that may be used'
     ),
-    Cause.TURNED_AWAY: 'each endpoint that it was sent to said it did not run',
+    Cause.REJECTED: 'each endpoint that it was sent to said it did not run',
     Cause.MISDIRECTED: (
         'each endpoint that it was sent to, or its weights, were others than '
         'believed'
     ),
     Cause.UNREACHABLE: 'no endpoint that it was sent to could be reached',
-    Cause.ENDPOINT_LOST: (
+    Cause.ENDPOINT_CONNECTION_LOST: (
         'the connection to endpoint {endpoint} was lost before the answer was '
         'whole'
     ),
-    Cause.ENDPOINT_ENDED: (
+    Cause.ENDPOINT_CLOSED: (
         'endpoint {endpoint} ended the connection before the answer was whole'
     ),
     Cause.ENDPOINT_SILENT: 'endpoint {endpoint} sent nothing for {silent} s',
-    Cause.ENDPOINT_SPOILT: (
+    Cause.ENDPOINT_MALFORMED: (
         'what endpoint {endpoint} sent is no whole answer to it: {error}'
     ),
     Cause.ENDPOINT_FAILED: (
@@ -142,40 +146,40 @@
         'it had not begun at endpoint {endpoint} when the weights there were '
         'about to be too old'
     ),
-    Cause.TOOK_UP_WEIGHTS: (
+    Cause.ENGINE_LOADING: (
         'endpoint {endpoint} took up new weights and cut it off'
     ),
-    Cause.NOT_KNOWN: 'not known: {why}',
+    Cause.UNKNOWN: 'not known: {why}',
 }
 
 
 class Finding(enum.Enum):
     """Something that led to a request's ending, and stands before it."""
 
-    TAKEN_WHILE_LEAVING = 'taken while leaving'
-    NO_ROOM = 'no endpoint has room'
-    TURNED_AWAY = 'turned away by the endpoint'
+    ACCEPTED_WHILE_DRAINING = 'taken while leaving'
+    NO_FREE_SLOT = 'no endpoint has room'
+    REJECTED = 'turned away by the endpoint'
     MISDIRECTED = 'another endpoint or version answered'
-    FAILED = 'attempt failed'
+    ATTEMPT_FAILED = 'attempt failed'
     FAILED_BY_ENDPOINT = 'failed by the endpoint'
-    NOT_SENT_AGAIN = 'not sending once more'
+    NOT_RETRIED = 'not sending once more'
 
 
 #: A sentence for each finding, from the fields of its line.
 SENTENCE_BY_FINDING = {
-    Finding.TAKEN_WHILE_LEAVING: (
+    Finding.ACCEPTED_WHILE_DRAINING: (
         'it came {since} s after the entry was told to end, as number {number} '
         'on its connection'
     ),
-    Finding.NO_ROOM: (
+    Finding.NO_FREE_SLOT: (
         'the best endpoint, {endpoint}, had {waiting} waiting for {slots} slots'
     ),
-    Finding.TURNED_AWAY: 'endpoint {endpoint} turned it away with {status}',
+    Finding.REJECTED: 'endpoint {endpoint} turned it away with {status}',
     Finding.MISDIRECTED: (
         'endpoint {endpoint} was another, or had other weights than version '
         '{version}'
     ),
-    Finding.FAILED: 'endpoint {endpoint} gave no whole answer: {error}',
+    Finding.ATTEMPT_FAILED: 'endpoint {endpoint} gave no whole answer: {error}',
     Finding.FAILED_BY_ENDPOINT: 'endpoint {endpoint} failed it with {status}',
-    Finding.NOT_SENT_AGAIN: 'it was not sent again: {decision}',
+    Finding.NOT_RETRIED: 'it was not sent again: {decision}',
 }
--- a/clementinepass/observability/exposition.py
+++ b/clementinepass/observability/exposition.py
@@ -15,14 +15,14 @@
 
 _THREADS = 2
 #: Seconds that the event loop may take for the metrics.
-_TIMEOUT = 5.0
-_PLAIN = 'text/plain; charset=utf-8'
+_RENDER_TIMEOUT_SECONDS = 5.0
+_PLAIN_TEXT = 'text/plain; charset=utf-8'
 
 
-class Exposition:
+class MetricsServer:
     """Serve ``/metrics``, ``/healthz`` and ``/readyz``.
 
-    :param ready: tells whether the daemon does its work.
+    :param is_ready: tells whether the daemon does its work.
     """
 
     def __init__(
@@ -30,11 +30,11 @@
         host: str,
         port: int,
         registry: aioprometheus.Registry,
-        ready: Callable[[], bool],
+        is_ready: Callable[[], bool],
         bridge: bridges.Bridge,
     ) -> None:
         self._registry = registry
-        self._ready = ready
+        self._is_ready = is_ready
         self._bridge = bridge
         self._server = wsgi.Server(
             (host, port),
@@ -64,8 +64,8 @@
     ) -> list[bytes]:
         # Metrics change on the event loop; read from here they could change
         # while they are being read.
-        rendering = self._bridge.submit(_rendered(self._registry))
-        body, headers = rendering.result(_TIMEOUT)
+        rendering = self._bridge.submit(_render_registry(self._registry))
+        body, headers = rendering.result(_RENDER_TIMEOUT_SECONDS)
         start_response('200 OK', list(headers.items()))
         return [body]
 
@@ -78,18 +78,18 @@
         if path == '/metrics':
             return self._render(start_response)
         if path == '/healthz':
-            start_response('200 OK', [('Content-Type', _PLAIN)])
+            start_response('200 OK', [('Content-Type', _PLAIN_TEXT)])
             return [b'ok\n']
         if path == '/readyz':
-            ready = self._ready()
+            ready = self._is_ready()
             status = '200 OK' if ready else '503 Service Unavailable'
-            start_response(status, [('Content-Type', _PLAIN)])
+            start_response(status, [('Content-Type', _PLAIN_TEXT)])
             return [b'ready\n' if ready else b'not ready\n']
-        start_response('404 Not Found', [('Content-Type', _PLAIN)])
+        start_response('404 Not Found', [('Content-Type', _PLAIN_TEXT)])
         return [b'not found\n']
 
 
-async def _rendered(
+async def _render_registry(
     registry: aioprometheus.Registry,
 ) -> tuple[bytes, dict[str, str]]:
     body, headers = aioprometheus.render(registry, [])
--- a/clementinepass/observability/line_table.py
+++ b/clementinepass/observability/line_table.py
@@ -12,38 +12,39 @@
 class Field(typing.NamedTuple):
     """A field of a line.
 
-    :param kind: the type of its value.
+    :param value_type: the type of its value.
     """
 
-    kind: str
+    value_type: str
     meaning: str
 
 
 class Kind(typing.NamedTuple):
     """A kind of line.
 
-    :param names: what it may have besides what all lines have, with spaces.
-    :param when: when it is written, or what follows.
+    :param field_names: what it may have besides what all lines have, with
+        spaces.
+    :param description: when it is written, or what follows.
     """
 
-    names: str
-    when: str
+    field_names: str
+    description: str
 
     @property
     def fields(self) -> tuple[str, ...]:
         """Return the names of its own fields."""
-        return tuple(self.names.split())
+        return tuple(self.field_names.split())
 
 
 #: Fields of each line.
-COMMON: dict[str, Field] = {
+COMMON_FIELDS: dict[str, Field] = {
     'time': Field('str', 'of the process, to the millisecond'),
     'level': Field('str', 'INFO, WARNING, ERROR or CRITICAL'),
     'message': Field('str', 'the kind of line; after a colon, the error'),
     'at': Field('str', 'the module'),
 }
 #: How far a request had come when it ended.
-_PROGRESS = 'seconds left events first waited patience endpoint silent'
+_PROGRESS_FIELDS = 'seconds left events first waited patience endpoint silent'
 #: The other fields, by name.
 FIELDS_BY_NAME: dict[str, Field] = {
     'active': Field('int', 'requests running at the engine'),
@@ -201,7 +202,7 @@
         'a request came after the entry was told to end',
     ),
     'cut off, as this entry ends': Kind(
-        f'request end attempts after_event {_PROGRESS}',
+        f'request end attempts after_event {_PROGRESS_FIELDS}',
         'its caller has no whole answer, and is not to blame',
     ),
     'stopped': Kind(
@@ -303,7 +304,7 @@
     ),
     'ended without an answer': Kind(
         f'request reason status service attempts runs outcomes '
-        f'decision {_PROGRESS}',
+        f'decision {_PROGRESS_FIELDS}',
         'status 0 for a connection that was broken off',
     ),
     'refused': Kind(
@@ -315,19 +316,19 @@
         'what came is no request to serve; one line a second at most',
     ),
     'caller left': Kind(
-        f'request end attempts after_event {_PROGRESS}',
+        f'request end attempts after_event {_PROGRESS_FIELDS}',
         'it ended its side of the connection; its work is ended',
     ),
     'connection reset': Kind(
-        f'request end attempts after_event {_PROGRESS}',
+        f'request end attempts after_event {_PROGRESS_FIELDS}',
         'by the caller or by something between; its work is ended',
     ),
     'connection lost': Kind(
-        f'request end attempts after_event {_PROGRESS}',
+        f'request end attempts after_event {_PROGRESS_FIELDS}',
         'the caller can not be reached any more; its work is ended',
     ),
     'cut off, not known why': Kind(
-        f'request end attempts after_event {_PROGRESS}',
+        f'request end attempts after_event {_PROGRESS_FIELDS}',
         'its work was ended, and its connection had not',
     ),
     'cut off by a fault of this entry': Kind(
@@ -382,12 +383,12 @@
 }
 
 
-def kind_of(message: str) -> Kind | None:
+def find_kind(message: str) -> Kind | None:
     """Return the kind of a line by its message."""
     return KINDS_BY_MESSAGE.get(message.partition(': ')[0])
 
 
-def page() -> str:
+def render_page() -> str:
     """Return the operators' page on log lines."""
     lines = [
         '# Log lines',
@@ -399,9 +400,9 @@
         '|---|---|---|',
     ]
     for message, kind in KINDS_BY_MESSAGE.items():
-        named = ', '.join(f'`{name}`' for name in kind.fields)
-        lines.append(f'| `{message}` | {named} | {kind.when} |')
+        field_list = ', '.join(f'`{name}`' for name in kind.fields)
+        lines.append(f'| `{message}` | {field_list} | {kind.description} |')
     lines += ['', '| field | type | meaning |', '|---|---|---|']
-    for name, field in {**COMMON, **FIELDS_BY_NAME}.items():
-        lines.append(f'| `{name}` | {field.kind} | {field.meaning} |')
+    for name, field in {**COMMON_FIELDS, **FIELDS_BY_NAME}.items():
+        lines.append(f'| `{name}` | {field.value_type} | {field.meaning} |')
     return '\n'.join([*lines, ''])
--- a/clementinepass/observability/lines.py
+++ b/clementinepass/observability/lines.py
@@ -8,7 +8,7 @@
     from collections.abc import Mapping
 
 #: Fields that each line has, and that say nothing of the request.
-_COMMON = frozenset(('time', 'level', 'message', 'at', 'request'))
+_COMMON_FIELDS = frozenset(('time', 'level', 'message', 'at', 'request'))
 
 
 class Line(typing.NamedTuple):
@@ -28,5 +28,5 @@
         return ' '.join(
             f'{name}={field}'
             for name, field in self.fields.items()
-            if name not in _COMMON
+            if name not in _COMMON_FIELDS
         )
--- a/clementinepass/observability/logs.py
+++ b/clementinepass/observability/logs.py
@@ -12,7 +12,7 @@
 
 #: Settings' names of the formats.
 JSON = 'json'
-_TEXT = (
+_TEXT_FORMAT = (
     '{time:YYYY-MM-DDTHH:mm:ss.SSSZ} {level: <7} {message} {extra} {exception}'
 )
 
@@ -39,7 +39,7 @@
     _filter.level = level
     logger.remove()
     logging.basicConfig(
-        handlers=[_StandardLogging()],
+        handlers=[_LoguruHandler()],
         level=logging.WARNING,
         force=True,
     )
@@ -52,7 +52,7 @@
             sys.stderr,
             level=0,
             filter=_filter,
-            format=_TEXT,
+            format=_TEXT_FORMAT,
             backtrace=False,
             diagnose=False,
         )
@@ -63,7 +63,7 @@
     _filter.level = level
 
 
-class _StandardLogging(logging.Handler):
+class _LoguruHandler(logging.Handler):
     """Pass on what libraries write to the standard logging."""
 
     def emit(self, record: logging.LogRecord) -> None:
--- a/clementinepass/observability/output.py
+++ b/clementinepass/observability/output.py
@@ -15,15 +15,15 @@
 import msgspec
 from loguru import logger
 
-_STANDARD_OUTPUT = 1
+_STDOUT_DESCRIPTOR = 1
 #: Bytes of lines that wait for their reader.
-_MOST_WAITING = 262144
+_MAX_BUFFERED_BYTES = 262144
 #: Lines a second of each level. Failures first: information on requests is
 #: what grows with the load.
-_LINES_BY_LEVEL = {'INFO': 150, 'WARNING': 150, 'ERROR': 100}
-_OTHER_LINES = 100
+_LINES_PER_SECOND_BY_LEVEL = {'INFO': 150, 'WARNING': 150, 'ERROR': 100}
+_DEFAULT_LINES_PER_SECOND = 100
 #: Seconds that lines are gathered before they are written together.
-_GATHER_SECONDS = 0.05
+_FLUSH_DELAY_SECONDS = 0.05
 
 
 class Output:
@@ -34,33 +34,33 @@
 
     __slots__ = (
         '_descriptor',
-        '_dropped',
-        '_left_by_level',
-        '_scheduled',
-        '_second',
-        '_size',
-        '_waiting',
+        '_dropped_lines',
+        '_remaining_by_level',
+        '_is_flush_scheduled',
+        '_current_second',
+        '_buffered_bytes',
+        '_buffer',
     )
 
-    def __init__(self, descriptor: int = _STANDARD_OUTPUT) -> None:
+    def __init__(self, descriptor: int = _STDOUT_DESCRIPTOR) -> None:
         os.set_blocking(descriptor, False)
         self._descriptor = descriptor
-        self._waiting: list[bytes] = []
-        self._size = 0
-        self._dropped = 0
-        self._second = -1
-        self._left_by_level: dict[str, int] = {}
-        self._scheduled = False
+        self._buffer: list[bytes] = []
+        self._buffered_bytes = 0
+        self._dropped_lines = 0
+        self._current_second = -1
+        self._remaining_by_level: dict[str, int] = {}
+        self._is_flush_scheduled = False
 
     def install(self) -> None:
         """Take all lines of this process."""
         logger.remove()
-        logger.add(self.take, level='INFO', format='{message}')
+        logger.add(self.write, level='INFO', format='{message}')
 
-    def take(self, message: typing.Any) -> None:
+    def write(self, message: typing.Any) -> None:
         """Take one line from the logging library."""
         record = message.record
-        if not self._fits(
+        if not self._admit(
             record['level'].name, int(record['time'].timestamp())
         ):
             return
@@ -75,14 +75,14 @@
             line['exception'] = ''.join(
                 traceback.format_exception(record['exception'].value),
             )
-        self._put(msgspec.json.encode(line, enc_hook=str))
+        self._enqueue(msgspec.json.encode(line, enc_hook=str))
 
     def flush(self) -> None:
         """Write what the descriptor takes now."""
-        self._scheduled = False
-        if not self._waiting:
+        self._is_flush_scheduled = False
+        if not self._buffer:
             return
-        payload = b''.join(self._waiting)
+        payload = b''.join(self._buffer)
         try:
             written = os.write(self._descriptor, payload)
         except BlockingIOError:
@@ -91,41 +91,45 @@
             # Nobody will ever read it.
             written = len(payload)
         rest = payload[written:]
-        self._waiting = [rest] if rest else []
-        self._size = len(rest)
+        self._buffer = [rest] if rest else []
+        self._buffered_bytes = len(rest)
         if rest:
-            self._schedule()
-
-    def _fits(self, level: str, second: int) -> bool:
-        if second != self._second:
-            self._second = second
-            self._left_by_level = dict(_LINES_BY_LEVEL)
-            self._tell_dropped()
-        left = self._left_by_level.get(level, _OTHER_LINES)
-        self._left_by_level[level] = left - 1
-        if left > 0 and self._size < _MOST_WAITING:
+            self._schedule_flush()
+
+    def _admit(self, level: str, second: int) -> bool:
+        if second != self._current_second:
+            self._current_second = second
+            self._remaining_by_level = dict(_LINES_PER_SECOND_BY_LEVEL)
+            self._report_dropped()
+        remaining = self._remaining_by_level.get(
+            level, _DEFAULT_LINES_PER_SECOND
+        )
+        self._remaining_by_level[level] = remaining - 1
+        if remaining > 0 and self._buffered_bytes < _MAX_BUFFERED_BYTES:
             return True
-        self._dropped += 1
+        self._dropped_lines += 1
         return False
 
-    def _tell_dropped(self) -> None:
-        if self._dropped:
+    def _report_dropped(self) -> None:
+        if self._dropped_lines:
             line = {'level': 'WARNING', 'message': 'lines dropped'}
-            self._put(msgspec.json.encode({**line, 'lines': self._dropped}))
-            self._dropped = 0
+            self._enqueue(
+                msgspec.json.encode({**line, 'lines': self._dropped_lines})
+            )
+            self._dropped_lines = 0
 
-    def _put(self, line: bytes) -> None:
-        self._waiting.append(b'%b\n' % line)
-        self._size += len(line) + 1
-        self._schedule()
+    def _enqueue(self, line: bytes) -> None:
+        self._buffer.append(b'%b\n' % line)
+        self._buffered_bytes += len(line) + 1
+        self._schedule_flush()
 
-    def _schedule(self) -> None:
-        if self._scheduled:
+    def _schedule_flush(self) -> None:
+        if self._is_flush_scheduled:
             return
         try:
             loop = asyncio.get_running_loop()
         except RuntimeError:
             self.flush()
             return
-        self._scheduled = True
-        loop.call_later(_GATHER_SECONDS, self.flush)
+        self._is_flush_scheduled = True
+        loop.call_later(_FLUSH_DELAY_SECONDS, self.flush)
--- a/clementinepass/observability/stories.py
+++ b/clementinepass/observability/stories.py
@@ -18,7 +18,7 @@
 
 #: Lines on what a process knows, and the fields that tell one observation of a
 #: kind from another.
-_OBSERVED_KEYS_BY_MESSAGE: dict[str, tuple[str, ...]] = {
+_KEY_FIELDS_BY_MESSAGE: dict[str, tuple[str, ...]] = {
     'configuration in force': (),
     'version named': ('model',),
     'engine holds weights': ('endpoint',),
@@ -32,9 +32,9 @@
 _CONFIGURATION = frozenset(('configuration in force',))
 _WEIGHTS = frozenset(('version named', 'engine holds weights'))
 _LISTED = frozenset(('endpoint listed', 'endpoint dropped from the list'))
-_TOLD_TO_END = frozenset(('leaving',))
+_SHUTDOWN = frozenset(('leaving',))
 #: Lines on the observations by which a request ended as it did, by its cause.
-_DECIDING_BY_CAUSE = {
+_DECIDING_MESSAGES_BY_CAUSE = {
     causes.Cause.UNKNOWN_KEY: _CONFIGURATION,
     causes.Cause.KEY_WITHDRAWN: _CONFIGURATION,
     causes.Cause.UNKNOWN_ROUTE: _CONFIGURATION,
@@ -42,20 +42,20 @@
     causes.Cause.NO_SERVICE: _CONFIGURATION,
     causes.Cause.NO_WEIGHTS: _WEIGHTS,
     causes.Cause.WEIGHTS_TOO_OLD: _WEIGHTS,
-    causes.Cause.TOOK_UP_WEIGHTS: _WEIGHTS,
+    causes.Cause.ENGINE_LOADING: _WEIGHTS,
     causes.Cause.MISDIRECTED: _WEIGHTS | _LISTED,
     causes.Cause.UNREACHABLE: _LISTED,
-    causes.Cause.CUT_AT_END: _TOLD_TO_END,
-    causes.Cause.LEAVING: _TOLD_TO_END,
+    causes.Cause.CUT_AT_SHUTDOWN: _SHUTDOWN,
+    causes.Cause.DRAINING: _SHUTDOWN,
 }
 #: Lines with which a process begins, believing nothing.
-_STARTS = frozenset(('entry started', 'agent started'))
+_START_MESSAGES = frozenset(('entry started', 'agent started'))
 #: Lines of a request in which nothing went wrong.
-_IN_ORDER = frozenset(
+_NORMAL_MESSAGES = frozenset(
     ('sent', 'answered', 'sending once more', 'taken while leaving'),
 )
 #: Seconds around a request in which dropped lines may have been its own.
-_DROPPED_NEAR = 2.0
+_DROPPED_MARGIN_SECONDS = 2.0
 
 
 class Observation(typing.NamedTuple):
@@ -73,29 +73,30 @@
 
     :param lines: what was written of it, in order of time.
     :param verdict: why it ended as it did, by all of them.
-    :param wrong: the first of them that went wrong, if one did.
+    :param first_failure: the first of them that went wrong, if one did.
     :param observations: of the processes that it met, when it came.
-    :param deciding: observations by which it ended as it did, when it ended.
+    :param deciding_observations: observations by which it ended as it did, when
+        it ended.
     :param gaps: what may be missing, a sentence each.
     """
 
     lines: tuple[lines.Line, ...]
     verdict: verdicts.Verdict
-    wrong: lines.Line | None
+    first_failure: lines.Line | None
     observations: tuple[Observation, ...]
-    deciding: tuple[Observation, ...]
+    deciding_observations: tuple[Observation, ...]
     gaps: tuple[str, ...]
 
 
-class Collected:
+class LogCollection:
     """The lines of several processes."""
 
-    __slots__ = ('_lines', 'unread')
+    __slots__ = ('_lines', 'unreadable_lines')
 
     def __init__(self) -> None:
         self._lines: list[lines.Line] = []
         #: Lines that are cut short or of another program.
-        self.unread = 0
+        self.unreadable_lines = 0
 
     def add(self, process: str, payload: Iterable[bytes]) -> None:
         """Take the lines of one process, in the order written.
@@ -107,161 +108,200 @@
         for raw in payload:
             if not raw.strip():
                 continue
-            line = _line(process, raw, at)
+            line = _parse_line(process, raw, at)
             if line is None:
-                self.unread += 1
+                self.unreadable_lines += 1
             else:
                 at = line.at
                 self._lines.append(line)
 
-    def story(self, request_id: str) -> Story | None:
+    def build_story(self, request_id: str) -> Story | None:
         """Return what is known of a request; ``None`` if nothing is."""
-        own = [
-            each
-            for each in self._lines
-            if each.fields.get('request') == request_id
+        request_lines = [
+            line
+            for line in self._lines
+            if line.fields.get('request') == request_id
         ]
-        if not own:
+        if not request_lines:
             return None
-        own.sort(key=_at)
-        wrong = next(
-            (each for each in own if each.message not in _IN_ORDER),
+        request_lines.sort(key=_time_of)
+        first_failure = next(
+            (
+                line
+                for line in request_lines
+                if line.message not in _NORMAL_MESSAGES
+            ),
             None,
         )
-        processes = {each.process for each in own}
-        verdict = verdicts.judge(own, self._around(own))
-        deciding = _DECIDING_BY_CAUSE.get(verdict.cause, frozenset())
+        processes = {line.process for line in request_lines}
+        verdict = verdicts.classify(
+            request_lines, self._build_context(request_lines)
+        )
+        deciding_messages = _DECIDING_MESSAGES_BY_CAUSE.get(
+            verdict.cause, frozenset()
+        )
         return Story(
-            tuple(own),
+            tuple(request_lines),
             verdict,
-            wrong,
-            tuple(self._observations(own, processes, own[0].at)),
+            first_failure,
+            tuple(
+                self._observations(
+                    request_lines, processes, request_lines[0].at
+                )
+            ),
             tuple(
-                one
-                for one in self._observations(
-                    own, {own[-1].process}, own[-1].at
+                observation
+                for observation in self._observations(
+                    request_lines,
+                    {request_lines[-1].process},
+                    request_lines[-1].at,
                 )
-                if one.line.message in deciding
+                if observation.line.message in deciding_messages
             ),
-            tuple(self._gaps(own, processes)),
+            tuple(self._gaps(request_lines, processes)),
         )
 
-    def killed(self) -> list[lines.Line]:
+    def find_killed_entries(self) -> list[lines.Line]:
         """Return the first lines of entries that had not stopped before.
 
         Requests that were in progress when they were killed or crashed may
         have no line.
         """
-        ready: set[str] = set()
-        found = []
-        for one in self._lines:
-            if one.message == 'entry ready':
-                ready.add(one.process)
-            elif one.message == 'stopped':
-                ready.discard(one.process)
-            elif one.process in ready and verdicts.begins(one):
-                ready.discard(one.process)
-                found.append(one)
-        return sorted(found, key=_at)
-
-    def _around(self, own: list[lines.Line]) -> verdicts.Around:
+        ready_processes: set[str] = set()
+        restarts = []
+        for line in self._lines:
+            if line.message == 'entry ready':
+                ready_processes.add(line.process)
+            elif line.message == 'stopped':
+                ready_processes.discard(line.process)
+            elif line.process in ready_processes and verdicts.is_process_start(
+                line
+            ):
+                ready_processes.discard(line.process)
+                restarts.append(line)
+        return sorted(restarts, key=_time_of)
+
+    def _build_context(
+        self, request_lines: list[lines.Line]
+    ) -> verdicts.Context:
         """Return what was written besides, as far as it may bear on it."""
-        last = own[-1]
-        mine = [one for one in self._lines if one.process == last.process]
-        place = next(place for place, one in enumerate(mine) if one is last)
-        return verdicts.Around(
-            mine[place + 1 :],
-            tuple(self._loads()),
-            dropped=any(_dropped_near(one, last.at, last.at) for one in mine),
+        last = request_lines[-1]
+        process_lines = [
+            line for line in self._lines if line.process == last.process
+        ]
+        index = next(
+            index for index, line in enumerate(process_lines) if line is last
+        )
+        return verdicts.Context(
+            process_lines[index + 1 :],
+            tuple(self._load_orders()),
+            dropped=any(
+                _is_dropped_near(line, last.at, last.at)
+                for line in process_lines
+            ),
         )
 
-    def _loads(self) -> Iterable[tuple[str, lines.Line]]:
+    def _load_orders(self) -> Iterable[tuple[str, lines.Line]]:
         """Yield the orders to load, with the address of their engine."""
         engines: dict[str, str] = {}
-        for one in self._lines:
-            if one.message == 'agent started':
-                engines[one.process] = str(one.fields.get('engine'))
-            elif one.message == 'ordered to load' and one.process in engines:
-                yield engines[one.process], one
+        for line in self._lines:
+            if line.message == 'agent started':
+                engines[line.process] = str(line.fields.get('engine'))
+            elif line.message == 'ordered to load' and line.process in engines:
+                yield engines[line.process], line
 
     def _observations(
         self,
-        own: list[lines.Line],
+        request_lines: list[lines.Line],
         processes: set[str],
         when: float,
     ) -> Iterable[Observation]:
         """Return the newest observation of each kind at some moment."""
-        endpoints = {each.fields.get('endpoint') for each in own}
-        newest: dict[tuple[typing.Any, ...], lines.Line] = {}
-        before = [one for one in self._lines if one.at <= when]
-        for each in sorted(before, key=_at):
-            if each.message in _STARTS:
-                newest = _without(newest, each.process)
-            about = _about(each, endpoints)
-            if each.process in processes and about is not None:
-                newest[each.process, *about] = each
-        return [Observation(one, when - one.at) for one in newest.values()]
+        endpoints = {
+            request_line.fields.get('endpoint')
+            for request_line in request_lines
+        }
+        newest_by_key: dict[tuple[typing.Any, ...], lines.Line] = {}
+        before = [observed for observed in self._lines if observed.at <= when]
+        for line in sorted(before, key=_time_of):
+            if line.message in _START_MESSAGES:
+                newest_by_key = _without_process(newest_by_key, line.process)
+            observation_key = _observation_key(line, endpoints)
+            if line.process in processes and observation_key is not None:
+                newest_by_key[line.process, *observation_key] = line
+        return [
+            Observation(newest, when - newest.at)
+            for newest in newest_by_key.values()
+        ]
 
     def _gaps(
-        self, own: list[lines.Line], processes: set[str]
+        self, request_lines: list[lines.Line], processes: set[str]
     ) -> Iterable[str]:
         """Say what may be missing."""
-        first, last = own[0].at, own[-1].at
+        first, last = request_lines[0].at, request_lines[-1].at
         for process in sorted(processes):
-            lines = [each for each in self._lines if each.process == process]
-            if min(map(_at, lines)) >= first:
+            process_lines = [
+                line for line in self._lines if line.process == process
+            ]
+            if min(map(_time_of, process_lines)) >= first:
                 yield f'{process}: its log begins with this request'
-            if any(_dropped_near(each, first, last) for each in lines):
+            if any(
+                _is_dropped_near(line, first, last) for line in process_lines
+            ):
                 yield f'{process}: lines were dropped then, as it wrote many'
-        endings = [one for one in own if verdicts.ends(one)]
+        endings = [line for line in request_lines if verdicts.is_ending(line)]
         if not endings:
             yield 'no line says how it ended'
         if len(endings) > 1:
             yield 'more than one line says how it ended: the last one counts'
 
 
-def _about(
+def _observation_key(
     line: lines.Line,
     endpoints: set[typing.Any],
 ) -> tuple[typing.Any, ...] | None:
     """Return what an observation is about; ``None`` if of no concern."""
-    keys = _OBSERVED_KEYS_BY_MESSAGE.get(line.message)
-    if keys is None:
+    key_fields = _KEY_FIELDS_BY_MESSAGE.get(line.message)
+    if key_fields is None:
         return None
-    about = tuple(line.fields.get(key) for key in keys)
-    if keys == ('endpoint',) and about[0] not in endpoints:
+    key = tuple(line.fields.get(name) for name in key_fields)
+    if key_fields == ('endpoint',) and key[0] not in endpoints:
         return None
-    return line.message, *about
+    return line.message, *key
 
 
-def _without(
-    newest: dict[tuple[typing.Any, ...], lines.Line],
+def _without_process(
+    newest_by_key: dict[tuple[typing.Any, ...], lines.Line],
     process: str,
 ) -> dict[tuple[typing.Any, ...], lines.Line]:
     """Return what others believe."""
     return {
-        about: line for about, line in newest.items() if about[0] != process
+        key: line for key, line in newest_by_key.items() if key[0] != process
     }
 
 
-def _dropped_near(line: lines.Line, first: float, last: float) -> bool:
+def _is_dropped_near(line: lines.Line, first: float, last: float) -> bool:
     if line.message != 'lines dropped':
         return False
-    return first - _DROPPED_NEAR <= line.at <= last + _DROPPED_NEAR
+    return (
+        first - _DROPPED_MARGIN_SECONDS
+        <= line.at
+        <= last + _DROPPED_MARGIN_SECONDS
+    )
 
 
-def _line(process: str, raw: bytes, before: float) -> lines.Line | None:
+def _parse_line(process: str, raw: bytes, before: float) -> lines.Line | None:
     try:
         fields = msgspec.json.decode(raw, type=dict[str, typing.Any])
-        told = fields.get('time')
+        time_text = fields.get('time')
         at = before
-        if told is not None:
-            at = datetime.datetime.fromisoformat(told).timestamp()
+        if time_text is not None:
+            at = datetime.datetime.fromisoformat(time_text).timestamp()
         return lines.Line(process, at, str(fields['message']), fields)
     except (KeyError, TypeError, ValueError):
         # A fault of decoding is a ValueError, too.
         return None
 
 
-def _at(line: lines.Line) -> float:
+def _time_of(line: lines.Line) -> float:
     return line.at
--- a/clementinepass/settings/defaults.py
+++ b/clementinepass/settings/defaults.py
@@ -11,7 +11,7 @@
 from clementinepass.ini import values
 from clementinepass.platform import protocols
 
-_METADATA = 'setting'
+_METADATA_KEY = 'setting'
 #: What a key has in place of a default when it must be written.
 REQUIRED = None
 
@@ -32,13 +32,13 @@
     description: str,
 ) -> typing.Any:
     """Return a field for one key of a section."""
-    row = Setting(value_type, default, description)
-    return dataclasses.field(metadata={_METADATA: row})
+    declared_setting = Setting(value_type, default, description)
+    return dataclasses.field(metadata={_METADATA_KEY: declared_setting})
 
 
-def of_field(field: dataclasses.Field[typing.Any]) -> Setting:
+def setting_of(field: dataclasses.Field[typing.Any]) -> Setting:
     """Return what the table says of a section's field."""
-    return typing.cast(Setting, field.metadata[_METADATA])
+    return typing.cast(Setting, field.metadata[_METADATA_KEY])
 
 
 ENTRY = frozenset((protocols.Role.ENTRY,))
@@ -287,7 +287,7 @@
     def settings_by_key(self) -> dict[str, Setting]:
         """Return the section's rows by key, in the table's order."""
         return {
-            field.name: of_field(field)
+            field.name: setting_of(field)
             for field in dataclasses.fields(self.record)
         }
 
--- a/clementinepass/settings/reference.py
+++ b/clementinepass/settings/reference.py
@@ -7,7 +7,7 @@
 from clementinepass.platform import protocols
 from clementinepass.settings import defaults
 
-_HEAD = """\
+_INTRODUCTION = """\
 # Settings of the daemon
 
 Written by `clementinepass settings reference` from the table of defaults.
@@ -23,7 +23,7 @@
 
 def render() -> str:
     """Return the whole page."""
-    parts = [_HEAD]
+    parts = [_INTRODUCTION]
     for name, section_type in defaults.SECTIONS_BY_NAME.items():
         parts.append(_render_section(name, section_type))
     return '\n'.join(parts)
@@ -32,7 +32,7 @@
 def _render_section(name: str, section_type: defaults.SectionType) -> str:
     role = ''
     if section_type.roles != defaults.BOTH:
-        role = f' ({_only(section_type.roles)} only)'
+        role = f' ({_role_names(section_type.roles)} only)'
     lines = [
         f'## `[{name}]`{role}',
         '',
@@ -42,14 +42,14 @@
         _row(['---' for _ in _COLUMNS]),
     ]
     for key, setting in section_type.settings_by_key().items():
-        required = setting.default is defaults.REQUIRED
-        default = 'required' if required else f'`{setting.default}`'
+        is_required = setting.default is defaults.REQUIRED
+        default = 'required' if is_required else f'`{setting.default}`'
         value = setting.value_type.name
         lines.append(_row((f'`{key}`', value, default, setting.description)))
     return '\n'.join([*lines, ''])
 
 
-def _only(roles: frozenset[protocols.Role]) -> str:
+def _role_names(roles: frozenset[protocols.Role]) -> str:
     return ', '.join(sorted(role.value for role in roles))
 
 
--- a/clementinepass/settings/settings.py
+++ b/clementinepass/settings/settings.py
@@ -13,8 +13,8 @@
 if typing.TYPE_CHECKING:
     import pathlib
 
-_DAEMON = 'daemon'
-_ROLE = 'role'
+_DAEMON_SECTION = 'daemon'
+_ROLE_KEY = 'role'
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
@@ -85,15 +85,15 @@
         """Return the sections' records by name, where they are whole."""
         if self.faults and not self._document.sections_by_name:
             return {}
-        self._check_known()
-        role = self._role()
+        self._check_names()
+        role = self._parse_role()
         records_by_section = {}
         for name, section_type in defaults.SECTIONS_BY_NAME.items():
             if role is not None and role not in section_type.roles:
-                self._check_foreign(name, role)
+                self._check_other_role(name, role)
                 continue
-            written = self._document.sections_by_name.get(name)
-            if role is None and written is None:
+            section = self._document.sections_by_name.get(name)
+            if role is None and section is None:
                 continue
             values_by_key = self._check_section(name, section_type)
             if not self.faults:
@@ -102,43 +102,45 @@
         self._check_relations(records_by_section)
         return records_by_section
 
-    def _fault(
+    def _add_fault(
         self,
-        place: reader.Section | reader.Entry | None,
+        location: reader.Section | reader.Entry | None,
         key: str,
         detail: str,
     ) -> None:
-        line = 0 if place is None else place.line
+        line = 0 if location is None else location.line
         fault = reader.Fault(self._document.file, line, key, detail)
         self.faults.append(fault)
 
-    def _check_known(self) -> None:
+    def _check_names(self) -> None:
         for name, section in self._document.sections_by_name.items():
             section_type = defaults.SECTIONS_BY_NAME.get(name)
             if section_type is None:
-                self._fault(section, name, 'unknown section')
+                self._add_fault(section, name, 'unknown section')
                 continue
-            known = section_type.settings_by_key()
+            known_keys = section_type.settings_by_key()
             for key, entry in section.entries_by_key.items():
-                if key not in known:
-                    self._fault(entry, f'{name}.{key}', 'unknown key')
+                if key not in known_keys:
+                    self._add_fault(entry, f'{name}.{key}', 'unknown key')
 
-    def _role(self) -> protocols.Role | None:
-        daemon = self._document.sections_by_name.get(_DAEMON)
-        written = daemon and daemon.entries_by_key.get(_ROLE)
-        if not written:
+    def _parse_role(self) -> protocols.Role | None:
+        daemon = self._document.sections_by_name.get(_DAEMON_SECTION)
+        role_entry = daemon and daemon.entries_by_key.get(_ROLE_KEY)
+        if not role_entry:
             if daemon is None:
-                self._fault(None, f'{_DAEMON}.{_ROLE}', 'is missing')
+                self._add_fault(
+                    None, f'{_DAEMON_SECTION}.{_ROLE_KEY}', 'is missing'
+                )
             return None
         try:
-            return protocols.Role(written.text)
+            return protocols.Role(role_entry.text)
         except ValueError:
             return None
 
-    def _check_foreign(self, name: str, role: protocols.Role) -> None:
+    def _check_other_role(self, name: str, role: protocols.Role) -> None:
         section = self._document.sections_by_name.get(name)
         if section is not None:
-            self._fault(section, name, f'is not for role {role.value}')
+            self._add_fault(section, name, f'is not for role {role.value}')
 
     def _check_section(
         self,
@@ -148,17 +150,17 @@
         section = self._document.sections_by_name.get(name)
         entries_by_key = {} if section is None else section.entries_by_key
         values_by_key = {}
-        for key, row in section_type.settings_by_key().items():
+        for key, key_setting in section_type.settings_by_key().items():
             entry = entries_by_key.get(key)
-            text = row.default if entry is None else entry.text
+            text = key_setting.default if entry is None else entry.text
             if text is defaults.REQUIRED:
-                self._fault(section, f'{name}.{key}', 'is missing')
+                self._add_fault(section, f'{name}.{key}', 'is missing')
                 continue
             try:
-                values_by_key[key] = row.value_type.parse(text)
+                values_by_key[key] = key_setting.value_type.parse(text)
             except ValueError:
-                detail = f'{text!r}: {row.value_type.expected()}'
-                self._fault(entry, f'{name}.{key}', detail)
+                detail = f'{text!r}: {key_setting.value_type.expected()}'
+                self._add_fault(entry, f'{name}.{key}', detail)
         return values_by_key
 
     def _check_relations(self, records: dict[str, typing.Any]) -> None:
@@ -168,12 +170,12 @@
         if callers is not None and callers.streams >= callers.threads:
             # With every thread held by a stream, a refusal would wait for
             # one to end; callers would see seconds in place of milliseconds.
-            self._relation('callers', 'streams', 'must be below threads')
+            self._relation_fault('callers', 'streams', 'must be below threads')
         peers = records['peers']
         if peers.heartbeat >= peers.silence:
-            self._relation('peers', 'heartbeat', 'must be below silence')
+            self._relation_fault('peers', 'heartbeat', 'must be below silence')
 
-    def _relation(self, name: str, key: str, detail: str) -> None:
+    def _relation_fault(self, name: str, key: str, detail: str) -> None:
         section = self._document.sections_by_name.get(name)
         entry = section and section.entries_by_key.get(key)
-        self._fault(entry or section, f'{name}.{key}', detail)
+        self._add_fault(entry or section, f'{name}.{key}', detail)
--- a/tests/observability/test_causes.py
+++ b/tests/observability/test_causes.py
@@ -35,34 +35,38 @@
 World = path_world.PathWorld
 HOST = path_world.HOST
 #: An option with which the end of a socket is a reset.
-RESET_AT_END = struct.pack('ii', 1, 0)
+LINGER_RESET = struct.pack('ii', 1, 0)
 #: Together longer than what the buffers of a connection take.
-LONG_EVENTS = 32
+LONG_EVENT_COUNT = 32
 LONG_EVENT = b'x' * (1 << 19)
 #: A stream whose callers leave after two seconds, the least of all.
-HURRIED = path_world.route('stream', latency_target=0.1, max_event_gap=0.1)
+IMPATIENT_ROUTE = path_world.route(
+    'stream', latency_target=0.1, max_event_gap=0.1
+)
 
 
-async def connected(
+async def open_running_request(
     world: World,
     target: str,
     **headers: str,
 ) -> channel.Channel:
     """Send a request and return when an endpoint runs it."""
-    used = await channel.Channel.connect(HOST, world.port, 5)
-    used.send(path_world.request(target, **headers))
+    caller_channel = await channel.Channel.connect(HOST, world.port, 5)
+    caller_channel.send(path_world.request(target, **headers))
     while not world.ran:
         await asyncio.sleep(0)
-    return used
+    return caller_channel
 
 
-def hold(world: World) -> None:
+def block_endpoints(world: World) -> None:
     """Let no endpoint send an event."""
-    for one in world.endpoints:
-        one.going.clear()
+    for endpoint in world.endpoints:
+        endpoint.going.clear()
 
 
-async def asked(world: World, target: str, **headers: str) -> None:
+async def send_ignoring_failure(
+    world: World, target: str, **headers: str
+) -> None:
     """Ask, whatever comes of it."""
     try:
         await world.ask(target, **headers)
@@ -70,153 +74,155 @@
         """The caller sees that there is no answer, and no more."""
 
 
-async def forgotten(world: World) -> None:
+async def wait_until_disconnected(world: World) -> None:
     """Return when the entry has no connection left."""
     while world.front.connections:
         await asyncio.sleep(0.005)
 
 
-def failing(target: str, *faults: Fault, **headers: str) -> Play:
+def failing_endpoints(target: str, *faults: Fault, **headers: str) -> Play:
     """Return a play in which endpoints fail, one after the other."""
 
     async def play(world: World) -> None:
         world.fail_first(*faults)
-        await asked(world, target, **headers)
+        await send_ignoring_failure(world, target, **headers)
 
     return play
 
 
 async def answered(world: World) -> None:
     world.fail_first(Fault.CUT)
-    await asked(world, '/stream/a')
+    await send_ignoring_failure(world, '/stream/a')
 
 
 async def caller_left(world: World) -> None:
-    hold(world)
-    used = await connected(world, '/stream/a')
-    used.abort()
-    await forgotten(world)
+    block_endpoints(world)
+    caller_channel = await open_running_request(world, '/stream/a')
+    caller_channel.abort()
+    await wait_until_disconnected(world)
 
 
 async def caller_gave_up(world: World) -> None:
-    world.configure(2, [HURRIED])
-    hold(world)
-    used = await connected(world, '/stream/a')
+    world.configure(2, [IMPATIENT_ROUTE])
+    block_endpoints(world)
+    caller_channel = await open_running_request(world, '/stream/a')
     await asyncio.sleep(2.05)
-    used.abort()
-    await forgotten(world)
+    caller_channel.abort()
+    await wait_until_disconnected(world)
 
 
 async def caller_deadline(world: World) -> None:
-    hold(world)
-    used = await connected(world, '/stream/a', X_Deadline_Ms='1000')
+    block_endpoints(world)
+    caller_channel = await open_running_request(
+        world, '/stream/a', X_Deadline_Ms='1000'
+    )
     await asyncio.sleep(0.8)
-    used.abort()
-    await forgotten(world)
+    caller_channel.abort()
+    await wait_until_disconnected(world)
 
 
-async def reset(world: World) -> None:
-    hold(world)
+async def caller_reset(world: World) -> None:
+    block_endpoints(world)
     with socket.create_connection((HOST, world.port)) as caller:
-        caller.setsockopt(socket.SOL_SOCKET, socket.SO_LINGER, RESET_AT_END)
+        caller.setsockopt(socket.SOL_SOCKET, socket.SO_LINGER, LINGER_RESET)
         caller.sendall(path_world.request('/stream/a'))
         while not world.ran:
             await asyncio.sleep(0)
-    await forgotten(world)
+    await wait_until_disconnected(world)
 
 
 async def caller_unreachable(world: World) -> None:
     """What the event loop calls when the kernel gives a caller up."""
-    hold(world)
-    used = await connected(world, '/stream/a')
-    (one,) = world.front.connections
-    one.connection_lost(TimeoutError('110'))
-    used.abort()
+    block_endpoints(world)
+    caller_channel = await open_running_request(world, '/stream/a')
+    (connection,) = world.front.connections
+    connection.connection_lost(TimeoutError('110'))
+    caller_channel.abort()
     await asyncio.sleep(0.01)
 
 
-async def cut_at_end(world: World) -> None:
-    hold(world)
-    await connected(world, '/stream/a')
+async def cut_at_shutdown(world: World) -> None:
+    block_endpoints(world)
+    await open_running_request(world, '/stream/a')
     await world.front.close()
     await asyncio.sleep(0.01)
 
 
-async def ended_at_end(world: World) -> None:
+async def answered_at_shutdown(world: World) -> None:
     """The entry gives what it has in progress a final answer in time."""
-    hold(world)
-    await connected(world, '/stream/a')
+    block_endpoints(world)
+    await open_running_request(world, '/stream/a')
     world.path.finish_by(asyncio.get_running_loop().time())
     await asyncio.sleep(0.01)
 
 
-async def leaving(world: World) -> None:
+async def draining(world: World) -> None:
     world.departure.start(asyncio.get_running_loop().time())
-    await asked(world, '/stream/a')
+    await send_ignoring_failure(world, '/stream/a')
 
 
 async def slow_reader(world: World) -> None:
-    for one in world.endpoints:
-        one.events, one.filling = LONG_EVENTS, LONG_EVENT
+    for endpoint in world.endpoints:
+        endpoint.events, endpoint.filling = LONG_EVENT_COUNT, LONG_EVENT
     with socket.create_connection((HOST, world.port)) as caller:
         caller.setsockopt(socket.SOL_SOCKET, socket.SO_RCVBUF, 4096)
         request = path_world.request('/stream/a', X_Deadline_Ms='1000')
         caller.sendall(request)
         while not world.ran:
             await asyncio.sleep(0)
-        await forgotten(world)
+        await wait_until_disconnected(world)
 
 
 async def key_withdrawn(world: World) -> None:
-    await asked(world, '/plain/a', X_Attempt_Id='before')
+    await send_ignoring_failure(world, '/plain/a', X_Attempt_Id='before')
     world.configure(2, path_world.ROUTES, keys=(b'another',))
     world.configure(3, path_world.ROUTES, keys=(b'another',))
-    await asked(world, '/plain/a')
+    await send_ignoring_failure(world, '/plain/a')
 
 
 async def route_withdrawn(world: World) -> None:
-    await asked(world, '/plain/a', X_Attempt_Id='before')
+    await send_ignoring_failure(world, '/plain/a', X_Attempt_Id='before')
     world.configure(2, [path_world.route('stream')])
-    await asked(world, '/plain/a')
+    await send_ignoring_failure(world, '/plain/a')
 
 
 async def starting(world: World) -> None:
     world.cluster.routing = None
-    await asked(world, '/plain/a')
+    await send_ignoring_failure(world, '/plain/a')
 
 
 async def no_service(world: World) -> None:
     backends = (routing.Backend('nobody', 1),)
     world.configure(2, [path_world.route('plain', backends=backends)])
-    await asked(world, '/plain/a')
+    await send_ignoring_failure(world, '/plain/a')
 
 
 async def no_endpoint(world: World) -> None:
-    for one in world.endpoints:
-        world.listed(one, heartbeat=99, draining=True)
-    await asked(world, '/plain/a')
+    for endpoint in world.endpoints:
+        world.listed(endpoint, heartbeat=99, draining=True)
+    await send_ignoring_failure(world, '/plain/a')
 
 
 async def no_weights(world: World) -> None:
-    for one in world.endpoints:
+    for endpoint in world.endpoints:
         weights = endpoints.Weights(1, 0, 1)
-        world.listed(one, heartbeat=99, weights=weights)
-    await asked(world, '/plain/a')
+        world.listed(endpoint, heartbeat=99, weights=weights)
+    await send_ignoring_failure(world, '/plain/a')
 
 
 async def overload(world: World) -> None:
-    for one in world.cluster.endpoints:
-        one.in_flight = 500
-    await asked(world, '/stream/a', X_Token_Usage='900,100')
+    for endpoint in world.cluster.endpoints:
+        endpoint.in_flight = 500
+    await send_ignoring_failure(world, '/stream/a', X_Token_Usage='900,100')
 
 
 async def unreachable(world: World) -> None:
-    for one in world.endpoints:
-        await one.__aexit__()
-    await asked(world, '/once/a')
+    for endpoint in world.endpoints:
+        await endpoint.__aexit__()
+    await send_ignoring_failure(world, '/once/a')
 
 
-async def endpoint_lost(world: World) -> None:
+async def endpoint_connection_lost(world: World) -> None:
     """A load balancer before the endpoint resets each connection."""
 
     async def serve(
@@ -224,23 +230,25 @@
         writer: asyncio.StreamWriter,
     ) -> None:
         await reader.read(10)
-        used = writer.get_extra_info('socket')
-        used.setsockopt(socket.SOL_SOCKET, socket.SO_LINGER, RESET_AT_END)
+        peer_socket = writer.get_extra_info('socket')
+        peer_socket.setsockopt(
+            socket.SOL_SOCKET, socket.SO_LINGER, LINGER_RESET
+        )
         writer.transport.abort()
 
     async with await asyncio.start_server(serve, HOST, 0) as server:
         port = server.sockets[0].getsockname()[1]
-        for one in world.endpoints:
-            world.listed(one, heartbeat=99, address=f'{HOST}:{port}')
-        await asked(world, '/once/a')
+        for endpoint in world.endpoints:
+            world.listed(endpoint, heartbeat=99, address=f'{HOST}:{port}')
+        await send_ignoring_failure(world, '/once/a')
 
 
-async def budget(world: World) -> None:
+async def retry_budget_spent(world: World) -> None:
     duties = path_world.DUTIES
     before = duties.budget_share, duties.budget_surplus
     duties.budget_share, duties.budget_surplus = 0, 0
     try:
-        await failing('/plain/a', Fault.LOST)(world)
+        await failing_endpoints('/plain/a', Fault.LOST)(world)
     finally:
         duties.budget_share, duties.budget_surplus = before
 
@@ -250,18 +258,18 @@
     world.cluster.add_desired_version(
         'm', 2, now - path_world.DUTIES.version + 0.9
     )
-    await failing('/stream/a', Fault.MUTE, Fault.MUTE)(world)
+    await failing_endpoints('/stream/a', Fault.MUTE, Fault.MUTE)(world)
 
 
-async def took_up_weights(world: World) -> None:
-    hold(world)
-    task = asyncio.create_task(asked(world, '/stream/once/a'))
+async def engine_loading(world: World) -> None:
+    block_endpoints(world)
+    task = asyncio.create_task(send_ignoring_failure(world, '/stream/once/a'))
     while not world.ran:
         await asyncio.sleep(0)
-    for one in world.endpoints:
+    for endpoint in world.endpoints:
         weights = endpoints.Weights(2, 0, 0)
-        world.listed(one, heartbeat=99, weights=weights)
-        await one.__aexit__()
+        world.listed(endpoint, heartbeat=99, weights=weights)
+        await endpoint.__aexit__()
     await task
 
 
@@ -276,17 +284,17 @@
         raise RuntimeError('nobody foresaw it')
 
 
-async def own_fault(world: World) -> None:
+async def internal_error(world: World) -> None:
     world.path._sender = FaultySender()
-    await asked(world, '/plain/a')
+    await send_ignoring_failure(world, '/plain/a')
 
 
 async def cancelled(world: World) -> None:
-    hold(world)
-    await connected(world, '/stream/a')
-    (one,) = world.front.connections
-    assert one._serve_task is not None
-    one._serve_task.cancel()
+    block_endpoints(world)
+    await open_running_request(world, '/stream/a')
+    (connection,) = world.front.connections
+    assert connection._serve_task is not None
+    connection._serve_task.cancel()
     await asyncio.sleep(0.01)
 
 
@@ -298,20 +306,24 @@
     (caller_left, Cause.CALLER_LEFT, 'had been silent for'),
     (caller_gave_up, Cause.CALLER_GAVE_UP, 'callers wait 2.0 s'),
     (caller_deadline, Cause.CALLER_DEADLINE, 'its time was over'),
-    (reset, Cause.CONNECTION_RESET, 'is not known'),
+    (caller_reset, Cause.CONNECTION_RESET, 'is not known'),
     (caller_unreachable, Cause.CONNECTION_LOST, 'not be reached'),
-    (cut_at_end, Cause.CUT_AT_END, 'told to end'),
-    (ended_at_end, Cause.CUT_AT_END, 'told to end'),
-    (leaving, Cause.LEAVING, 'no time left'),
+    (cut_at_shutdown, Cause.CUT_AT_SHUTDOWN, 'told to end'),
+    (answered_at_shutdown, Cause.CUT_AT_SHUTDOWN, 'told to end'),
+    (draining, Cause.DRAINING, 'no time left'),
     (slow_reader, Cause.SLOW_READER, 'yet to read'),
     (
-        failing('/plain/a', X_Deadline_Ms='soon'),
+        failing_endpoints('/plain/a', X_Deadline_Ms='soon'),
         Cause.MALFORMED,
         'says it wrongly',
     ),
-    (failing('/plain/a', X_Api_Key='x'), Cause.UNKNOWN_KEY, '(1 was in force)'),
+    (
+        failing_endpoints('/plain/a', X_Api_Key='x'),
+        Cause.UNKNOWN_KEY,
+        '(1 was in force)',
+    ),
     (key_withdrawn, Cause.KEY_WITHDRAWN, '1 had it, 3 has not'),
-    (failing('/none/a'), Cause.UNKNOWN_ROUTE, '(1 was in force)'),
+    (failing_endpoints('/none/a'), Cause.UNKNOWN_ROUTE, '(1 was in force)'),
     (route_withdrawn, Cause.ROUTE_WITHDRAWN, '1 had it, 2 has not'),
     (starting, Cause.STARTING, 'just started'),
     (no_service, Cause.NO_SERVICE, 'service nobody'),
@@ -319,67 +331,71 @@
     (no_weights, Cause.NO_WEIGHTS, 'service pool'),
     (overload, Cause.OVERLOAD, 'for 16 slots'),
     (
-        failing('/once/a', Fault.FULL, Fault.FULL),
-        Cause.TURNED_AWAY,
+        failing_endpoints('/once/a', Fault.FULL, Fault.FULL),
+        Cause.REJECTED,
         'with 503',
     ),
     (
-        failing('/once/a', Fault.ANOTHER, Fault.ANOTHER),
+        failing_endpoints('/once/a', Fault.ANOTHER, Fault.ANOTHER),
         Cause.MISDIRECTED,
         'was another',
     ),
     (unreachable, Cause.UNREACHABLE, 'no connection'),
-    (endpoint_lost, Cause.ENDPOINT_LOST, 'may_have_run'),
+    (endpoint_connection_lost, Cause.ENDPOINT_CONNECTION_LOST, 'may_have_run'),
     (
-        failing('/once/a', Fault.LOST),
-        Cause.ENDPOINT_ENDED,
+        failing_endpoints('/once/a', Fault.LOST),
+        Cause.ENDPOINT_CLOSED,
         'not sent again: may_have_run',
     ),
     (
-        failing('/once/twice/a', Fault.FULL, Fault.LOST),
-        Cause.ENDPOINT_ENDED,
+        failing_endpoints('/once/twice/a', Fault.FULL, Fault.LOST),
+        Cause.ENDPOINT_CLOSED,
         'turned it away',
     ),
     (
-        failing('/plain/a', Fault.MUTE, X_Deadline_Ms='110'),
+        failing_endpoints('/plain/a', Fault.MUTE, X_Deadline_Ms='110'),
         Cause.ENDPOINT_SILENT,
         'not sent again: no_time',
     ),
     (
-        failing('/once/a', Fault.UNSTAMPED),
-        Cause.ENDPOINT_SPOILT,
+        failing_endpoints('/once/a', Fault.UNSTAMPED),
+        Cause.ENDPOINT_MALFORMED,
         'no answer to this request',
     ),
     (
-        failing('/stream/once/a', Fault.GAP),
-        Cause.ENDPOINT_SPOILT,
+        failing_endpoints('/stream/once/a', Fault.GAP),
+        Cause.ENDPOINT_MALFORMED,
         '2 follows on 0',
     ),
-    (failing('/once/a', Fault.ERROR), Cause.ENDPOINT_FAILED, 'with 500'),
     (
-        failing('/plain/a', Fault.ERROR, Fault.LOST),
+        failing_endpoints('/once/a', Fault.ERROR),
+        Cause.ENDPOINT_FAILED,
+        'with 500',
+    ),
+    (
+        failing_endpoints('/plain/a', Fault.ERROR, Fault.LOST),
         Cause.ENDPOINT_FAILED,
         'enough_runs',
     ),
     (
-        failing('/once/a', Fault.MUTE, X_Deadline_Ms='80'),
+        failing_endpoints('/once/a', Fault.MUTE, X_Deadline_Ms='80'),
         Cause.DEADLINE,
         'had been silent for',
     ),
     (
-        failing('/short/a', Fault.MUTE),
-        Cause.ROUTE_TIME,
+        failing_endpoints('/short/a', Fault.MUTE),
+        Cause.ROUTE_TIMEOUT,
         'had been silent for',
     ),
-    (budget, Cause.BUDGET, 'gave no whole answer'),
+    (retry_budget_spent, Cause.RETRY_BUDGET_SPENT, 'gave no whole answer'),
     (weights_too_old, Cause.WEIGHTS_TOO_OLD, 'about to be too old'),
-    (took_up_weights, Cause.TOOK_UP_WEIGHTS, 'took up new weights'),
-    (own_fault, Cause.OWN_FAULT, 'nobody foresaw it'),
-    (cancelled, Cause.NOT_KNOWN, 'nothing tells by whom'),
+    (engine_loading, Cause.ENGINE_LOADING, 'took up new weights'),
+    (internal_error, Cause.INTERNAL_ERROR, 'nobody foresaw it'),
+    (cancelled, Cause.UNKNOWN, 'nothing tells by whom'),
 )
 
 
-def written(play: Play) -> list[bytes]:
+def capture_lines(play: Play) -> list[bytes]:
     """Return the lines that an entry writes during a play."""
     payload: list[bytes] = []
 
@@ -400,11 +416,11 @@
     return payload
 
 
-def story_of(lines: list[bytes], request: str = 'r-1') -> stories.Story:
+def explain_request(lines: list[bytes], request: str = 'r-1') -> stories.Story:
     """Return what is told of a request."""
-    collected = stories.Collected()
-    collected.add('entry-1', lines)
-    story = collected.story(request)
+    collection = stories.LogCollection()
+    collection.add('entry-1', lines)
+    story = collection.build_story(request)
     assert story is not None
     return story
 
@@ -420,16 +436,16 @@
         """What is told is what was brought about."""
         wrong = []
         for play, cause, words in CASES:
-            verdict = story_of(written(play)).verdict
-            told = ' | '.join((verdict.sentence, *verdict.led))
-            if verdict.cause is not cause or words not in told:
-                wrong.append((cause.value, verdict.cause.value, told))
+            verdict = explain_request(capture_lines(play)).verdict
+            explanation = ' | '.join((verdict.sentence, *verdict.contributions))
+            if verdict.cause is not cause or words not in explanation:
+                wrong.append((cause.value, verdict.cause.value, explanation))
         self.assertEqual([], wrong)
 
-    def test_all_causes(self) -> None:
+    def test_every_cause_is_covered(self) -> None:
         """Each cause is brought about by a case, or by lines alone below."""
         covered = {cause for _, cause, _ in CASES}
-        self.assertEqual(set(Cause), covered | {Cause.PROCESS_GONE})
+        self.assertEqual(set(Cause), covered | {Cause.PROCESS_KILLED})
         self.assertEqual(set(Cause), set(causes.SENTENCE_BY_CAUSE))
 
 
@@ -442,23 +458,23 @@
 
     def cause(self, *lines: bytes) -> Cause:
         """Return the cause of a request from one process's lines."""
-        return story_of(list(lines), 'r').verdict.cause
+        return explain_request(list(lines), 'r').verdict.cause
 
-    def test_process_gone(self) -> None:
+    def test_process_killed(self) -> None:
         """An entry was killed: it began anew without having stopped."""
         started = line(4, 'entry started', node='entry-1')
-        self.assertEqual(Cause.PROCESS_GONE, self.cause(SENT, started))
+        self.assertEqual(Cause.PROCESS_KILLED, self.cause(SENT, started))
         first = line(4, 'configuration in force', version=3, before=0)
-        self.assertEqual(Cause.PROCESS_GONE, self.cause(SENT, first))
+        self.assertEqual(Cause.PROCESS_KILLED, self.cause(SENT, first))
         newer = line(4, 'configuration in force', version=4, before=3)
-        self.assertEqual(Cause.NOT_KNOWN, self.cause(SENT, newer))
+        self.assertEqual(Cause.UNKNOWN, self.cause(SENT, newer))
         stopped = line(3, 'stopped', node='entry-1')
-        self.assertEqual(Cause.NOT_KNOWN, self.cause(SENT, stopped, started))
+        self.assertEqual(Cause.UNKNOWN, self.cause(SENT, stopped, started))
         dropped = line(2.5, 'lines dropped', lines=3)
-        self.assertEqual(Cause.NOT_KNOWN, self.cause(SENT, dropped, started))
-        self.assertEqual(Cause.NOT_KNOWN, self.cause(SENT))
+        self.assertEqual(Cause.UNKNOWN, self.cause(SENT, dropped, started))
+        self.assertEqual(Cause.UNKNOWN, self.cause(SENT))
 
-    def test_each_reason(self) -> None:
+    def test_every_reason_has_a_cause(self) -> None:
         """No reason or outcome that an entry writes is unknown to explain."""
         for ending in serving.Ending:
             if ending in {serving.Ending.BROKEN, serving.Ending.INTERNAL_ERROR}:
@@ -471,7 +487,7 @@
                 outcomes=['failed', 'turned_away'],
                 last_in=0,
             )
-            self.assertNotEqual(Cause.NOT_KNOWN, self.cause(ended), ending)
+            self.assertNotEqual(Cause.UNKNOWN, self.cause(ended), ending)
         for outcome in serving.AttemptFailure:
             ended = line(
                 3,
@@ -480,12 +496,12 @@
                 reason='broken',
                 outcomes=['spoilt', outcome.value],
             )
-            self.assertNotEqual(Cause.NOT_KNOWN, self.cause(ended), outcome)
+            self.assertNotEqual(Cause.UNKNOWN, self.cause(ended), outcome)
 
     def test_lines_of_an_earlier_version(self) -> None:
         """A line that blames the caller without evidence proves nothing."""
         left = line(3, 'caller left', request='r', attempts=1, seconds=1.0)
-        self.assertEqual(Cause.NOT_KNOWN, self.cause(SENT, left))
+        self.assertEqual(Cause.UNKNOWN, self.cause(SENT, left))
 
     def test_foreign_values(self) -> None:
         """Fields of another type, and reasons that nobody knows."""
@@ -495,17 +511,17 @@
             {'left': 5, 'waited': 1, 'patience': None},
         ):
             left = line(3, 'caller left', request='r', **fields)
-            self.assertEqual(Cause.NOT_KNOWN, self.cause(SENT, left))
+            self.assertEqual(Cause.UNKNOWN, self.cause(SENT, left))
         ended = line(3, 'ended without an answer', request='r', reason=['x'])
-        self.assertEqual(Cause.NOT_KNOWN, self.cause(SENT, ended))
+        self.assertEqual(Cause.UNKNOWN, self.cause(SENT, ended))
 
-    def test_attempts_were_dropped(self) -> None:
+    def test_attempt_lines_missing(self) -> None:
         """The ending alone says what became of the attempts."""
         for reason, outcomes, cause in (
-            ('broken', ['lost', 'turned_away'], Cause.ENDPOINT_LOST),
+            ('broken', ['lost', 'turned_away'], Cause.ENDPOINT_CONNECTION_LOST),
             ('turned_away', ['misdirected'], Cause.MISDIRECTED),
-            ('broken', ['turned_away'], Cause.NOT_KNOWN),
-            ('broken', ['of a later version'], Cause.NOT_KNOWN),
+            ('broken', ['turned_away'], Cause.UNKNOWN),
+            ('broken', ['of a later version'], Cause.UNKNOWN),
         ):
             ended = line(
                 3,
@@ -522,9 +538,9 @@
             ended = line(
                 3, 'ended without an answer', request='r', reason=reason
             )
-            self.assertEqual(Cause.NOT_KNOWN, self.cause(ended))
+            self.assertEqual(Cause.UNKNOWN, self.cause(ended))
 
-    def test_cut_by_an_order_to_load(self) -> None:
+    def test_cut_by_load_order(self) -> None:
         """The agent's log says that its engine was ordered to load.
 
         The entry had not heard of it yet when the engine cut the stream.
@@ -547,18 +563,18 @@
             outcomes=['ended'],
         )
         for engine, second, cause in (
-            ('h:1', 2, Cause.TOOK_UP_WEIGHTS),
-            ('h:2', 2, Cause.ENDPOINT_ENDED),
-            ('h:1', 3.05, Cause.ENDPOINT_ENDED),
+            ('h:1', 2, Cause.ENGINE_LOADING),
+            ('h:2', 2, Cause.ENDPOINT_CLOSED),
+            ('h:1', 3.05, Cause.ENDPOINT_CLOSED),
         ):
             agent = [
                 line(1, 'agent started', engine=engine),
                 line(second, 'ordered to load', answer='accepted'),
             ]
-            collected = stories.Collected()
-            collected.add('entry-1', [SENT, failed, ended])
-            collected.add('agent-1', agent)
-            story = collected.story('r')
+            collection = stories.LogCollection()
+            collection.add('entry-1', [SENT, failed, ended])
+            collection.add('agent-1', agent)
+            story = collection.build_story('r')
             assert story is not None
             self.assertEqual(cause, story.verdict.cause)
 
@@ -577,7 +593,7 @@
         ):
             self.assertEqual(end, endings.classify_error(error))
 
-    def test_own_ends(self) -> None:
+    def test_ends_by_this_process(self) -> None:
         """An end of ours is known as ours, and why we ended it."""
         head = b'GET /a HTTP/1.1\r\nHost: h\r\n'
         bounds = limits.Bounds(header_seconds=0.05, idle_seconds=0.1)
@@ -603,13 +619,13 @@
                 reader, writer = await asyncio.open_connection(HOST, port)
                 while not listener.connections:
                     await asyncio.sleep(0)
-                (one,) = listener.connections
+                (connection,) = listener.connections
                 writer.write(payload)
                 async with asyncio.timeout(10):
                     await reader.read()
                     while listener.connections:
                         await asyncio.sleep(0)
-                self.assertEqual(end, one.ending, payload)
+                self.assertEqual(end, connection.ending, payload)
                 writer.close()
             await listener.close()
 
@@ -620,10 +636,12 @@
 
         async def play(world: World) -> None:
             for _ in range(5):
-                used = await channel.Channel.connect(HOST, world.port, 5)
-                used.send(b'\0\0\r\n\r\n')
-                self.assertEqual(400, (await used.read_head()).status)
-                used.abort()
+                caller_channel = await channel.Channel.connect(
+                    HOST, world.port, 5
+                )
+                caller_channel.send(b'\0\0\r\n\r\n')
+                self.assertEqual(400, (await caller_channel.read_head()).status)
+                caller_channel.abort()
             late = await pool.fetch(
                 pool.Pool(HOST, world.port),
                 path_world.request('/plain/a'),
@@ -631,5 +649,9 @@
             )
             self.assertEqual(200, late.status)
 
-        told = [one for one in written(play) if b'input refused' in one]
-        self.assertEqual(1, len(told))
+        refused_lines = [
+            log_line
+            for log_line in capture_lines(play)
+            if b'input refused' in log_line
+        ]
+        self.assertEqual(1, len(refused_lines))
--- a/tests/observability/test_causes_mixed.py
+++ b/tests/observability/test_causes_mixed.py
@@ -24,22 +24,22 @@
 HOST = path_world.HOST
 SEED = 5
 REQUESTS = 240
-DRAWN = 50
+SAMPLE_SIZE = 50
 #: Seconds over which requests come; the entry ends this much later.
-SPREAD = 2.0
-AFTER = 1.0
+ARRIVAL_SECONDS = 2.0
+SHUTDOWN_DELAY_SECONDS = 1.0
 TARGETS = ('/stream/a', '/stream/once/a', '/plain/a', '/once/a')
-ONCE = ('/stream/once/a', '/once/a')
-TARGETS_AND_NONE = (*TARGETS, *TARGETS, '/none/a')
+ONCE_TARGETS = ('/stream/once/a', '/once/a')
+TARGETS_WITH_UNKNOWN = (*TARGETS, *TARGETS, '/none/a')
 KEYS = ('key',) * 10 + ('second', 'wrong')
 #: What the last fault that an attempt ran into proves, as its caller got no
 #: answer of the endpoint's.
 CAUSE_BY_FAULT = {
-    Fault.LOST: Cause.ENDPOINT_ENDED,
-    Fault.CUT: Cause.ENDPOINT_ENDED,
-    Fault.GAP: Cause.ENDPOINT_SPOILT,
-    Fault.UNSTAMPED: Cause.ENDPOINT_SPOILT,
-    Fault.ENCODED: Cause.ENDPOINT_SPOILT,
+    Fault.LOST: Cause.ENDPOINT_CLOSED,
+    Fault.CUT: Cause.ENDPOINT_CLOSED,
+    Fault.GAP: Cause.ENDPOINT_MALFORMED,
+    Fault.UNSTAMPED: Cause.ENDPOINT_MALFORMED,
+    Fault.ENCODED: Cause.ENDPOINT_MALFORMED,
     Fault.MUTE: Cause.ENDPOINT_SILENT,
     Fault.ERROR: Cause.ENDPOINT_FAILED,
 }
@@ -47,7 +47,7 @@
 FAULTS = (Fault.FULL, *CAUSE_BY_FAULT)
 
 
-class Seen:
+class Caller:
     """One caller: what it means to do, and what it did and saw.
 
     :param leaves_after: seconds; ``None`` for one that waits.
@@ -55,33 +55,33 @@
 
     def __init__(self, number: int, rng: random.Random) -> None:
         self.id = f'r{number}'
-        self.target = rng.choice(TARGETS_AND_NONE)
+        self.target = rng.choice(TARGETS_WITH_UNKNOWN)
         self.key = rng.choice(KEYS)
         self.faults = rng.choices(FAULTS, k=rng.randrange(4))
-        self.comes_at = rng.uniform(0, SPREAD)
+        self.arrives_at = rng.uniform(0, ARRIVAL_SECONDS)
         self.deadline_ms = rng.choice((400, 9000, 9000))
         self.leaves_after: float | None = None
-        self.resets = rng.random() < 0.5
+        self.leaves_by_reset = rng.random() < 0.5
         if self.deadline_ms > 1000 and rng.random() < 0.4:
             # One that may be answered at the moment at which it leaves has
             # two endings, each seen by one side first.
             self.leaves_after = rng.uniform(0.1, 0.4)
-            self.target, self.key = rng.choice(ONCE), 'key'
+            self.target, self.key = rng.choice(ONCE_TARGETS), 'key'
             self.faults = [Fault.MUTE]
         #: The status that it saw, whether the answer was whole, whether it
         #: went before that, and after how many seconds it was over.
         self.status = 0
         self.seconds: float = 0
-        self.whole = False
-        self.left = False
+        self.is_complete = False
+        self.has_left = False
 
-    async def ask(self, port: int) -> None:
+    async def run(self, port: int) -> None:
         """Send the request and keep what comes of it."""
-        await asyncio.sleep(self.comes_at)
-        used = await channel.Channel.connect(HOST, port, 5)
+        await asyncio.sleep(self.arrives_at)
+        caller_channel = await channel.Channel.connect(HOST, port, 5)
         loop = asyncio.get_running_loop()
-        begun = loop.time()
-        used.send(
+        started_at = loop.time()
+        caller_channel.send(
             path_world.request(
                 self.target,
                 X_Attempt_Id=self.id,
@@ -91,123 +91,137 @@
         )
         try:
             async with asyncio.timeout(self.leaves_after):
-                await self._read(used)
+                await self._read(caller_channel)
         except TimeoutError:
-            self.left = True
+            self.has_left = True
         except channel.ChannelBrokenError:
             """The answer isn't whole, and that is all that it knows."""
-        self.seconds = loop.time() - begun
-        self._end(used)
+        self.seconds = loop.time() - started_at
+        self._end(caller_channel)
 
-    async def _read(self, used: channel.Channel) -> None:
-        self.status = (await used.read_head()).status
-        while await used.read():
+    async def _read(self, caller_channel: channel.Channel) -> None:
+        self.status = (await caller_channel.read_head()).status
+        while await caller_channel.read():
             """Read to the end."""
-        self.whole = True
+        self.is_complete = True
 
-    def _end(self, used: channel.Channel) -> None:
-        if self.left and self.resets:
-            peer = used._transport.get_extra_info('socket')
+    def _end(self, caller_channel: channel.Channel) -> None:
+        if self.has_left and self.leaves_by_reset:
+            peer = caller_channel._transport.get_extra_info('socket')
             peer.setsockopt(
                 socket.SOL_SOCKET,
                 socket.SO_LINGER,
-                test_causes.RESET_AT_END,
+                test_causes.LINGER_RESET,
             )
-        used.abort()
+        caller_channel.abort()
 
-    def truth(self, met: list[Fault], *, cut: bool) -> Cause | None:
+    def expected_cause(
+        self, faults_met: list[Fault], *, was_cut: bool
+    ) -> Cause | None:
         """Return the cause, by what it and the endpoints saw.
 
-        :param met: what went wrong at endpoints, in order.
-        :param cut: whether its connection ended with the entry.
+        :param faults_met: what went wrong at endpoints, in order.
+        :param was_cut: whether its connection ended with the entry.
         :returns: ``None`` for a request that was answered.
         """
-        if self.left:
-            return Cause.CONNECTION_RESET if self.resets else Cause.CALLER_LEFT
-        if cut:
-            return Cause.CUT_AT_END
-        if self.whole and self.status in _CAUSE_BY_STATUS:
+        if self.has_left:
+            return (
+                Cause.CONNECTION_RESET
+                if self.leaves_by_reset
+                else Cause.CALLER_LEFT
+            )
+        if was_cut:
+            return Cause.CUT_AT_SHUTDOWN
+        if self.is_complete and self.status in _CAUSE_BY_STATUS:
             return _CAUSE_BY_STATUS[self.status]
-        if self.whole and self.status == 401:
-            known = self.key == 'second'
-            return Cause.KEY_WITHDRAWN if known else Cause.UNKNOWN_KEY
-        if not self.whole and self.seconds * 1000 >= self.deadline_ms:
+        if self.is_complete and self.status == 401:
+            was_configured = self.key == 'second'
+            return Cause.KEY_WITHDRAWN if was_configured else Cause.UNKNOWN_KEY
+        if not self.is_complete and self.seconds * 1000 >= self.deadline_ms:
             return Cause.DEADLINE
-        ran = [one for one in met if one in CAUSE_BY_FAULT]
-        return CAUSE_BY_FAULT[ran[-1]]
+        faults_of_runs = [
+            fault for fault in faults_met if fault in CAUSE_BY_FAULT
+        ]
+        return CAUSE_BY_FAULT[faults_of_runs[-1]]
 
 
 _CAUSE_BY_STATUS: dict[int, Cause | None] = {
     200: None,
     404: Cause.UNKNOWN_ROUTE,
     500: Cause.ENDPOINT_FAILED,
-    503: Cause.TURNED_AWAY,
+    503: Cause.REJECTED,
     504: Cause.DEADLINE,
 }
 
 
-class Mixed:
+class MixedWorkload:
     """Many callers at once, and what became of each."""
 
     def __init__(self, seed: int) -> None:
         rng = random.Random(seed)
-        self.callers = [Seen(number, rng) for number in range(REQUESTS)]
+        self.callers = [Caller(number, rng) for number in range(REQUESTS)]
         #: Faults that requests met, at any endpoint, in order.
-        self.met: list[tuple[str, Fault]] = []
-        self.cut: set[str] = set()
+        self.faults_met: list[tuple[str, Fault]] = []
+        self.cut_request_ids: set[str] = set()
 
     async def play(self, world: path_world.PathWorld) -> None:
         """Play it: a key is taken away, and the entry ends at last."""
-        faults = {one.id: list(one.faults) for one in self.callers}
-        for one in world.endpoints:
-            one.faults_by_request = faults
-            one.met = self.met
+        faults = {caller.id: list(caller.faults) for caller in self.callers}
+        for endpoint in world.endpoints:
+            endpoint.faults_by_request = faults
+            endpoint.met = self.faults_met
         routes = path_world.ROUTES
         world.configure(2, routes, keys=(b'key', b'second'))
-        first = Seen(-1, random.Random(0))
-        first.target, first.comes_at, first.leaves_after = '/plain/a', 0, None
-        await first.ask(world.port)
+        first = Caller(-1, random.Random(0))
+        first.target, first.arrives_at, first.leaves_after = '/plain/a', 0, None
+        await first.run(world.port)
         world.configure(3, routes)
-        asked = {
-            asyncio.create_task(one.ask(world.port)): one
-            for one in self.callers
+        caller_by_task = {
+            asyncio.create_task(caller.run(world.port)): caller
+            for caller in self.callers
         }
-        _, left = await asyncio.wait(asked, timeout=SPREAD + AFTER)
-        self.cut = {asked[one].id for one in left}
+        _, unfinished = await asyncio.wait(
+            caller_by_task, timeout=ARRIVAL_SECONDS + SHUTDOWN_DELAY_SECONDS
+        )
+        self.cut_request_ids = {caller_by_task[task].id for task in unfinished}
         await world.front.close()
-        await asyncio.gather(*left)
+        await asyncio.gather(*unfinished)
 
-    def truths(self) -> dict[str, Cause]:
+    def expected_causes(self) -> dict[str, Cause]:
         """Return the cause of each request that failed, by its id."""
         found = {
-            one.id: one.truth(
-                [fault for name, fault in self.met if name == one.id],
-                cut=one.id in self.cut,
+            caller.id: caller.expected_cause(
+                [fault for name, fault in self.faults_met if name == caller.id],
+                was_cut=caller.id in self.cut_request_ids,
             )
-            for one in self.callers
+            for caller in self.callers
         }
         return {name: cause for name, cause in found.items() if cause}
 
 
 class MixedTest(testtools.TestCase):
-    """Fifty of the requests that failed, drawn by a seed."""
+    """Fifty of the requests that failed, sampled_ids by a seed."""
 
     def test_causes(self) -> None:
         """None is told a wrong cause, and at most five are not known."""
-        mixed = Mixed(SEED)
-        collected = stories.Collected()
-        collected.add('entry-1', test_causes.written(mixed.play))
-        truths = mixed.truths()
-        drawn = random.Random(SEED).sample(sorted(truths), DRAWN)
+        mixed = MixedWorkload(SEED)
+        collection = stories.LogCollection()
+        collection.add('entry-1', test_causes.capture_lines(mixed.play))
+        expected_causes = mixed.expected_causes()
+        sampled_ids = random.Random(SEED).sample(
+            sorted(expected_causes), SAMPLE_SIZE
+        )
         wrong: list[typing.Any] = []
         unknown = []
-        for name in drawn:
-            story = collected.story(name)
-            cause = Cause.NOT_KNOWN if story is None else story.verdict.cause
-            if cause is Cause.NOT_KNOWN:
-                unknown.append((name, truths[name], story))
-            elif cause is not truths[name]:
-                wrong.append((name, truths[name], story))
+        for name in sampled_ids:
+            story = collection.build_story(name)
+            cause = Cause.UNKNOWN if story is None else story.verdict.cause
+            if cause is Cause.UNKNOWN:
+                unknown.append((name, expected_causes[name], story))
+            elif cause is not expected_causes[name]:
+                wrong.append((name, expected_causes[name], story))
         self.assertEqual([], wrong)
         self.assertLessEqual(len(unknown), 5, unknown)
-        self.assertGreater(len({truths[name] for name in drawn}), 8)
+        self.assertGreater(
+            len({expected_causes[name] for name in sampled_ids}), 8
+        )
--- a/tests/observability/test_line_table.py
+++ b/tests/observability/test_line_table.py
@@ -24,12 +24,14 @@
 
         def check(message: typing.Any) -> None:
             record = message.record
-            kind = line_table.kind_of(record['message'])
+            kind = line_table.find_kind(record['message'])
             if kind is None:
                 unknown.add(record['message'])
             else:
-                rest = set(record['extra']).difference(kind.fields)
-                unknown.update(f'{record["message"]}: {one}' for one in rest)
+                undocumented = set(record['extra']).difference(kind.fields)
+                unknown.update(
+                    f'{record["message"]}: {field}' for field in undocumented
+                )
 
         handle = logger.add(check, level='INFO', format='{message}')
         self.addCleanup(logger.remove, handle)
@@ -48,4 +50,4 @@
 
     def test_page(self) -> None:
         """The operators' page is the one that the table makes."""
-        self.assertEqual(line_table.page(), PAGE.read_text())
+        self.assertEqual(line_table.render_page(), PAGE.read_text())
--- a/tests/observability/test_logs.py
+++ b/tests/observability/test_logs.py
@@ -21,12 +21,12 @@
         prompt: the text format explained tracebacks with the values.
         """
         for log_format in ('text', logs.JSON):
-            written = io.StringIO()
-            with contextlib.redirect_stderr(written):
+            output = io.StringIO()
+            with contextlib.redirect_stderr(output):
                 logs.configure('INFO', log_format)
-                _fail('lantern-' + 'key')
-            self.assertIn('ZeroDivisionError', written.getvalue())
-            self.assertNotIn('lantern-key', written.getvalue(), log_format)
+                _log_fault('lantern-' + 'key')
+            self.assertIn('ZeroDivisionError', output.getvalue())
+            self.assertNotIn('lantern-key', output.getvalue(), log_format)
 
     def setUp(self) -> None:
         """Put the default sink aside."""
@@ -34,7 +34,7 @@
         self.addCleanup(logger.remove)
 
 
-def _fail(key: str) -> None:
+def _log_fault(key: str) -> None:
     try:
         len(key) / 0
     except ZeroDivisionError:
--- a/tests/observability/test_stories.py
+++ b/tests/observability/test_stories.py
@@ -13,8 +13,13 @@
 def line(second: float, message: str, **fields: typing.Any) -> bytes:
     """Return one line of a log."""
     time = f'2026-01-02T03:04:{second:06.3f}+00:00'
-    told = {'time': time, 'level': 'INFO', 'message': message, 'at': 'm'}
-    return json.dumps({**told, **fields}).encode()
+    common_fields = {
+        'time': time,
+        'level': 'INFO',
+        'message': message,
+        'at': 'm',
+    }
+    return json.dumps({**common_fields, **fields}).encode()
 
 
 ENTRY = [
@@ -33,35 +38,40 @@
 class StoryTest(testtools.TestCase):
     """A request that may have run, whose caller got 502."""
 
-    def told(self, *more: bytes, request: str = 'r') -> stories.Story | None:
+    def explain(self, *more: bytes, request: str = 'r') -> stories.Story | None:
         """Return a story from the entry's log with some more lines."""
-        collected = stories.Collected()
-        collected.add('entry-1', [*ENTRY, *more])
-        collected.add('entry-2', [line(9, 'configuration in force', version=4)])
-        return collected.story(request)
+        collection = stories.LogCollection()
+        collection.add('entry-1', [*ENTRY, *more])
+        collection.add(
+            'entry-2', [line(9, 'configuration in force', version=4)]
+        )
+        return collection.build_story(request)
 
     def test_in_order(self) -> None:
         """Its lines are in order, and the first that went wrong is named."""
-        story = self.told()
+        story = self.explain()
         assert story is not None
         self.assertEqual('sent', story.lines[0].message)
         self.assertEqual(4, len(story.lines))
-        assert story.wrong is not None
-        self.assertEqual('attempt failed', story.wrong.message)
-        self.assertIn('error=reset', story.wrong.details)
+        assert story.first_failure is not None
+        self.assertEqual('attempt failed', story.first_failure.message)
+        self.assertIn('error=reset', story.first_failure.details)
         self.assertEqual((), story.gaps)
 
     def test_observations(self) -> None:
         """What was believed is the newest before it, of those that it met."""
-        story = self.told()
+        story = self.explain()
         assert story is not None
-        known = {
-            (one.line.message, one.line.fields['version']): one.age
-            for one in story.observations
+        age_by_observation = {
+            (
+                observation.line.message,
+                observation.line.fields['version'],
+            ): observation.age
+            for observation in story.observations
         }
-        self.assertEqual(6, known['configuration in force', 5])
-        self.assertEqual(8, known['engine holds weights', 1])
-        self.assertEqual(2, len(known))
+        self.assertEqual(6, age_by_observation['configuration in force', 5])
+        self.assertEqual(8, age_by_observation['engine holds weights', 1])
+        self.assertEqual(2, len(age_by_observation))
 
     def test_deciding(self) -> None:
         """A refusal for a key stands on the configuration in force then."""
@@ -73,34 +83,34 @@
             configuration=5,
             last_in=3,
         )
-        story = self.told(refused, request='q')
+        story = self.explain(refused, request='q')
         assert story is not None
-        (observation,) = story.deciding
+        (observation,) = story.deciding_observations
         self.assertEqual(5, observation.line.fields['version'])
         self.assertEqual(1, observation.age)
 
     def test_restart(self) -> None:
         """What a process believed before it was restarted is no observation."""
-        story = self.told(line(5, 'entry started', node='entry-1'))
+        story = self.explain(line(5, 'entry started', node='entry-1'))
         assert story is not None
         self.assertEqual((), story.observations)
 
     def test_unknown(self) -> None:
         """A request that nobody wrote of has no story."""
-        self.assertIsNone(self.told(request='other'))
+        self.assertIsNone(self.explain(request='other'))
 
     def test_foreign_lines(self) -> None:
         """Cut lines and those of other programs are counted, no more."""
-        collected = stories.Collected()
-        collected.add('entry-1', [ENTRY[4][:30], b'hello', b'[1]', b'', b'{}'])
-        self.assertEqual(4, collected.unread)
-        self.assertIsNone(collected.story('r'))
+        collection = stories.LogCollection()
+        collection.add('entry-1', [ENTRY[4][:30], b'hello', b'[1]', b'', b'{}'])
+        self.assertEqual(4, collection.unreadable_lines)
+        self.assertIsNone(collection.build_story('r'))
 
     def test_gaps(self) -> None:
         """What may be missing is said."""
-        collected = stories.Collected()
+        collection = stories.LogCollection()
         dropped = b'{"level":"WARNING","message":"lines dropped","lines":9}'
-        collected.add('entry-1', [ENTRY[4], dropped])
-        story = collected.story('r')
+        collection.add('entry-1', [ENTRY[4], dropped])
+        story = collection.build_story('r')
         assert story is not None
         self.assertEqual(3, len(story.gaps))
