--- a/clementinepass/observability/causes.py
+++ b/clementinepass/observability/causes.py
@@ -1,4 +1,4 @@
-"""Why a request ended as it did: the causes, and a sentence for each."""
+"""The causes with which requests end, and the sentences that explain them."""
 
 from __future__ import annotations
 
@@ -6,12 +6,12 @@
 
 
 class Cause(enum.Enum):
-    """The cause of a request's ending, as far as the lines prove it."""
+    """The cause of a request's outcome, as far as the log lines prove it."""
 
-    #: Nothing went wrong here.
+    #: The request was answered.
     ANSWERED = 'answered'
 
-    # The caller, or its connection.
+    # The caller or its connection.
     CALLER_LEFT = 'caller_left'
     CALLER_GAVE_UP = 'caller_gave_up'
     CALLER_DEADLINE = 'caller_deadline'
@@ -27,7 +27,7 @@
     ROUTE_WITHDRAWN = 'route_withdrawn'
     NO_SERVICE = 'no_service'
 
-    # This entry and its bounds.
+    # The entry and its limits.
     STARTING = 'starting'
     DRAINING = 'leaving'
     CUT_AT_SHUTDOWN = 'cut_at_end'
@@ -55,106 +55,123 @@
     UNKNOWN = 'not_known'
 
 
-#: A sentence for each cause; names in braces are fields of its line.
+#: One sentence for each cause. A name in braces is a field of the log line that
+#: proves the cause.
 SENTENCE_BY_CAUSE = {
-    Cause.ANSWERED: 'the whole answer was written to its connection',
+    Cause.ANSWERED: (
+        'the complete answer was written to the connection of its caller'
+    ),
     Cause.CALLER_LEFT: (
-        'its caller ended the connection after {waited} s without an event, '
-        'with {left} s left'
+        'its caller closed the connection after {waited} s without an event, '
+        '{left} s before the deadline'
     ),
     Cause.CALLER_GAVE_UP: (
-        'its caller left after {waited} s without an event; callers wait '
-        '{patience} s'
+        'its caller disconnected after {waited} s without an event; callers '
+        'wait {patience} s'
     ),
     Cause.CALLER_DEADLINE: (
-        'its caller left when its time was over, {seconds} s after it had asked'
+        'its caller disconnected when its time was over, {seconds} s after '
+        'sending the request'
     ),
     Cause.CONNECTION_RESET: (
-        "a reset came from its caller's side, {waited} s after the last event; "
-        'whether its caller sent it is not known'
+        "the connection was reset from its caller's side, {waited} s after the "
+        'last event; whether the caller itself sent the reset is not known'
     ),
-    Cause.CONNECTION_LOST: 'its caller could not be reached any more',
+    Cause.CONNECTION_LOST: 'its caller could not be reached any longer',
     Cause.SLOW_READER: (
-        'its time was over while its caller had yet to read what was sent'
+        'its deadline passed while its caller had yet to read data already sent'
+    ),
+    Cause.MALFORMED: (
+        'a required part of the request is missing, or it says it wrongly'
     ),
-    Cause.MALFORMED: 'it lacks what each request must say, or says it wrongly',
     Cause.UNKNOWN_KEY: (
-        'no configuration that this entry knew had its key ({configuration} '
-        'was in force), by a word of the store that was {store_age} s old'
+        'no configuration known to this entry contained its key '
+        '({configuration} was in force), as of a read of the store {store_age} '
+        's before'
     ),
     Cause.UNKNOWN_ROUTE: (
-        'no configuration that this entry knew had its route ({configuration} '
-        'was in force), by a word of the store that was {store_age} s old'
+        'no configuration known to this entry contained its route '
+        '({configuration} was in force), as of a read of the store {store_age} '
+        's before'
     ),
     Cause.KEY_WITHDRAWN: (
-        'its key was taken away: configuration {last_in} had it, '
+        'its key was removed: configuration {last_in} had it, '
         '{configuration} has not'
     ),
     Cause.ROUTE_WITHDRAWN: (
-        'its route was taken away: configuration {last_in} had it, '
+        'its route was removed: configuration {last_in} had it, '
         '{configuration} has not'
     ),
     Cause.NO_SERVICE: (
-        'the configuration sends it to service {service}, which it lacks'
+        'the configuration routes it to service {service}, which it does not '
+        'define'
     ),
-    Cause.STARTING: 'the entry had just started and knew no configuration',
-    Cause.DRAINING: 'the entry was told to end and had no time left for it',
+    Cause.STARTING: 'the entry had just started and had no configuration',
+    Cause.DRAINING: 'the entry was told to end and had no time left to run it',
     Cause.CUT_AT_SHUTDOWN: (
-        'the entry was told to end, and cut it off at its end'
+        'the entry was told to end and cut off the request when it exited'
     ),
     Cause.PROCESS_KILLED: (
         'the entry was killed or crashed: it started again at {time} without '
-        'having stopped'
+        'a regular stop'
     ),
-    Cause.INTERNAL_ERROR: 'the entry met a fault that nobody foresaw: {error}',
+    Cause.INTERNAL_ERROR: 'an unexpected error occurred in the entry: {error}',
     Cause.DEADLINE: (
-        'the time that its caller gave it was over after {seconds} s'
-    ),
-    Cause.ROUTE_TIMEOUT: (
-        'the time that its route gives it was over after {seconds} s'
+        'the deadline that its caller set passed after {seconds} s'
     ),
+    Cause.ROUTE_TIMEOUT: 'the timeout of its route passed after {seconds} s',
     Cause.RETRY_BUDGET_SPENT: (
-        'the budget of repeats was spent, so it was not sent again'
+        'the retry budget was spent, so it was not sent again'
+    ),
+    Cause.OVERLOAD: 'even the best endpoint had too many requests waiting',
+    Cause.NO_ENDPOINT: (
+        'no endpoint of service {service} was available to run it'
     ),
-    Cause.OVERLOAD: 'even the best endpoint had too many waiting',
-    Cause.NO_ENDPOINT: 'no endpoint of service {service} was there to run it',
     Cause.NO_WEIGHTS: (
-        'endpoints of service {service} were there, none with whole weights '
-        'that may be used'
+        'endpoints of service {service} were available, but none held complete '
+        'weights of a version that may be used'
+    ),
+    Cause.REJECTED: (
+        'each endpoint that it was sent to reported that it did not run it'
     ),
-    Cause.REJECTED: 'each endpoint that it was sent to said it did not run',
     Cause.MISDIRECTED: (
-        'each endpoint that it was sent to, or its weights, were others than '
-        'believed'
+        'each endpoint that it was sent to had another id or other weights '
+        'than expected'
+    ),
+    Cause.UNREACHABLE: (
+        'none of the endpoints that it was sent to could be reached'
     ),
-    Cause.UNREACHABLE: 'no endpoint that it was sent to could be reached',
     Cause.ENDPOINT_CONNECTION_LOST: (
         'the connection to endpoint {endpoint} was lost before the answer was '
-        'whole'
+        'complete'
     ),
     Cause.ENDPOINT_CLOSED: (
-        'endpoint {endpoint} ended the connection before the answer was whole'
+        'endpoint {endpoint} closed the connection before the answer was '
+        'complete'
     ),
-    Cause.ENDPOINT_SILENT: 'endpoint {endpoint} sent nothing for {silent} s',
+    Cause.ENDPOINT_SILENT: 'endpoint {endpoint} sent no data for {silent} s',
     Cause.ENDPOINT_MALFORMED: (
-        'what endpoint {endpoint} sent is no whole answer to it: {error}'
+        'endpoint {endpoint} sent no valid answer: {error}'
     ),
     Cause.ENDPOINT_FAILED: (
-        'endpoint {endpoint} ran it and failed it with status {status}'
+        'endpoint {endpoint} ran it and answered with error status {status}'
     ),
     Cause.WEIGHTS_TOO_OLD: (
-        'it had not begun at endpoint {endpoint} when the weights there were '
+        'it had not started at endpoint {endpoint} when the weights there were '
         'about to be too old'
     ),
     Cause.ENGINE_LOADING: (
-        'endpoint {endpoint} took up new weights and cut it off'
+        'endpoint {endpoint} took up new weights and aborted it'
     ),
     Cause.UNKNOWN: 'not known: {why}',
 }
 
 
 class Finding(enum.Enum):
-    """Something that led to a request's ending, and stands before it."""
+    """An event that contributed to a request's outcome.
+
+    The values are messages of log lines written before the final one.
+    """
 
     ACCEPTED_WHILE_DRAINING = 'taken while leaving'
     NO_FREE_SLOT = 'no endpoint has room'
@@ -165,18 +182,19 @@
     NOT_RETRIED = 'not sending once more'
 
 
-#: A sentence for each finding, from the fields of its line.
+#: One sentence for each finding. A name in braces is a field of its log line.
 SENTENCE_BY_FINDING = {
     Finding.ACCEPTED_WHILE_DRAINING: (
-        'it came {since} s after the entry was told to end, as number {number} '
-        'on its connection'
+        'it arrived {since} s after the entry was told to end, as request '
+        'number {number} on its connection'
     ),
     Finding.NO_FREE_SLOT: (
-        'the best endpoint, {endpoint}, had {waiting} waiting for {slots} slots'
+        'the best endpoint, {endpoint}, had {waiting} requests waiting for '
+        '{slots} slots'
     ),
     Finding.REJECTED: 'endpoint {endpoint} turned it away with {status}',
     Finding.MISDIRECTED: (
-        'endpoint {endpoint} was another, or had other weights than version '
+        'endpoint {endpoint} was another endpoint, or did not hold version '
         '{version}'
     ),
     Finding.ATTEMPT_FAILED: 'endpoint {endpoint} gave no whole answer: {error}',
--- a/clementinepass/observability/exposition.py
+++ b/clementinepass/observability/exposition.py
@@ -1,4 +1,4 @@
-"""Metrics and health of a daemon over HTTP, on a port of their own."""
+"""HTTP server for a daemon's metrics and health checks, on its own port."""
 
 from __future__ import annotations
 
@@ -14,7 +14,7 @@
     from clementinepass.wire import bridge as bridges
 
 _THREADS = 2
-#: Seconds that the event loop may take for the metrics.
+#: Seconds to wait for the event loop to render the metrics.
 _RENDER_TIMEOUT_SECONDS = 5.0
 _PLAIN_TEXT = 'text/plain; charset=utf-8'
 
@@ -22,7 +22,7 @@
 class MetricsServer:
     """Serve ``/metrics``, ``/healthz`` and ``/readyz``.
 
-    :param is_ready: tells whether the daemon does its work.
+    :param is_ready: returns whether the daemon is ready to serve.
     """
 
     def __init__(
@@ -51,19 +51,19 @@
 
     @property
     def port(self) -> int:
-        """Return the port that was bound."""
+        """Return the port to which the server is bound."""
         return int(self._server.bind_addr[1])
 
     def close(self) -> None:
-        """Stop serving."""
+        """Stop the server."""
         self._server.stop()
 
     def _render(
         self,
         start_response: Callable[..., typing.Any],
     ) -> list[bytes]:
-        # Metrics change on the event loop; read from here they could change
-        # while they are being read.
+        # Metrics change on the event loop, so they are rendered there: read
+        # from this thread, they could change while they are being read.
         rendering = self._bridge.submit(_render_registry(self._registry))
         body, headers = rendering.result(_RENDER_TIMEOUT_SECONDS)
         start_response('200 OK', list(headers.items()))
--- a/clementinepass/observability/line_table.py
+++ b/clementinepass/observability/line_table.py
@@ -1,7 +1,7 @@
-"""All log lines of the direct path, and the fields that they have.
+"""Reference of all log lines of the direct path and their fields.
 
-From this table the operators' page is made; a test plays a day and compares
-each line that is written with it.
+The operators' page on log lines is generated from this table.  A test simulates
+a day and checks every line that is written against it.
 """
 
 from __future__ import annotations
@@ -10,7 +10,7 @@
 
 
 class Field(typing.NamedTuple):
-    """A field of a line.
+    """The description of a field.
 
     :param value_type: the type of its value.
     """
@@ -20,11 +20,11 @@
 
 
 class Kind(typing.NamedTuple):
-    """A kind of line.
+    """The description of a kind of line.
 
-    :param field_names: what it may have besides what all lines have, with
-        spaces.
-    :param description: when it is written, or what follows.
+    :param field_names: the fields that it may have besides the common ones,
+        separated by spaces.
+    :param description: when it is written, or what follows from it.
     """
 
     field_names: str
@@ -32,368 +32,455 @@
 
     @property
     def fields(self) -> tuple[str, ...]:
-        """Return the names of its own fields."""
+        """Return the names of the fields that are not common to all lines."""
         return tuple(self.field_names.split())
 
 
-#: Fields of each line.
+#: Fields of all lines.
 COMMON_FIELDS: dict[str, Field] = {
-    'time': Field('str', 'of the process, to the millisecond'),
+    'time': Field('str', 'by the clock of the process, in milliseconds'),
     'level': Field('str', 'INFO, WARNING, ERROR or CRITICAL'),
-    'message': Field('str', 'the kind of line; after a colon, the error'),
-    'at': Field('str', 'the module'),
+    'message': Field(
+        'str',
+        'the kind of line, followed by a colon and the error if there is one',
+    ),
+    'at': Field('str', 'the module that wrote the line'),
 }
-#: How far a request had come when it ended.
+#: Fields that describe the progress of a request when it ended.
 _PROGRESS_FIELDS = 'seconds left events first waited patience endpoint silent'
 #: The other fields, by name.
 FIELDS_BY_NAME: dict[str, Field] = {
     'active': Field('int', 'requests running at the engine'),
-    'after_event': Field('int or null', 'the last event that the caller has'),
-    'ago': Field('float', 'seconds since, at this process'),
-    'answer': Field('str', 'accepted, done, rejected or unknown'),
-    'answered_by': Field('str', 'the id in the answer; empty if none'),
-    'attempt': Field('int', 'from 1'),
-    'attempts': Field('int', 'so far'),
-    'before': Field('int or list', 'what it was before'),
-    'busy': Field('bool', 'whether an order is in progress'),
-    'callers': Field('str', 'where callers connect'),
-    'changed': Field('bool', 'whether a bound changed'),
-    'configuration': Field('int', 'version in force; 0 for none'),
-    'connected_for': Field('float', 'seconds of its connection'),
-    'connections': Field('int', 'open ones of callers'),
+    'after_event': Field(
+        'int or null', 'number of the last event that the caller received'
+    ),
+    'ago': Field(
+        'float', 'seconds since the event, by the clock of this process'
+    ),
+    'answer': Field(
+        'str', 'of the engine: accepted, done, rejected or unknown'
+    ),
+    'answered_by': Field(
+        'str', 'the endpoint id in the answer; empty if there is none'
+    ),
+    'attempt': Field('int', 'number of the attempt, from 1'),
+    'attempts': Field('int', 'number of attempts so far'),
+    'before': Field('int or list', 'the previous value'),
+    'busy': Field(
+        'bool', 'whether the engine is carrying out an order to load'
+    ),
+    'callers': Field('str', 'address for callers'),
+    'changed': Field('bool', 'whether a limit changed'),
+    'configuration': Field(
+        'int', 'version of the configuration in force; 0 for none'
+    ),
+    'connected_for': Field('float', 'age of the connection in seconds'),
+    'connections': Field('int', 'open connections of callers'),
     'decision': Field(
         'str',
-        'allowed, or why not: may_have_run, enough_runs, enough_attempts, '
-        'no_time, budget_spent',
+        'allowed, or why a retry is not: may_have_run, enough_runs, '
+        'enough_attempts, no_time, budget_spent',
     ),
-    'draining': Field('bool', 'whether it leaves'),
+    'draining': Field('bool', 'whether the endpoint is draining'),
     'end': Field(
         'str',
         'why the connection ended: caller_closed, caller_reset, '
-        'caller_silent, transport_fault, broken_off, cut; open where it '
-        'had not ended',
+        'caller_silent, transport_fault, broken_off, cut; open if it had '
+        'not ended',
     ),
     'endpoint': Field(
-        'str or null', 'its id; of a request, the last that it was sent to'
+        'str or null',
+        'id of the endpoint; for a request, the last one that it was sent to',
+    ),
+    'engine': Field('str', 'address of the engine'),
+    'error': Field('str', 'the error, with the step and the peer'),
+    'events': Field('int', 'events of the answer that the caller received'),
+    'execution': Field(
+        'str', 'whether the endpoint ran the request: not_run or may_have_run'
     ),
-    'engine': Field('str', 'its address'),
-    'error': Field('str', 'with the step and the peer'),
-    'events': Field('int', 'pieces of the answer that the caller got'),
-    'execution': Field('str', 'not_run or may_have_run'),
-    'failures': Field('int', 'in a row'),
+    'failures': Field('int', 'number of consecutive failures'),
     'fault': Field(
         'str',
-        'unreachable, lost (reset), ended (by the endpoint), silent, spoilt, '
-        'loading (the engine takes up weights) or too_old (its weights)',
+        'unreachable, lost (connection reset), ended (connection closed by the '
+        'endpoint), silent, spoilt (malformed answer), loading (the engine '
+        'loads weights) or too_old (its weights)',
     ),
-    'first': Field('float or null', 'seconds to the first piece of the answer'),
-    'from_agents': Field('int', 'bytes'),
-    'from_origin': Field('int', 'bytes'),
+    'first': Field('float or null', 'seconds to the first part of the answer'),
+    'from_agents': Field('int', 'bytes fetched from agents'),
+    'from_origin': Field('int', 'bytes fetched from the origin'),
     'guessed': Field(
-        'bool', 'whether the time is a guess, as the process began later'
+        'bool',
+        'whether the time is an estimate, as the process started later',
+    ),
+    'here': Field(
+        'int', 'version of the configuration in force in this process'
+    ),
+    'host': Field('str', 'host name in the request'),
+    'in_flight': Field(
+        'int', 'requests of this entry in progress at the endpoint'
     ),
-    'here': Field('int', 'version in force in this process'),
-    'host': Field('str', 'that the caller named'),
-    'in_flight': Field('int', 'requests of this entry there'),
-    'key': Field('str', 'of a record'),
-    'last': Field('float', 'seconds from SIGTERM to the end at the latest'),
+    'key': Field('str', 'key of the record'),
+    'last': Field('float', 'longest time from SIGTERM to the exit, in seconds'),
     'last_in': Field(
         'int',
-        'the newest configuration known here with the key or the route that '
-        'is lacking; 0 for none',
+        'version of the newest configuration known to this process that '
+        'contained the missing key or route; 0 for none',
     ),
-    'last_answer_ago': Field('float', 'seconds'),
-    'layers': Field('int', 'held'),
+    'last_answer_ago': Field(
+        'float', 'seconds since the last answer of the store'
+    ),
+    'layers': Field('int', 'number of layers that the engine holds'),
     'left': Field('float', 'seconds until the final answer is due'),
     'lists_end': Field(
-        'float', 'seconds from SIGTERM until no list names the entry'
-    ),
-    'lines': Field('int', 'not written'),
-    'lost_for': Field('float', 'seconds'),
-    'missing': Field('int', 'pieces'),
-    'model': Field('str', 'its name'),
-    'news': Field('int', 'records that were not known'),
-    'node': Field('str', 'the machine'),
-    'number': Field('int', 'of the request on its connection, from 1'),
-    'offset': Field('int', 'in the topic'),
+        'float',
+        'seconds from SIGTERM until no list of entries contains the entry',
+    ),
+    'lines': Field('int', 'number of lines that were not written'),
+    'lost_for': Field('float', 'seconds for which the store was unavailable'),
+    'missing': Field('int', 'number of missing pieces'),
+    'model': Field('str', 'name of the model'),
+    'news': Field('int', 'number of new records'),
+    'node': Field('str', 'name of the machine'),
+    'number': Field('int', 'number of the request on its connection, from 1'),
+    'offset': Field('int', 'offset in the topic'),
     'open': Field('int', 'connections with a request in progress'),
-    'orders': Field('int', 'that the engine has begun since it started'),
+    'orders': Field('int', 'loads that the engine has begun since it started'),
     'outcomes': Field(
         'list',
-        'of its attempts: turned_away, misdirected, failed, or the fault',
+        'the outcome of each attempt: turned_away, misdirected, failed, or the '
+        'fault',
     ),
-    'partners': Field('list', 'agents asked besides'),
-    'path': Field('str', 'that the caller named, its first 80 bytes'),
+    'partners': Field('list', 'fallback agents besides the sources'),
+    'path': Field('str', 'the first 80 bytes of the requested path'),
     'patience': Field(
         'float or null',
-        'seconds without an event after which callers leave; null if no stream',
+        'seconds without an event after which callers give up; null if the '
+        'answer is no stream',
     ),
-    'peer': Field('str', 'IP number'),
+    'peer': Field('str', 'IP address'),
     'phase': Field('str', 'starting, ready or leaving'),
-    'piece': Field('int', 'its number'),
-    'reads': Field('bool', 'whether this process reads it itself'),
+    'piece': Field('int', 'number of the piece'),
+    'reads': Field(
+        'bool', 'whether this process reads the topic from the store itself'
+    ),
     'reason': Field(
         'str',
-        'why a request ended: starting, malformed, unknown_route, '
+        'why the request ended: starting, malformed, unknown_route, '
         'unknown_key, overload, no_service, no_endpoint, no_weights, '
         'turned_away, broken, endpoint_failed, deadline (of its caller), '
         'route_time, slow_reader, leaving',
     ),
     'refused': Field(
-        'int', 'requests since SIGTERM; of input, since the line before'
-    ),
-    'request': Field('str', 'the id that its caller gave it'),
-    'resume_after': Field('int or null', 'the last event that the caller has'),
-    'rounds': Field('int', 'of questions that brought nothing before'),
-    'runs': Field('int', 'attempts that ran or may have'),
-    'seconds': Field('float', 'in all'),
-    'service': Field('str', 'its name'),
+        'int',
+        'requests refused since SIGTERM; for input, since the previous such '
+        'line',
+    ),
+    'request': Field('str', 'request id, set by the caller'),
+    'resume_after': Field(
+        'int or null', 'number of the last event that the caller received'
+    ),
+    'rounds': Field('int', 'unsuccessful rounds of requests before'),
+    'runs': Field('int', 'attempts that ran or may have run'),
+    'seconds': Field('float', 'elapsed time in seconds'),
+    'service': Field('str', 'name of the service'),
     'silent': Field(
         'float or null', 'seconds since the endpoint last sent a byte'
     ),
     'since': Field('float', 'seconds since SIGTERM'),
-    'slots': Field('int', 'requests run at once'),
-    'source': Field('str', 'IP number, origin or store'),
-    'sources': Field('list', 'IP numbers; empty text for the origin'),
-    'started': Field('int', 'its start in Unix milliseconds; 0 if untold'),
-    'status': Field('int', 'of the answer'),
-    'step': Field('str', 'what the process was at'),
+    'slots': Field('int', 'requests that the endpoint runs at once'),
+    'source': Field('str', 'IP address, origin or store'),
+    'sources': Field('list', 'IP addresses; an empty string for the origin'),
+    'started': Field(
+        'int', 'start of the endpoint in Unix milliseconds; 0 if not reported'
+    ),
+    'status': Field('int', 'HTTP status of the answer'),
+    'step': Field('str', 'the operation in progress'),
     'store_age': Field(
         'float or null',
-        'seconds since the store last answered a read of what the operator '
-        'wrote, or an entry was heard that reads it for this one; null for '
-        'never',
-    ),
-    'congested': Field('bool', 'whether the link is slow'),
-    'taken': Field('int', 'requests since SIGTERM'),
-    'there': Field('int', 'version in force at the peer'),
-    'topic': Field('str', 'operator or endpoints'),
-    'trouble': Field('str', 'slow, failing, behind or silent'),
-    'used_for': Field('float', 'seconds more'),
-    'version': Field('int', 'of a configuration or of weights'),
-    'wait': Field('float', 'seconds'),
-    'waited': Field('float', 'seconds since the last event, or since it came'),
-    'waiting': Field('float', 'requests that would wait'),
+        "seconds since the store last answered a read of the operator's "
+        'records, or a message came from an entry that reads them for this '
+        'one; null for never',
+    ),
+    'congested': Field('bool', 'whether the link is congested'),
+    'taken': Field('int', 'requests accepted since SIGTERM'),
+    'there': Field('int', 'version of the configuration in force at the peer'),
+    'topic': Field('str', 'topic of the store: operator or endpoints'),
+    'trouble': Field(
+        'str', 'why the source is skipped: slow, failing, behind or silent'
+    ),
+    'used_for': Field('float', 'seconds for which the endpoint remains in use'),
+    'version': Field('int', 'version of a configuration or of weights'),
+    'wait': Field('float', 'waiting time in seconds'),
+    'waited': Field(
+        'float', 'seconds since the last event, or since the request arrived'
+    ),
+    'waiting': Field('float', 'number of requests that would wait'),
 }
-#: The kinds of line, by their message up to a colon.
+#: The kinds of line by the part of their message before the first colon.
 KINDS_BY_MESSAGE: dict[str, Kind] = {
-    'agent started': Kind('node engine', 'an agent listens'),
-    'entry started': Kind('node callers', 'an entry listens'),
+    'agent started': Kind('node engine', 'an agent has started to listen'),
+    'entry started': Kind('node callers', 'an entry has started to listen'),
     'entry ready': Kind(
         'node seconds',
-        'configuration and endpoints are known; callers may be sent here',
+        'configuration and endpoints are known; callers may be directed here',
     ),
     'topic known': Kind(
         'topic source news seconds',
-        'the first records of a topic came, so long after the start',
+        'the first records of a topic arrived, with the time since the start',
     ),
     'first request answered': Kind(
-        'service seconds', 'the first of each service, since the start'
+        'service seconds',
+        'the first request of each service, with the time since the start',
     ),
     'leaving': Kind(
         'connections open lists_end last',
-        'an entry was told to end; what it has in progress, and its times',
+        'an entry was told to end; what is in progress, and its time limits',
     ),
     'offered while leaving': Kind(
-        'node since', 'callers are sent here, as no other entry is ready'
+        'node since',
+        'callers are still directed here, as no other entry is ready',
     ),
     'taken while leaving': Kind(
         'request since connected_for number left',
-        'a request came after the entry was told to end',
+        'a request arrived after the entry was told to end',
     ),
     'cut off, as this entry ends': Kind(
         f'request end attempts after_event {_PROGRESS_FIELDS}',
-        'its caller has no whole answer, and is not to blame',
+        'the entry exits before the answer is complete; not a fault of the '
+        'caller',
     ),
     'stopped': Kind(
-        'node seconds open taken refused', 'a process ends, with so many cut'
+        'node seconds open taken refused',
+        'a process exits; `open` connections are cut off',
     ),
-    'settings read': Kind('step changed', 'the settings were read anew'),
-    'settings stay as they are': Kind('step', 'newer settings can not be read'),
-    'no settings': Kind('step', 'the process ends, having none'),
+    'settings read': Kind('step changed', 'the settings were read again'),
+    'settings stay as they are': Kind(
+        'step', 'the changed settings cannot be read; the old ones stay'
+    ),
+    'no settings': Kind('step', 'the process exits, as it has no settings'),
     'lines dropped': Kind(
-        'lines', 'more was written in a second than the bound'
+        'lines',
+        'more lines were written than the rate limit or the buffer allows',
+    ),
+    'work begins anew': Kind(
+        '', 'a background task failed with an unexpected error and is restarted'
     ),
-    'work begins anew': Kind('', 'a task met a fault that nobody foresaw'),
     'handler failed': Kind(
         'step error',
-        'the same while a request was served; its caller is cut off',
+        'an unexpected error while a request was served; its caller is cut off',
     ),
     'configuration in force': Kind(
-        'version before', 'requests are handled by it from now on'
+        'version before', 'requests are handled by this version from now on'
     ),
     'a peer has a newer configuration': Kind(
-        'peer there here offset', 'its records are taken anew from that peer'
+        'peer there here offset',
+        'the records are fetched again from that peer',
     ),
     'version named': Kind(
-        'model version ago guessed', 'engines are to take up these weights'
+        'model version ago guessed',
+        'the operator named a version of weights that engines are to load',
     ),
     'endpoint listed': Kind(
         'endpoint service draining version layers offset started',
-        'its own word in the list changed',
+        'the state that an endpoint reports in the list changed',
     ),
     'endpoint dropped from the list': Kind(
-        'endpoint used_for', 'nothing more is sent to it after that time'
+        'endpoint used_for', 'no request is sent to it after that time'
     ),
     'engine holds weights': Kind(
-        'endpoint version layers busy', 'no layers while it loads'
+        'endpoint version layers busy', 'layers is 0 while the engine loads'
     ),
     'link of an endpoint': Kind(
         'endpoint congested',
-        'requests go elsewhere where they can, or no longer',
+        'the link became congested, and requests avoid the endpoint where '
+        'possible, or it is no longer congested',
     ),
     'member changed': Kind(
-        'peer phase', 'an entry is new, started anew, is ready or leaves'
+        'peer phase',
+        'an entry was added, restarted, became ready or is draining',
     ),
     'store lost': Kind(
-        'topic error last_answer_ago', 'a call to the store failed'
+        'topic error last_answer_ago', 'a request to the store failed'
     ),
     'store regained': Kind('topic lost_for', 'the store answers again'),
     'reading of the store': Kind(
-        'topic reads', 'this process begins to read, or leaves it to others'
+        'topic reads',
+        'this process starts to read the topic, or leaves it to other entries',
+    ),
+    'history was dropped': Kind(
+        'topic',
+        'the store no longer has the records at the offset; the newest records '
+        'are read instead',
     ),
-    'history was dropped': Kind('topic', 'the newest records are read instead'),
     'records taken from a peer': Kind(
-        'peer topic news offset', 'it had read further'
+        'peer topic news offset', 'the peer had read further in the topic'
     ),
-    'records not fetched': Kind('peer', 'it did not hand them over'),
+    'records not fetched': Kind('peer', 'the peer did not provide the records'),
     'record passed over': Kind(
         'key offset',
-        'it can not be decoded; what was in force stays, and an endpoint of '
-        'that id gets nothing more. Once in 30 s for each key',
+        'the record cannot be decoded; the state in force stays, and an '
+        'endpoint of that id gets no more requests. Written once in 30 s for '
+        'each key',
+    ),
+    'heartbeat dropped': Kind(
+        'peer', 'a received message is no valid heartbeat'
+    ),
+    'entries not read': Kind(
+        '', 'the list of entries could not be read; it is tried again'
     ),
-    'heartbeat dropped': Kind('peer', 'a message that is none'),
-    'entries not read': Kind('', 'the list of entries; it is tried again'),
     'store not read': Kind(
-        '', 'an agent that hears of no entry; it is tried again'
+        '',
+        'an agent that receives heartbeats of no entry could not read the '
+        'store; it is tried again',
     ),
     'sent': Kind(
         'request attempt endpoint in_flight left resume_after',
-        'an attempt begins',
+        'an attempt starts',
     ),
     'no endpoint has room': Kind(
         'request service endpoint waiting slots',
-        'the best one, and how many would wait there',
+        'the best endpoint, and how many requests would wait there',
     ),
     'turned away by the endpoint': Kind(
         'request attempt endpoint status in_flight',
-        'it did not run the request',
+        'the endpoint did not run the request',
     ),
     'another endpoint or version answered': Kind(
         'request attempt endpoint answered_by version',
-        'it did not run the request',
+        'the request was not run',
     ),
     'passed over the answer to another request': Kind(
-        'request', 'it came where this one was expected'
+        'request',
+        'it arrived where the answer to this request was expected',
     ),
     'attempt failed': Kind(
         'request attempt endpoint engine execution fault silent error '
         'after_event',
-        'there is no whole answer',
+        'there is no complete answer',
     ),
     'failed by the endpoint': Kind(
-        'request attempt endpoint status', 'it ran the request and says so'
+        'request attempt endpoint status',
+        'the endpoint ran the request and answered with an error',
     ),
     'sending once more': Kind(
-        'request attempts decision', 'a repeat is allowed'
+        'request attempts decision', 'a retry is allowed'
+    ),
+    'not sending once more': Kind(
+        'request attempts decision', 'a retry is not allowed, with the reason'
     ),
-    'not sending once more': Kind('request attempts decision', 'and why not'),
     'answered': Kind(
         'request status attempts first seconds',
-        'the caller has the whole answer',
+        'the complete answer was sent to the caller',
     ),
     'ended without an answer': Kind(
         f'request reason status service attempts runs outcomes '
         f'decision {_PROGRESS_FIELDS}',
-        'status 0 for a connection that was broken off',
+        'the request failed; status 0 if its connection was broken off',
     ),
     'refused': Kind(
         'request reason status host path configuration last_in store_age error',
-        'before it was admitted',
+        'a request was refused before it was admitted',
     ),
     'input refused': Kind(
         'status refused',
-        'what came is no request to serve; one line a second at most',
+        'received data is no request that can be served; at most one line a '
+        'second',
     ),
     'caller left': Kind(
         f'request end attempts after_event {_PROGRESS_FIELDS}',
-        'it ended its side of the connection; its work is ended',
+        'the caller closed the connection; the request is aborted',
     ),
     'connection reset': Kind(
         f'request end attempts after_event {_PROGRESS_FIELDS}',
-        'by the caller or by something between; its work is ended',
+        'by the caller or by something in between; the request is aborted',
     ),
     'connection lost': Kind(
         f'request end attempts after_event {_PROGRESS_FIELDS}',
-        'the caller can not be reached any more; its work is ended',
+        'the caller cannot be reached any longer; the request is aborted',
     ),
     'cut off, not known why': Kind(
         f'request end attempts after_event {_PROGRESS_FIELDS}',
-        'its work was ended, and its connection had not',
+        'the request was aborted although its connection was open',
     ),
     'cut off by a fault of this entry': Kind(
-        'request attempts error', 'which nobody foresaw; its caller is cut off'
+        'request attempts error',
+        'an unexpected error; the caller is cut off',
+    ),
+    'getting pieces': Kind(
+        'version missing', 'an agent starts to fetch a version'
     ),
-    'getting pieces': Kind('version missing', 'an agent begins with a version'),
     'pieces stalled': Kind(
         'sources partners missing',
-        'none came for a moment; agents go by what others have',
+        'no piece arrived for a moment; agents choose sources by what others '
+        'hold',
     ),
     'sources changed': Kind(
-        'sources before missing', 'pieces come from others than before'
+        'sources before missing', 'pieces are fetched from other sources'
     ),
     'source passed over': Kind(
-        'source trouble', 'slow, failing, behind or silent'
+        'source trouble', 'the source is not used for now'
+    ),
+    'no answer': Kind('source', 'first failure of a source in a row'),
+    'source answers again': Kind(
+        'source failures', 'a source answers after failures'
+    ),
+    'manifest found': Kind('version rounds', 'an agent fetched the manifest'),
+    'no manifest': Kind('version', 'a source did not provide the manifest'),
+    'piece is spoilt': Kind(
+        'piece source', 'the piece does not match its digest'
     ),
-    'no answer': Kind('source', 'of a source, for the first time in a row'),
-    'source answers again': Kind('source failures', 'after so many failures'),
-    'manifest found': Kind('version rounds', 'an agent got it'),
-    'no manifest': Kind('version', 'a source did not hand it over'),
-    'piece is spoilt': Kind('piece source', 'it is not what its digest says'),
     'not handed out': Kind(
         'piece', 'a staged piece could not be read for another agent'
     ),
     'pieces got': Kind(
         'version missing from_origin from_agents seconds',
-        'getting a version ends, whole or not',
+        'fetching a version has ended, complete or not',
+    ),
+    'staged pieces not read': Kind(
+        '', 'the engine did not answer the request for its staged pieces'
     ),
-    'staged pieces not read': Kind('', 'the engine did not answer'),
     'piece not staged': Kind(
-        '', 'the engine did not take it, or it was spoilt there'
+        '', 'the engine did not accept the piece, or it was corrupted there'
     ),
     'staged too long ago': Kind(
-        'version', 'it is read back once more before the order'
+        'version',
+        'the staged pieces are read back again before the order to load',
     ),
     'the engine has restarted': Kind(
-        'version', 'between the last look at it and the order, which is left'
+        'version',
+        'between the last report of the engine and the order to load, which '
+        'is omitted',
     ),
     'turn to load': Kind(
-        'version wait', 'seconds until the engine takes it up'
+        'version wait', 'seconds until the engine loads the version'
     ),
     'ordered to load': Kind(
-        'version orders active answer', 'what the engine said'
+        'version orders active answer',
+        'the engine was ordered to load a version, with its answer',
+    ),
+    'not loaded': Kind(
+        'node', 'the engine did not answer while it was to load a version'
     ),
-    'not loaded': Kind('node', 'the engine did not answer'),
     'not fetched': Kind(
-        'node', 'nobody had the manifest, or the engine did not answer'
+        'node', 'no source had the manifest, or the engine did not answer'
     ),
     'not prepared': Kind(
-        'version', 'nobody had the manifest of the version to get next'
+        'version', 'no source had the manifest of the next version'
     ),
 }
 
 
 def find_kind(message: str) -> Kind | None:
-    """Return the kind of a line by its message."""
+    """Return the kind of a line with a message; ``None`` if unknown."""
     return KINDS_BY_MESSAGE.get(message.partition(': ')[0])
 
 
 def render_page() -> str:
-    """Return the operators' page on log lines."""
+    """Return the text of the operators' page on log lines."""
     lines = [
         '# Log lines',
         '',
-        'What processes on the direct path write, one JSON object a line. Made',
+        'The log of processes on the direct path, one JSON object a line. Made',
         'from `clementinepass/observability/line_table.py`.',
         '',
         '| message | fields | when, or what follows |',
--- a/clementinepass/observability/lines.py
+++ b/clementinepass/observability/lines.py
@@ -1,4 +1,4 @@
-"""One line of a process's log, as it was read."""
+"""A log line of one process, as read from its log."""
 
 from __future__ import annotations
 
@@ -7,14 +7,15 @@
 if typing.TYPE_CHECKING:
     from collections.abc import Mapping
 
-#: Fields that each line has, and that say nothing of the request.
+#: Fields common to all lines, and the request id: no details of an event.
 _COMMON_FIELDS = frozenset(('time', 'level', 'message', 'at', 'request'))
 
 
 class Line(typing.NamedTuple):
-    """One line of a process's log.
+    """One log line.
 
-    :param at: seconds since the epoch, by that process's clock.
+    :param process: the name of the process that wrote it.
+    :param at: seconds since the epoch, by the clock of that process.
     """
 
     process: str
@@ -24,7 +25,7 @@
 
     @property
     def details(self) -> str:
-        """Return the fields that decided, as text."""
+        """Return the fields that are specific to this line, as text."""
         return ' '.join(
             f'{name}={field}'
             for name, field in self.fields.items()
--- a/clementinepass/observability/logs.py
+++ b/clementinepass/observability/logs.py
@@ -1,4 +1,4 @@
-"""Structured logs: one event a line, as text or as JSON."""
+"""Structured logging: one event per line, as text or as JSON."""
 
 from __future__ import annotations
 
@@ -10,7 +10,7 @@
 import msgspec
 from loguru import logger
 
-#: Settings' names of the formats.
+#: The value of the setting ``format`` that selects JSON.
 JSON = 'json'
 _TEXT_FORMAT = (
     '{time:YYYY-MM-DDTHH:mm:ss.SSSZ} {level: <7} {message} {extra} {exception}'
@@ -18,7 +18,7 @@
 
 
 class _LevelFilter:
-    """Pass events from a level on; the level can change while running."""
+    """Pass events of at least a level that can change at run time."""
 
     def __init__(self, level: str) -> None:
         self.level = level
@@ -31,9 +31,9 @@
 
 
 def configure(level: str, log_format: str) -> None:
-    """Write events to standard error.
+    """Configure logging to standard error.
 
-    :param level: the least severe level written.
+    :param level: the least severe level that is written.
     :param log_format: ``text`` or ``json``.
     """
     _filter.level = level
@@ -46,8 +46,8 @@
     if log_format == JSON:
         logger.add(_write_json, level=0, filter=_filter)
     else:
-        # Without diagnosis, which writes the values of variables: callers'
-        # keys and the text of their requests would stand in the log.
+        # With ``diagnose``, tracebacks contain the values of variables:
+        # callers' keys and the text of their requests would be logged.
         logger.add(
             sys.stderr,
             level=0,
@@ -59,15 +59,15 @@
 
 
 def set_level(level: str) -> None:
-    """Change the least severe level written."""
+    """Change the least severe level that is written."""
     _filter.level = level
 
 
 class _LoguruHandler(logging.Handler):
-    """Pass on what libraries write to the standard logging."""
+    """Forward records of the standard ``logging`` module to loguru."""
 
     def emit(self, record: logging.LogRecord) -> None:
-        """Write a library's event as one of ours."""
+        """Log a record of a library through loguru."""
         logger.bind(step=record.name).log(
             record.levelname,
             '{}',
--- a/clementinepass/observability/output.py
+++ b/clementinepass/observability/output.py
@@ -1,8 +1,9 @@
-"""Write structured log lines to standard output without ever waiting.
+"""Write structured log lines to standard output without blocking.
 
-A log that nobody reads fills its pipe, and a process that waits for room
-stops serving.  Lines wait in a bounded buffer instead; those that find no
-room, or come too fast, are counted, and the count is written once a second.
+If the reader of the log stops, its pipe fills up, and a process that blocks on
+it stops serving.  Lines are therefore kept in a bounded buffer.  Lines that
+exceed the buffer or the rate limit are dropped; their number is logged at most
+once a second.
 """
 
 from __future__ import annotations
@@ -16,20 +17,20 @@
 from loguru import logger
 
 _STDOUT_DESCRIPTOR = 1
-#: Bytes of lines that wait for their reader.
+#: Size of the buffer from which on lines are dropped.
 _MAX_BUFFERED_BYTES = 262144
-#: Lines a second of each level. Failures first: information on requests is
-#: what grows with the load.
+#: Rate limits per level. The number of lines on single requests grows with the
+#: load; with a limit of their own, they do not crowd out those on failures.
 _LINES_PER_SECOND_BY_LEVEL = {'INFO': 150, 'WARNING': 150, 'ERROR': 100}
 _DEFAULT_LINES_PER_SECOND = 100
-#: Seconds that lines are gathered before they are written together.
+#: Seconds for which lines are collected before they are written together.
 _FLUSH_DELAY_SECONDS = 0.05
 
 
 class Output:
-    """Write lines to a descriptor that may take none.
+    """Write lines to a descriptor whose reader may be slow or stopped.
 
-    :param descriptor: set to not block.
+    :param descriptor: the file descriptor; it is set to non-blocking.
     """
 
     __slots__ = (
@@ -53,12 +54,12 @@
         self._is_flush_scheduled = False
 
     def install(self) -> None:
-        """Take all lines of this process."""
+        """Replace all log handlers of this process by this one."""
         logger.remove()
         logger.add(self.write, level='INFO', format='{message}')
 
     def write(self, message: typing.Any) -> None:
-        """Take one line from the logging library."""
+        """Buffer one log message, unless it exceeds a limit."""
         record = message.record
         if not self._admit(
             record['level'].name, int(record['time'].timestamp())
@@ -78,7 +79,7 @@
         self._enqueue(msgspec.json.encode(line, enc_hook=str))
 
     def flush(self) -> None:
-        """Write what the descriptor takes now."""
+        """Write as much of the buffer as the descriptor accepts now."""
         self._is_flush_scheduled = False
         if not self._buffer:
             return
@@ -88,7 +89,7 @@
         except BlockingIOError:
             written = 0
         except OSError:
-            # Nobody will ever read it.
+            # The reader is gone: the lines are discarded.
             written = len(payload)
         rest = payload[written:]
         self._buffer = [rest] if rest else []
--- a/clementinepass/observability/stories.py
+++ b/clementinepass/observability/stories.py
@@ -1,7 +1,8 @@
-"""Tell the story of one request from the log lines of several processes.
+"""Reconstruct the history of one request from the logs of several processes.
 
-Lines may be cut, foreign or missing: what can't be read is counted, and what
-a process did not write, since it wrote too much or began later, is said.
+Logs may contain truncated lines and lines of other programs; these are counted.
+Lines may also be missing, because a process dropped lines above its rate limit
+or because its log begins later; such gaps are reported.
 """
 
 from __future__ import annotations
@@ -16,8 +17,9 @@
 if typing.TYPE_CHECKING:
     from collections.abc import Iterable
 
-#: Lines on what a process knows, and the fields that tell one observation of a
-#: kind from another.
+#: Messages of lines on the state that a process knows, with the fields that
+#: identify the subject of the observation. A newer line replaces an older one
+#: with the same message and subject.
 _KEY_FIELDS_BY_MESSAGE: dict[str, tuple[str, ...]] = {
     'configuration in force': (),
     'version named': ('model',),
@@ -33,7 +35,7 @@
 _WEIGHTS = frozenset(('version named', 'engine holds weights'))
 _LISTED = frozenset(('endpoint listed', 'endpoint dropped from the list'))
 _SHUTDOWN = frozenset(('leaving',))
-#: Lines on the observations by which a request ended as it did, by its cause.
+#: Messages of the observations that decided the outcome, by its cause.
 _DECIDING_MESSAGES_BY_CAUSE = {
     causes.Cause.UNKNOWN_KEY: _CONFIGURATION,
     causes.Cause.KEY_WITHDRAWN: _CONFIGURATION,
@@ -48,20 +50,21 @@
     causes.Cause.CUT_AT_SHUTDOWN: _SHUTDOWN,
     causes.Cause.DRAINING: _SHUTDOWN,
 }
-#: Lines with which a process begins, believing nothing.
+#: Messages with which a process starts, without any known state.
 _START_MESSAGES = frozenset(('entry started', 'agent started'))
-#: Lines of a request in which nothing went wrong.
+#: Messages of a request that are no failure.
 _NORMAL_MESSAGES = frozenset(
     ('sent', 'answered', 'sending once more', 'taken while leaving'),
 )
-#: Seconds around a request in which dropped lines may have been its own.
+#: Seconds before and after a request in which dropped lines may include lines
+#: of this request.
 _DROPPED_MARGIN_SECONDS = 2.0
 
 
 class Observation(typing.NamedTuple):
-    """What a process believed at some moment.
+    """A line on state that a process knew at a certain time.
 
-    :param age: seconds since it had come to believe it.
+    :param age: seconds between the line and that time.
     """
 
     line: lines.Line
@@ -69,15 +72,16 @@
 
 
 class Story(typing.NamedTuple):
-    """What is known of one request.
-
-    :param lines: what was written of it, in order of time.
-    :param verdict: why it ended as it did, by all of them.
-    :param first_failure: the first of them that went wrong, if one did.
-    :param observations: of the processes that it met, when it came.
-    :param deciding_observations: observations by which it ended as it did, when
-        it ended.
-    :param gaps: what may be missing, a sentence each.
+    """The history of one request.
+
+    :param lines: all lines on the request, in order of time.
+    :param verdict: the cause of its outcome, as proved by the lines.
+    :param first_failure: the first of the lines that is a failure, if any.
+    :param observations: the state known to the processes that handled the
+        request, when it arrived.
+    :param deciding_observations: the observations that decided the outcome, at
+        the end of the request.
+    :param gaps: one sentence for each way in which lines may be missing.
     """
 
     lines: tuple[lines.Line, ...]
@@ -89,20 +93,20 @@
 
 
 class LogCollection:
-    """The lines of several processes."""
+    """The log lines of several processes."""
 
     __slots__ = ('_lines', 'unreadable_lines')
 
     def __init__(self) -> None:
         self._lines: list[lines.Line] = []
-        #: Lines that are cut short or of another program.
+        #: Number of lines that are truncated or of another program.
         self.unreadable_lines = 0
 
     def add(self, process: str, payload: Iterable[bytes]) -> None:
-        """Take the lines of one process, in the order written.
+        """Add the lines of one process, in the order written.
 
-        A line without a time, such as the count of those dropped, has that of
-        the line before it.
+        A line without a time, such as the one on dropped lines, gets the time
+        of the line before it.
         """
         at = float(0)
         for raw in payload:
@@ -116,7 +120,7 @@
                 self._lines.append(line)
 
     def build_story(self, request_id: str) -> Story | None:
-        """Return what is known of a request; ``None`` if nothing is."""
+        """Return the history of a request; ``None`` if no line is on it."""
         request_lines = [
             line
             for line in self._lines
@@ -162,10 +166,10 @@
         )
 
     def find_killed_entries(self) -> list[lines.Line]:
-        """Return the first lines of entries that had not stopped before.
+        """Return the first lines of entries that restarted without a stop.
 
-        Requests that were in progress when they were killed or crashed may
-        have no line.
+        An entry that was killed or crashed writes no line on the requests that
+        were in progress, so that they may have no line at all.
         """
         ready_processes: set[str] = set()
         restarts = []
@@ -184,7 +188,7 @@
     def _build_context(
         self, request_lines: list[lines.Line]
     ) -> verdicts.Context:
-        """Return what was written besides, as far as it may bear on it."""
+        """Return the other lines that may explain the outcome of a request."""
         last = request_lines[-1]
         process_lines = [
             line for line in self._lines if line.process == last.process
@@ -202,7 +206,7 @@
         )
 
     def _load_orders(self) -> Iterable[tuple[str, lines.Line]]:
-        """Yield the orders to load, with the address of their engine."""
+        """Yield each order to load with the address of its engine."""
         engines: dict[str, str] = {}
         for line in self._lines:
             if line.message == 'agent started':
@@ -216,7 +220,7 @@
         processes: set[str],
         when: float,
     ) -> Iterable[Observation]:
-        """Return the newest observation of each kind at some moment."""
+        """Return the newest observation of each subject at a certain time."""
         endpoints = {
             request_line.fields.get('endpoint')
             for request_line in request_lines
@@ -237,7 +241,7 @@
     def _gaps(
         self, request_lines: list[lines.Line], processes: set[str]
     ) -> Iterable[str]:
-        """Say what may be missing."""
+        """Yield a sentence for each way in which lines may be missing."""
         first, last = request_lines[0].at, request_lines[-1].at
         for process in sorted(processes):
             process_lines = [
@@ -248,19 +252,22 @@
             if any(
                 _is_dropped_near(line, first, last) for line in process_lines
             ):
-                yield f'{process}: lines were dropped then, as it wrote many'
+                yield f'{process}: lines were dropped at that time'
         endings = [line for line in request_lines if verdicts.is_ending(line)]
         if not endings:
-            yield 'no line says how it ended'
+            yield 'no line states how it ended'
         if len(endings) > 1:
-            yield 'more than one line says how it ended: the last one counts'
+            yield 'several lines state how it ended: the last one counts'
 
 
 def _observation_key(
     line: lines.Line,
     endpoints: set[typing.Any],
 ) -> tuple[typing.Any, ...] | None:
-    """Return what an observation is about; ``None`` if of no concern."""
+    """Return the subject of an observation; ``None`` if it is irrelevant.
+
+    :param endpoints: ids of the endpoints that the request was sent to.
+    """
     key_fields = _KEY_FIELDS_BY_MESSAGE.get(line.message)
     if key_fields is None:
         return None
@@ -274,7 +281,7 @@
     newest_by_key: dict[tuple[typing.Any, ...], lines.Line],
     process: str,
 ) -> dict[tuple[typing.Any, ...], lines.Line]:
-    """Return what others believe."""
+    """Return the observations of all other processes."""
     return {
         key: line for key, line in newest_by_key.items() if key[0] != process
     }
@@ -299,7 +306,7 @@
             at = datetime.datetime.fromisoformat(time_text).timestamp()
         return lines.Line(process, at, str(fields['message']), fields)
     except (KeyError, TypeError, ValueError):
-        # A fault of decoding is a ValueError, too.
+        # msgspec.DecodeError is a ValueError.
         return None
 
 
--- a/clementinepass/observability/verdicts.py
+++ b/clementinepass/observability/verdicts.py
@@ -1,8 +1,8 @@
-"""Work out a request's cause from all lines that were written of it.
+"""Determine the cause of a request's outcome from its log lines.
 
-The line of its ending comes first, then what led to it.  Where a line or a
-field is missing that would prove a cause, the cause is not known: a wrong one
-sends an engineer to the wrong place.
+The line on the end of the request is examined first, then the lines before it.
+If a line or a field that would prove a cause is missing, the cause is reported
+as unknown: a wrong cause misleads the engineer who looks for it.
 """
 
 from __future__ import annotations
@@ -14,11 +14,12 @@
 if typing.TYPE_CHECKING:
     from collections.abc import Sequence
 
-#: Seconds by which a caller's clock may be ahead, which began before its
-#: request was read here: the time of a request's way, slow links included.
+#: Seconds by which a timer of the caller may be ahead, as it is started before
+#: the entry reads the request: the network latency, slow links included.
 _CLOCK_MARGIN_SECONDS = 0.25
-#: Seconds for which an engine that was ordered to load new weights may cut
-#: what it still runs. Both times are of their own machine's clock.
+#: An engine that was ordered to load new weights may abort running requests for
+#: this many seconds. The order and the abort are logged by different machines,
+#: each by its own clock.
 _LOAD_CUT_SECONDS = 3.0
 
 Cause = causes.Cause
@@ -52,20 +53,20 @@
     'loading': Cause.ENGINE_LOADING,
     'failed': Cause.ENDPOINT_FAILED,
 }
-#: Endings that are what became of the attempts.
+#: Reasons for which the outcomes of the attempts give the cause.
 _ATTEMPT_REASONS = frozenset(('broken', 'turned_away', 'endpoint_failed'))
 _ATTEMPT_END_MESSAGES = frozenset(('attempt failed', 'failed by the endpoint'))
-#: Faults with which an engine that takes up weights cuts what it runs.
+#: Faults that occur when an engine that loads weights aborts running requests.
 _CUT_FAULTS = frozenset(('lost', 'ended', 'spoilt'))
-#: What became of attempts that did not run. The first of these that one of a
-#: request's attempts met is the cause: an endpoint's own word goes before what
-#: was concluded here.
+#: Causes by the outcome of attempts that did not run. The first of these that
+#: any attempt of the request had gives the cause: the answer of an endpoint
+#: takes precedence over a conclusion of the entry.
 _CAUSE_BY_NOT_RUN = {
     'turned_away': Cause.REJECTED,
     'misdirected': Cause.MISDIRECTED,
     'unreachable': Cause.UNREACHABLE,
 }
-#: Endings for which the silence of the endpoint is worth telling.
+#: Causes to whose explanation the time without data from the endpoint is added.
 _CAUSES_WITH_SILENCE = frozenset(
     (
         Cause.CALLER_LEFT,
@@ -84,10 +85,13 @@
 
 
 class Context(typing.NamedTuple):
-    """What was written besides the lines of the request itself.
+    """Lines other than those on the request itself.
 
-    :param later_lines: lines of the process that had it last, after its own.
-    :param load_orders: orders to load, each with the address of its engine.
+    :param later_lines: lines that the process with the last line on the request
+        wrote after it.
+    :param load_orders: the address of the engine and the line for each order to
+        load.
+    :param dropped: whether that process dropped lines when the request ended.
     """
 
     later_lines: Sequence[lines.Line]
@@ -96,9 +100,11 @@
 
 
 class Verdict(typing.NamedTuple):
-    """Why a request ended as it did.
+    """The cause of a request's outcome.
 
-    :param contributions: what led to it, a sentence each, in order of time.
+    :param sentence: an explanation of the cause.
+    :param contributions: one sentence for each event that led to the outcome,
+        in order of time.
     """
 
     cause: causes.Cause
@@ -107,14 +113,14 @@
 
 
 def is_ending(line: lines.Line) -> bool:
-    """Tell whether a line says how its request ended."""
+    """Return whether a line states how its request ended."""
     return line.message in _CLASSIFIER_BY_MESSAGE
 
 
 def classify(request_lines: Sequence[lines.Line], context: Context) -> Verdict:
-    """Return the cause that a request's lines prove.
+    """Return the cause that the lines of a request prove.
 
-    :param request_lines: its lines, in order of time.
+    :param request_lines: all lines on the request, in order of time.
     """
     final = next(
         (
@@ -140,7 +146,7 @@
 
 
 def _verdict(cause: Cause, line: lines.Line) -> Verdict:
-    """Return a cause with its sentence."""
+    """Return a cause with its explanation from the fields of a line."""
     sentence = causes.SENTENCE_BY_CAUSE[cause]
     return Verdict(cause, sentence.format_map(_Fields(line.fields)))
 
@@ -151,28 +157,28 @@
 
 
 def _describe(line: lines.Line) -> str:
-    """Return what a line that led to the ending says, as far as it does."""
+    """Return the sentence for an event that led to the outcome."""
     fields = _Fields(line.fields)
     return _SENTENCE_BY_MESSAGE[line.message].format_map(fields)
 
 
 class _Fields(dict[str, typing.Any]):
-    """The fields of a line, with a mark for those that it lacks."""
+    """The fields of a line; missing ones are shown as ``?``."""
 
     def __missing__(self, name: str) -> str:
         return '?'
 
 
 def _describe_silence(final: lines.Line) -> list[str]:
-    """Say for how long the endpoint had been silent, if it was asked."""
+    """Return a sentence on the time without data from the endpoint."""
     fields = final.fields
     endpoint, silent = fields.get('endpoint'), fields.get('silent')
     if endpoint is None or silent is None:
-        return ['it had been sent to no endpoint']
+        return ['it had not been sent to any endpoint']
     events = fields.get('events', 0)
     return [
         f'endpoint {endpoint} had been silent for {silent} s; its caller had '
-        f'got {events} events',
+        f'received {events} events',
     ]
 
 
@@ -180,7 +186,7 @@
 
 
 def _unknown_cause(line: lines.Line, why: str) -> _Classified:
-    """Return that the cause is not known."""
+    """Return an unknown cause with the reason why it is unknown."""
     evidence = lines.Line(line.process, line.at, line.message, {'why': why})
     return Cause.UNKNOWN, evidence
 
@@ -188,21 +194,22 @@
 def _classify_unended(
     request_lines: Sequence[lines.Line], context: Context
 ) -> Verdict:
-    """Judge a request of which no line says how it ended."""
+    """Classify a request without a line on its end."""
     if context.dropped:
         return _unknown_verdict('lines were dropped when it ended')
     for line in context.later_lines:
         if line.message == 'stopped':
-            return _unknown_verdict('the entry stopped without a word on it')
+            return _unknown_verdict('the entry stopped without a line on it')
         if is_process_start(line):
             return _verdict(Cause.PROCESS_KILLED, line)
-    return _unknown_verdict('no line says how it ended')
+    return _unknown_verdict('no line states how it ended')
 
 
 def is_process_start(line: lines.Line) -> bool:
-    """Tell whether a line is written by an entry that has just begun.
+    """Return whether a line shows that an entry has just started.
 
-    Its first may have been lost together with the last of the one before.
+    The line ``entry started`` may be lost together with the last lines of the
+    previous process; the first configuration then shows the start.
     """
     if line.message == 'entry started':
         return True
@@ -218,12 +225,12 @@
     reason = final.fields.get('reason')
     cause = _CAUSE_BY_REASON.get(str(reason))
     if cause is None:
-        return _unknown_cause(final, f'reason {reason!r} is none that is known')
+        return _unknown_cause(final, f'reason {reason!r} is unknown')
     if cause not in _WITHDRAWN_BY_CAUSE:
         return cause, final
     known_in = _number_field(final, 'last_in')
     if known_in is None:
-        return _unknown_cause(final, 'its line lacks what was known before')
+        return _unknown_cause(final, "its line lacks the field 'last_in'")
     return _WITHDRAWN_BY_CAUSE[cause] if known_in else cause, final
 
 
@@ -232,7 +239,7 @@
     before: Sequence[lines.Line],
     context: Context,
 ) -> _Classified:
-    """Judge by the ending and by what it says became of the attempts."""
+    """Classify by the reason and the outcomes of the attempts."""
     if final.fields.get('decision') == 'budget_spent':
         return Cause.RETRY_BUDGET_SPENT, final
     reason = str(final.fields.get('reason'))
@@ -242,13 +249,12 @@
         return _classify_refusal(final, before, context)
     outcomes = final.fields.get('outcomes')
     if not isinstance(outcomes, list):
-        return _unknown_cause(
-            final, 'its line lacks what became of its attempts'
-        )
+        return _unknown_cause(final, "its line lacks the field 'outcomes'")
     if reason == 'turned_away':
         return _classify_not_run(final, outcomes)
     if reason == 'endpoint_failed':
-        # Its caller got that answer, whatever was tried after it.
+        # The caller received the error of the last attempt that failed with
+        # one, so attempts after it do not count.
         while outcomes and outcomes[-1] != 'failed':
             outcomes = outcomes[:-1]
     return _classify_last_run(final, outcomes, before, context)
@@ -260,24 +266,22 @@
     before: Sequence[lines.Line],
     context: Context,
 ) -> _Classified:
-    """Judge by the last attempt that ran, or may have."""
+    """Classify by the last attempt that ran or may have run."""
     for index in reversed(range(len(outcomes))):
         outcome = str(outcomes[index])
         if outcome in _CAUSE_BY_NOT_RUN:
             continue
         if outcome not in _CAUSE_BY_FAULT:
-            return _unknown_cause(
-                final, f'outcome {outcome!r} is none that is known'
-            )
+            return _unknown_cause(final, f'outcome {outcome!r} is unknown')
         line = _attempt_line(before, index + 1)
         if outcome in _CUT_FAULTS and _was_loading(line, context):
             return Cause.ENGINE_LOADING, line
         return _CAUSE_BY_FAULT[outcome], line
-    return _unknown_cause(final, 'no attempt is said to have run')
+    return _unknown_cause(final, 'no attempt is recorded as run')
 
 
 def _attempt_line(before: Sequence[lines.Line], number: int) -> lines.Line:
-    """Return the line on a failed attempt; one of nothing if it is missing."""
+    """Return the line on a failed attempt; an empty one if it is missing."""
     for line in before:
         has_ended = line.message in _ATTEMPT_END_MESSAGES
         if has_ended and line.fields.get('attempt') == number:
@@ -286,7 +290,7 @@
 
 
 def _was_loading(line: lines.Line, context: Context) -> bool:
-    """Tell whether its agent had an engine load when it cut a request."""
+    """Return whether the engine was loading when it aborted the request."""
     engine = line.fields.get('engine')
     return any(
         engine == address
@@ -299,11 +303,11 @@
 def _classify_not_run(
     final: lines.Line, outcomes: list[typing.Any]
 ) -> _Classified:
-    """Judge a request that no endpoint ran, by all that it was sent to."""
+    """Classify a request that no endpoint ran by all its attempts."""
     for outcome, cause in _CAUSE_BY_NOT_RUN.items():
         if outcome in outcomes:
             return cause, final
-    return _unknown_cause(final, 'no attempt is said to have been turned away')
+    return _unknown_cause(final, 'no attempt is recorded as not run')
 
 
 def _classify_caller(
@@ -311,11 +315,13 @@
     before: Sequence[lines.Line],
     context: Context,
 ) -> _Classified:
-    """Tell a caller that gave up from one that left of its own accord."""
+    """Distinguish the reasons for which a caller disconnects."""
     fields = final.fields
     left, waited = _number_field(final, 'left'), _number_field(final, 'waited')
     if left is None or waited is None or 'end' not in fields:
-        return _unknown_cause(final, 'its line does not say who ended it')
+        return _unknown_cause(
+            final, 'its line does not state who closed the connection'
+        )
     if left <= _CLOCK_MARGIN_SECONDS:
         return Cause.CALLER_DEADLINE, final
     patience = _number_field(final, 'patience')
@@ -327,13 +333,13 @@
 
 
 def _number_field(line: lines.Line, name: str) -> float | None:
-    """Return a field that is a number; ``None`` for anything else."""
+    """Return a numeric field; ``None`` if it is missing or not a number."""
     field = line.fields.get(name)
     return field if isinstance(field, int | float) else None
 
 
 def _always_classify(cause: Cause) -> _Classifier:
-    """Return a judge for a line that proves one cause."""
+    """Return a classifier for a line that always has the same cause."""
 
     def classify_constant(
         final: lines.Line,
@@ -350,16 +356,14 @@
     before: Sequence[lines.Line],
     context: Context,
 ) -> _Classified:
-    return _unknown_cause(
-        final, 'its work was ended, and nothing tells by whom'
-    )
+    return _unknown_cause(final, 'it was aborted, and nothing tells by whom')
 
 
 _Classifier = typing.Callable[
     [lines.Line, 'Sequence[lines.Line]', Context], _Classified
 ]
 
-#: How to judge by each line that ends a request.
+#: Classifiers by the message of the line on the end of a request.
 _CLASSIFIER_BY_MESSAGE: dict[str, _Classifier] = {
     'answered': _always_classify(Cause.ANSWERED),
     'refused': _classify_refusal,
--- a/tests/observability/test_causes.py
+++ b/tests/observability/test_causes.py
@@ -1,7 +1,7 @@
-"""Tests that the cause which is told of a request is the one that it had.
+"""Tests that the reported cause of a request's outcome is the real one.
 
-Each case brings one cause about at an entry between a caller and endpoints
-that do as they are told, and holds what the entry's lines say against it.
+Each case provokes one cause at an entry between a caller and simulated
+endpoints, and compares it with the cause derived from the entry's log lines.
 """
 
 from __future__ import annotations
@@ -34,12 +34,12 @@
 Fault = direct_endpoint.Fault
 World = path_world.PathWorld
 HOST = path_world.HOST
-#: An option with which the end of a socket is a reset.
+#: Value of ``SO_LINGER`` with which closing a socket sends a reset.
 LINGER_RESET = struct.pack('ii', 1, 0)
-#: Together longer than what the buffers of a connection take.
+#: Together these events exceed the buffers of a connection.
 LONG_EVENT_COUNT = 32
 LONG_EVENT = b'x' * (1 << 19)
-#: A stream whose callers leave after two seconds, the least of all.
+#: A stream whose callers give up after two seconds, the minimum.
 IMPATIENT_ROUTE = path_world.route(
     'stream', latency_target=0.1, max_event_gap=0.1
 )
@@ -50,7 +50,7 @@
     target: str,
     **headers: str,
 ) -> channel.Channel:
-    """Send a request and return when an endpoint runs it."""
+    """Send a request and return its connection once an endpoint runs it."""
     caller_channel = await channel.Channel.connect(HOST, world.port, 5)
     caller_channel.send(path_world.request(target, **headers))
     while not world.ran:
@@ -59,7 +59,7 @@
 
 
 def block_endpoints(world: World) -> None:
-    """Let no endpoint send an event."""
+    """Keep all endpoints from sending events."""
     for endpoint in world.endpoints:
         endpoint.going.clear()
 
@@ -67,21 +67,21 @@
 async def send_ignoring_failure(
     world: World, target: str, **headers: str
 ) -> None:
-    """Ask, whatever comes of it."""
+    """Send a request and ignore a broken connection."""
     try:
         await world.ask(target, **headers)
     except channel.ChannelBrokenError:
-        """The caller sees that there is no answer, and no more."""
+        """The connection of the caller ends without an answer."""
 
 
 async def wait_until_disconnected(world: World) -> None:
-    """Return when the entry has no connection left."""
+    """Return once the entry has no connections left."""
     while world.front.connections:
         await asyncio.sleep(0.005)
 
 
 def failing_endpoints(target: str, *faults: Fault, **headers: str) -> Play:
-    """Return a play in which endpoints fail, one after the other."""
+    """Return a play whose attempts meet the given faults in order."""
 
     async def play(world: World) -> None:
         world.fail_first(*faults)
@@ -132,7 +132,7 @@
 
 
 async def caller_unreachable(world: World) -> None:
-    """What the event loop calls when the kernel gives a caller up."""
+    """Report a caller as lost, as the event loop does on a kernel timeout."""
     block_endpoints(world)
     caller_channel = await open_running_request(world, '/stream/a')
     (connection,) = world.front.connections
@@ -149,7 +149,7 @@
 
 
 async def answered_at_shutdown(world: World) -> None:
-    """The entry gives what it has in progress a final answer in time."""
+    """The entry gives requests in progress a final answer before it exits."""
     block_endpoints(world)
     await open_running_request(world, '/stream/a')
     world.path.finish_by(asyncio.get_running_loop().time())
@@ -223,7 +223,7 @@
 
 
 async def endpoint_connection_lost(world: World) -> None:
-    """A load balancer before the endpoint resets each connection."""
+    """A load balancer in front of the endpoint resets each connection."""
 
     async def serve(
         reader: asyncio.StreamReader,
@@ -274,13 +274,13 @@
 
 
 class FaultySender(attempt.Sender):
-    """Fails as no code is meant to."""
+    """A sender that raises an unexpected error."""
 
     def __init__(self) -> None:
-        """Need nothing."""
+        """Skip the initialization of the base class."""
 
     async def send(self, *_: object) -> serving.AttemptResult:
-        """Raise what nobody catches."""
+        """Raise an error that no caller handles."""
         raise RuntimeError('nobody foresaw it')
 
 
@@ -300,7 +300,7 @@
 
 Play = typing.Callable[[World], typing.Awaitable[None]]
 
-#: What happens, the cause, and words of the sentence or of what led to it.
+#: The play, its cause, and a fragment of the sentences that explain it.
 CASES: tuple[tuple[Play, Cause, str], ...] = (
     (answered, Cause.ANSWERED, 'gave no whole answer'),
     (caller_left, Cause.CALLER_LEFT, 'had been silent for'),
@@ -396,7 +396,7 @@
 
 
 def capture_lines(play: Play) -> list[bytes]:
-    """Return the lines that an entry writes during a play."""
+    """Return the log lines that an entry writes during a play."""
     payload: list[bytes] = []
 
     def take(message: typing.Any) -> None:
@@ -417,7 +417,7 @@
 
 
 def explain_request(lines: list[bytes], request: str = 'r-1') -> stories.Story:
-    """Return what is told of a request."""
+    """Return the history of a request from log lines."""
     collection = stories.LogCollection()
     collection.add('entry-1', lines)
     story = collection.build_story(request)
@@ -426,14 +426,14 @@
 
 
 class MatrixTest(testtools.TestCase):
-    """An answer that an entry cut at its own end.
+    """Every cause is reported as such.
 
-    The caller saw its connection end in the middle of a stream.  The log said
-    'caller left', and whoever looked for the cause asked the caller's owners.
+    An entry that exited cut off a stream, but its log blamed the caller with
+    'caller left', so that the fault was looked for at the caller.
     """
 
     def test_causes(self) -> None:
-        """What is told is what was brought about."""
+        """The reported cause is the one that was provoked."""
         wrong = []
         for play, cause, words in CASES:
             verdict = explain_request(capture_lines(play)).verdict
@@ -443,7 +443,7 @@
         self.assertEqual([], wrong)
 
     def test_every_cause_is_covered(self) -> None:
-        """Each cause is brought about by a case, or by lines alone below."""
+        """Each cause has a case here or a test of log lines below."""
         covered = {cause for _, cause, _ in CASES}
         self.assertEqual(set(Cause), covered | {Cause.PROCESS_KILLED})
         self.assertEqual(set(Cause), set(causes.SENTENCE_BY_CAUSE))
@@ -454,14 +454,14 @@
 
 
 class LinesTest(testtools.TestCase):
-    """Causes that are proved by what else was written, or by nothing."""
+    """Causes proved by lines of other events, and missing proof."""
 
     def cause(self, *lines: bytes) -> Cause:
-        """Return the cause of a request from one process's lines."""
+        """Return the cause of the request ``r`` from the lines of one process."""
         return explain_request(list(lines), 'r').verdict.cause
 
     def test_process_killed(self) -> None:
-        """An entry was killed: it began anew without having stopped."""
+        """An entry that starts again without a stop was killed."""
         started = line(4, 'entry started', node='entry-1')
         self.assertEqual(Cause.PROCESS_KILLED, self.cause(SENT, started))
         first = line(4, 'configuration in force', version=3, before=0)
@@ -475,7 +475,7 @@
         self.assertEqual(Cause.UNKNOWN, self.cause(SENT))
 
     def test_every_reason_has_a_cause(self) -> None:
-        """No reason or outcome that an entry writes is unknown to explain."""
+        """Every reason and outcome that an entry logs has a known cause."""
         for ending in serving.Ending:
             if ending in {serving.Ending.BROKEN, serving.Ending.INTERNAL_ERROR}:
                 continue
@@ -499,12 +499,12 @@
             self.assertNotEqual(Cause.UNKNOWN, self.cause(ended), outcome)
 
     def test_lines_of_an_earlier_version(self) -> None:
-        """A line that blames the caller without evidence proves nothing."""
+        """A line 'caller left' without evidence proves no cause."""
         left = line(3, 'caller left', request='r', attempts=1, seconds=1.0)
         self.assertEqual(Cause.UNKNOWN, self.cause(SENT, left))
 
     def test_foreign_values(self) -> None:
-        """Fields of another type, and reasons that nobody knows."""
+        """Fields of unexpected types and unknown reasons prove no cause."""
         for fields in (
             {'end': 'caller_closed', 'left': 'x', 'waited': 1},
             {'end': 'caller_closed', 'left': 5},
@@ -516,7 +516,7 @@
         self.assertEqual(Cause.UNKNOWN, self.cause(SENT, ended))
 
     def test_attempt_lines_missing(self) -> None:
-        """The ending alone says what became of the attempts."""
+        """Without lines on the attempts, the final line gives their outcomes."""
         for reason, outcomes, cause in (
             ('broken', ['lost', 'turned_away'], Cause.ENDPOINT_CONNECTION_LOST),
             ('turned_away', ['misdirected'], Cause.MISDIRECTED),
@@ -533,7 +533,7 @@
             self.assertEqual(cause, self.cause(ended))
 
     def test_ending_of_an_earlier_version(self) -> None:
-        """It doesn't say what became of the attempts."""
+        """A final line without outcomes of the attempts proves no cause."""
         for reason in ('broken', 'turned_away', 'endpoint_failed'):
             ended = line(
                 3, 'ended without an answer', request='r', reason=reason
@@ -541,9 +541,9 @@
             self.assertEqual(Cause.UNKNOWN, self.cause(ended))
 
     def test_cut_by_load_order(self) -> None:
-        """The agent's log says that its engine was ordered to load.
+        """An order to load in the agent's log explains an aborted stream.
 
-        The entry had not heard of it yet when the engine cut the stream.
+        The entry does not know of the order yet when the engine aborts.
         """
         failed = line(
             3,
@@ -580,10 +580,10 @@
 
 
 class EndTest(testtools.TestCase):
-    """Whose doing the end of a connection is, by what the kernel says."""
+    """The end of a connection is attributed to the side that caused it."""
 
     def test_errors(self) -> None:
-        """Only a reset is said to come from the caller's side."""
+        """Errors of the kernel are mapped to ends; only a reset blames the caller."""
         for error, end in (
             (ConnectionResetError(104, 'reset'), endings.End.CALLER_RESET),
             (BrokenPipeError(32, 'pipe'), endings.End.CALLER_RESET),
@@ -594,7 +594,7 @@
             self.assertEqual(end, endings.classify_error(error))
 
     def test_ends_by_this_process(self) -> None:
-        """An end of ours is known as ours, and why we ended it."""
+        """A connection closed by the entry has the reason as its end."""
         head = b'GET /a HTTP/1.1\r\nHost: h\r\n'
         bounds = limits.Bounds(header_seconds=0.05, idle_seconds=0.1)
         table = (
@@ -632,7 +632,7 @@
         asyncio.run(play())
 
     def test_refused_input(self) -> None:
-        """Garbage is told of, and not more often than once a second."""
+        """Malformed input is logged at most once a second."""
 
         async def play(world: World) -> None:
             for _ in range(5):
--- a/tests/observability/test_causes_mixed.py
+++ b/tests/observability/test_causes_mixed.py
@@ -1,7 +1,7 @@
-"""Causes of requests that fail side by side, held against what others saw.
+"""Causes of concurrent failures, compared with records of both sides.
 
-Callers and endpoints keep what they did and saw; the entry's lines are all
-that the cause is worked out from.
+Callers and endpoints record what they do and see; the reported cause is derived
+from the entry's log lines alone.
 """
 
 from __future__ import annotations
@@ -25,15 +25,15 @@
 SEED = 5
 REQUESTS = 240
 SAMPLE_SIZE = 50
-#: Seconds over which requests come; the entry ends this much later.
+#: Seconds over which requests arrive, and from then until the entry exits.
 ARRIVAL_SECONDS = 2.0
 SHUTDOWN_DELAY_SECONDS = 1.0
 TARGETS = ('/stream/a', '/stream/once/a', '/plain/a', '/once/a')
 ONCE_TARGETS = ('/stream/once/a', '/once/a')
 TARGETS_WITH_UNKNOWN = (*TARGETS, *TARGETS, '/none/a')
 KEYS = ('key',) * 10 + ('second', 'wrong')
-#: What the last fault that an attempt ran into proves, as its caller got no
-#: answer of the endpoint's.
+#: The cause by the last fault of an attempt that ran, where the caller received
+#: no answer from the endpoint.
 CAUSE_BY_FAULT = {
     Fault.LOST: Cause.ENDPOINT_CLOSED,
     Fault.CUT: Cause.ENDPOINT_CLOSED,
@@ -43,14 +43,14 @@
     Fault.MUTE: Cause.ENDPOINT_SILENT,
     Fault.ERROR: Cause.ENDPOINT_FAILED,
 }
-#: All but the one after which an endpoint gets no requests of anybody.
+#: All faults but the one after which an endpoint gets no more requests at all.
 FAULTS = (Fault.FULL, *CAUSE_BY_FAULT)
 
 
 class Caller:
-    """One caller: what it means to do, and what it did and saw.
+    """A caller with its random plan and a record of what it saw.
 
-    :param leaves_after: seconds; ``None`` for one that waits.
+    It disconnects after ``leaves_after`` seconds, or waits if that is ``None``.
     """
 
     def __init__(self, number: int, rng: random.Random) -> None:
@@ -63,20 +63,20 @@
         self.leaves_after: float | None = None
         self.leaves_by_reset = rng.random() < 0.5
         if self.deadline_ms > 1000 and rng.random() < 0.4:
-            # One that may be answered at the moment at which it leaves has
-            # two endings, each seen by one side first.
+            # If an answer could arrive while the caller disconnects, each
+            # side could see a different end: no endpoint answers it.
             self.leaves_after = rng.uniform(0.1, 0.4)
             self.target, self.key = rng.choice(ONCE_TARGETS), 'key'
             self.faults = [Fault.MUTE]
-        #: The status that it saw, whether the answer was whole, whether it
-        #: went before that, and after how many seconds it was over.
+        #: The status, the duration in seconds, whether the answer was
+        #: complete, and whether the caller disconnected before that.
         self.status = 0
         self.seconds: float = 0
         self.is_complete = False
         self.has_left = False
 
     async def run(self, port: int) -> None:
-        """Send the request and keep what comes of it."""
+        """Send the request and record the outcome."""
         await asyncio.sleep(self.arrives_at)
         caller_channel = await channel.Channel.connect(HOST, port, 5)
         loop = asyncio.get_running_loop()
@@ -95,14 +95,14 @@
         except TimeoutError:
             self.has_left = True
         except channel.ChannelBrokenError:
-            """The answer isn't whole, and that is all that it knows."""
+            """The caller knows only that the answer is incomplete."""
         self.seconds = loop.time() - started_at
         self._end(caller_channel)
 
     async def _read(self, caller_channel: channel.Channel) -> None:
         self.status = (await caller_channel.read_head()).status
         while await caller_channel.read():
-            """Read to the end."""
+            """Read the answer to its end."""
         self.is_complete = True
 
     def _end(self, caller_channel: channel.Channel) -> None:
@@ -118,11 +118,11 @@
     def expected_cause(
         self, faults_met: list[Fault], *, was_cut: bool
     ) -> Cause | None:
-        """Return the cause, by what it and the endpoints saw.
+        """Return the cause according to the caller and the endpoints.
 
-        :param faults_met: what went wrong at endpoints, in order.
-        :param was_cut: whether its connection ended with the entry.
-        :returns: ``None`` for a request that was answered.
+        :param faults_met: faults of the endpoints on this request, in order.
+        :param was_cut: whether the connection ended when the entry exited.
+        :returns: the cause; ``None`` if the request was answered.
         """
         if self.has_left:
             return (
@@ -155,17 +155,17 @@
 
 
 class MixedWorkload:
-    """Many callers at once, and what became of each."""
+    """Many concurrent callers and the records of their requests."""
 
     def __init__(self, seed: int) -> None:
         rng = random.Random(seed)
         self.callers = [Caller(number, rng) for number in range(REQUESTS)]
-        #: Faults that requests met, at any endpoint, in order.
+        #: Request ids and faults, from all endpoints, in order.
         self.faults_met: list[tuple[str, Fault]] = []
         self.cut_request_ids: set[str] = set()
 
     async def play(self, world: path_world.PathWorld) -> None:
-        """Play it: a key is taken away, and the entry ends at last."""
+        """Run all callers; a key is withdrawn, and finally the entry exits."""
         faults = {caller.id: list(caller.faults) for caller in self.callers}
         for endpoint in world.endpoints:
             endpoint.faults_by_request = faults
@@ -188,7 +188,7 @@
         await asyncio.gather(*unfinished)
 
     def expected_causes(self) -> dict[str, Cause]:
-        """Return the cause of each request that failed, by its id."""
+        """Return the expected causes of failed requests by request id."""
         found = {
             caller.id: caller.expected_cause(
                 [fault for name, fault in self.faults_met if name == caller.id],
@@ -200,10 +200,10 @@
 
 
 class MixedTest(testtools.TestCase):
-    """Fifty of the requests that failed, sampled_ids by a seed."""
+    """Causes of a random sample of fifty failed requests."""
 
     def test_causes(self) -> None:
-        """None is told a wrong cause, and at most five are not known."""
+        """No cause is wrong, and at most five are unknown."""
         mixed = MixedWorkload(SEED)
         collection = stories.LogCollection()
         collection.add('entry-1', test_causes.capture_lines(mixed.play))
--- a/tests/observability/test_line_table.py
+++ b/tests/observability/test_line_table.py
@@ -1,4 +1,4 @@
-"""Tests that log lines are what the table says."""
+"""Tests that the table of log lines is complete."""
 
 from __future__ import annotations
 
@@ -16,10 +16,10 @@
 
 
 class LineTableTest(testtools.TestCase):
-    """An engineer finds each line and each field explained."""
+    """All log lines and fields are documented."""
 
     def test_lines_of_a_day(self) -> None:
-        """Each line that a heavy day writes is in the table, and its fields."""
+        """The lines and fields that a heavy day writes are in the table."""
         unknown: set[str] = set()
 
         def check(message: typing.Any) -> None:
@@ -40,7 +40,7 @@
         self.assertEqual(set(), unknown)
 
     def test_fields_are_explained(self) -> None:
-        """Each field of a kind has a type and a meaning, and none is spare."""
+        """Each field of a line is described, and no description is unused."""
         used = {
             field
             for kind in line_table.KINDS_BY_MESSAGE.values()
@@ -49,5 +49,5 @@
         self.assertEqual(used, set(line_table.FIELDS_BY_NAME))
 
     def test_page(self) -> None:
-        """The operators' page is the one that the table makes."""
+        """The operators' page is up to date with the table."""
         self.assertEqual(line_table.render_page(), PAGE.read_text())
--- a/tests/observability/test_logs.py
+++ b/tests/observability/test_logs.py
@@ -1,4 +1,4 @@
-"""Tests of the logs' two formats."""
+"""Tests of the text and JSON formats of logs."""
 
 from __future__ import annotations
 
@@ -12,13 +12,13 @@
 
 
 class SecretsTest(testtools.TestCase):
-    """Events of faults hold no values of variables."""
+    """Logged tracebacks contain no values of variables."""
 
     def test_a_fault_shows_no_variables(self) -> None:
-        """Neither format writes what the variables of a traceback held.
+        """Neither format writes the values of variables in a traceback.
 
-        An operator reads the log of a fault and finds a caller's key and
-        prompt: the text format explained tracebacks with the values.
+        The text format annotated tracebacks with values, so that callers'
+        keys and prompts were in the log.
         """
         for log_format in ('text', logs.JSON):
             output = io.StringIO()
@@ -29,7 +29,7 @@
             self.assertNotIn('lantern-key', output.getvalue(), log_format)
 
     def setUp(self) -> None:
-        """Put the default sink aside."""
+        """Remove all sinks after the test."""
         super().setUp()
         self.addCleanup(logger.remove)
 
--- a/tests/observability/test_stories.py
+++ b/tests/observability/test_stories.py
@@ -1,4 +1,4 @@
-"""Tests of telling a request's story from logs."""
+"""Tests of the history of a request from logs."""
 
 from __future__ import annotations
 
@@ -11,7 +11,7 @@
 
 
 def line(second: float, message: str, **fields: typing.Any) -> bytes:
-    """Return one line of a log."""
+    """Return one line of a log as JSON."""
     time = f'2026-01-02T03:04:{second:06.3f}+00:00'
     common_fields = {
         'time': time,
@@ -36,10 +36,10 @@
 
 
 class StoryTest(testtools.TestCase):
-    """A request that may have run, whose caller got 502."""
+    """The history of a request that may have run and ended with status 502."""
 
     def explain(self, *more: bytes, request: str = 'r') -> stories.Story | None:
-        """Return a story from the entry's log with some more lines."""
+        """Return the history from the entry's log with additional lines."""
         collection = stories.LogCollection()
         collection.add('entry-1', [*ENTRY, *more])
         collection.add(
@@ -48,7 +48,7 @@
         return collection.build_story(request)
 
     def test_in_order(self) -> None:
-        """Its lines are in order, and the first that went wrong is named."""
+        """Lines are in order, and the first failure is given."""
         story = self.explain()
         assert story is not None
         self.assertEqual('sent', story.lines[0].message)
@@ -59,7 +59,7 @@
         self.assertEqual((), story.gaps)
 
     def test_observations(self) -> None:
-        """What was believed is the newest before it, of those that it met."""
+        """Observations are the newest of the processes and endpoints involved."""
         story = self.explain()
         assert story is not None
         age_by_observation = {
@@ -74,7 +74,7 @@
         self.assertEqual(2, len(age_by_observation))
 
     def test_deciding(self) -> None:
-        """A refusal for a key stands on the configuration in force then."""
+        """An unknown key is decided by the configuration in force."""
         refused = line(
             5,
             'refused',
@@ -90,24 +90,24 @@
         self.assertEqual(1, observation.age)
 
     def test_restart(self) -> None:
-        """What a process believed before it was restarted is no observation."""
+        """State from before a restart of the process is not reported."""
         story = self.explain(line(5, 'entry started', node='entry-1'))
         assert story is not None
         self.assertEqual((), story.observations)
 
     def test_unknown(self) -> None:
-        """A request that nobody wrote of has no story."""
+        """A request without log lines has no history."""
         self.assertIsNone(self.explain(request='other'))
 
     def test_foreign_lines(self) -> None:
-        """Cut lines and those of other programs are counted, no more."""
+        """Truncated lines and lines of other programs are only counted."""
         collection = stories.LogCollection()
         collection.add('entry-1', [ENTRY[4][:30], b'hello', b'[1]', b'', b'{}'])
         self.assertEqual(4, collection.unreadable_lines)
         self.assertIsNone(collection.build_story('r'))
 
     def test_gaps(self) -> None:
-        """What may be missing is said."""
+        """Lines that may be missing are reported."""
         collection = stories.LogCollection()
         dropped = b'{"level":"WARNING","message":"lines dropped","lines":9}'
         collection.add('entry-1', [ENTRY[4], dropped])
