--- a/clementinepass/observability/output.py
+++ b/clementinepass/observability/output.py
@@ -1,8 +1,9 @@
-"""Write structured log lines to standard output without ever waiting.
+"""Write structured log lines to standard output without blocking.
 
-A log that nobody reads fills its pipe, and a process that waits for room
-stops serving.  Lines wait in a bounded buffer instead; those that find no
-room, or come too fast, are counted, and the count is written once a second.
+If the reader of the log stops, its pipe fills up, and a process that blocks on
+it stops serving.  Lines are therefore kept in a bounded buffer.  Lines that
+exceed the buffer or the rate limit are dropped; their number is logged at most
+once a second.
 """
 
 from __future__ import annotations
@@ -15,52 +16,52 @@
 import msgspec
 from loguru import logger
 
-_STANDARD_OUTPUT = 1
-#: Bytes of lines that wait for their reader.
-_MOST_WAITING = 262144
-#: Lines a second of each level. Failures first: information on requests is
-#: what grows with the load.
-_LINES_BY_LEVEL = {'INFO': 150, 'WARNING': 150, 'ERROR': 100}
-_OTHER_LINES = 100
-#: Seconds that lines are gathered before they are written together.
-_GATHER_SECONDS = 0.05
+_STDOUT_DESCRIPTOR = 1
+#: Size of the buffer from which on lines are dropped.
+_MAX_BUFFERED_BYTES = 262144
+#: Rate limits per level. The number of lines on single requests grows with the
+#: load; with a limit of their own, they do not crowd out those on failures.
+_LINES_PER_SECOND_BY_LEVEL = {'INFO': 150, 'WARNING': 150, 'ERROR': 100}
+_DEFAULT_LINES_PER_SECOND = 100
+#: Seconds for which lines are collected before they are written together.
+_FLUSH_DELAY_SECONDS = 0.05
 
 
 class Output:
-    """Write lines to a descriptor that may take none.
+    """Write lines to a descriptor whose reader may be slow or stopped.
 
-    :param descriptor: set to not block.
+    :param descriptor: the file descriptor; it is set to non-blocking.
     """
 
     __slots__ = (
         '_descriptor',
-        '_dropped',
-        '_left_by_level',
-        '_scheduled',
-        '_second',
-        '_size',
-        '_waiting',
+        '_dropped_lines',
+        '_remaining_by_level',
+        '_is_flush_scheduled',
+        '_current_second',
+        '_buffered_bytes',
+        '_buffer',
     )
 
-    def __init__(self, descriptor: int = _STANDARD_OUTPUT) -> None:
+    def __init__(self, descriptor: int = _STDOUT_DESCRIPTOR) -> None:
         os.set_blocking(descriptor, False)
         self._descriptor = descriptor
-        self._waiting: list[bytes] = []
-        self._size = 0
-        self._dropped = 0
-        self._second = -1
-        self._left_by_level: dict[str, int] = {}
-        self._scheduled = False
+        self._buffer: list[bytes] = []
+        self._buffered_bytes = 0
+        self._dropped_lines = 0
+        self._current_second = -1
+        self._remaining_by_level: dict[str, int] = {}
+        self._is_flush_scheduled = False
 
     def install(self) -> None:
-        """Take all lines of this process."""
+        """Replace all log handlers of this process by this one."""
         logger.remove()
-        logger.add(self.take, level='INFO', format='{message}')
+        logger.add(self.write, level='INFO', format='{message}')
 
-    def take(self, message: typing.Any) -> None:
-        """Take one line from the logging library."""
+    def write(self, message: typing.Any) -> None:
+        """Buffer one log message, unless it exceeds a limit."""
         record = message.record
-        if not self._fits(
+        if not self._admit(
             record['level'].name, int(record['time'].timestamp())
         ):
             return
@@ -75,57 +76,61 @@
             line['exception'] = ''.join(
                 traceback.format_exception(record['exception'].value),
             )
-        self._put(msgspec.json.encode(line, enc_hook=str))
+        self._enqueue(msgspec.json.encode(line, enc_hook=str))
 
     def flush(self) -> None:
-        """Write what the descriptor takes now."""
-        self._scheduled = False
-        if not self._waiting:
+        """Write as much of the buffer as the descriptor accepts now."""
+        self._is_flush_scheduled = False
+        if not self._buffer:
             return
-        payload = b''.join(self._waiting)
+        payload = b''.join(self._buffer)
         try:
             written = os.write(self._descriptor, payload)
         except BlockingIOError:
             written = 0
         except OSError:
-            # Nobody will ever read it.
+            # The reader is gone: the lines are discarded.
             written = len(payload)
         rest = payload[written:]
-        self._waiting = [rest] if rest else []
-        self._size = len(rest)
+        self._buffer = [rest] if rest else []
+        self._buffered_bytes = len(rest)
         if rest:
-            self._schedule()
-
-    def _fits(self, level: str, second: int) -> bool:
-        if second != self._second:
-            self._second = second
-            self._left_by_level = dict(_LINES_BY_LEVEL)
-            self._tell_dropped()
-        left = self._left_by_level.get(level, _OTHER_LINES)
-        self._left_by_level[level] = left - 1
-        if left > 0 and self._size < _MOST_WAITING:
+            self._schedule_flush()
+
+    def _admit(self, level: str, second: int) -> bool:
+        if second != self._current_second:
+            self._current_second = second
+            self._remaining_by_level = dict(_LINES_PER_SECOND_BY_LEVEL)
+            self._report_dropped()
+        remaining = self._remaining_by_level.get(
+            level, _DEFAULT_LINES_PER_SECOND
+        )
+        self._remaining_by_level[level] = remaining - 1
+        if remaining > 0 and self._buffered_bytes < _MAX_BUFFERED_BYTES:
             return True
-        self._dropped += 1
+        self._dropped_lines += 1
         return False
 
-    def _tell_dropped(self) -> None:
-        if self._dropped:
+    def _report_dropped(self) -> None:
+        if self._dropped_lines:
             line = {'level': 'WARNING', 'message': 'lines dropped'}
-            self._put(msgspec.json.encode({**line, 'lines': self._dropped}))
-            self._dropped = 0
+            self._enqueue(
+                msgspec.json.encode({**line, 'lines': self._dropped_lines})
+            )
+            self._dropped_lines = 0
 
-    def _put(self, line: bytes) -> None:
-        self._waiting.append(b'%b\n' % line)
-        self._size += len(line) + 1
-        self._schedule()
+    def _enqueue(self, line: bytes) -> None:
+        self._buffer.append(b'%b\n' % line)
+        self._buffered_bytes += len(line) + 1
+        self._schedule_flush()
 
-    def _schedule(self) -> None:
-        if self._scheduled:
+    def _schedule_flush(self) -> None:
+        if self._is_flush_scheduled:
             return
         try:
             loop = asyncio.get_running_loop()
         except RuntimeError:
             self.flush()
             return
-        self._scheduled = True
-        loop.call_later(_GATHER_SECONDS, self.flush)
+        self._is_flush_scheduled = True
+        loop.call_later(_FLUSH_DELAY_SECONDS, self.flush)
