--- a/clementinepass/direct/cluster_state.py
+++ b/clementinepass/direct/cluster_state.py
@@ -58,8 +58,9 @@
         self._clock = clock
         #: Called when a newer desired version is known, to announce it at once.
         self.on_desired_version: Callable[[], None] | None = None
-        #: Returns the monotonic seconds at which the store last answered a
-        #: read of the operator's records; 0 before the first answer.
+        #: Returns the monotonic seconds of the last contact for the operator's
+        #: records: an answer of the store, or a heartbeat of an entry that
+        #: reads the store for this one. 0 before the first.
         self.last_store_contact: Callable[[], float] = float
         #: The configuration in force; ``None`` until the first one arrives.
         self.routing: routing.Routing | None = None
@@ -90,9 +91,9 @@
 
     @property
     def store_age(self) -> float | None:
-        """Return the seconds since the operator's records were last read.
+        """Return the seconds since the last contact for the operator's records.
 
-        ``None`` before the first answer of the store.
+        ``None`` before the first.
         """
         contact = self.last_store_contact()
         return round(self._clock() - contact, 3) if contact else None
