--- a/clementinepass/direct/path.py
+++ b/clementinepass/direct/path.py
@@ -109,7 +109,9 @@
         admitted = self._admit(call, reply)
         if admitted is None:
             return
-        seconds_draining = self._drain_state.seconds_draining(request.received)
+        seconds_draining = self._drain_state.seconds_draining(
+            request.received_at
+        )
         if seconds_draining is not None:
             self._log.log_accepted_while_draining(admitted, seconds_draining)
         timeout = asyncio.timeout_at(admitted.deadline)
@@ -332,11 +334,11 @@
     ) -> None:
         """Give the final answer to a request that has none."""
         reply = admitted.reply
-        if reply.done:
+        if reply.is_done:
             return
-        if reply.begun:
+        if reply.is_started:
             self._log.log_ended(admitted, ending, 0)
-            reply.break_off()
+            reply.abort()
             return
         if admitted.failed_answer is not None:
             failed_answer = admitted.failed_answer
@@ -374,7 +376,7 @@
     """
     remaining = admitted.deadline - now
     is_stream = admitted.route.kind is routing.RouteKind.STREAM
-    if not is_stream or admitted.reply.begun:
+    if not is_stream or admitted.reply.is_started:
         return remaining
     caller_leaves_at = calls.first_event_deadline(admitted.call, admitted.route)
     return min(remaining, caller_leaves_at - now - _FIRST_EVENT_MARGIN_SECONDS)
