--- a/clementinepass/direct/catching_up.py
+++ b/clementinepass/direct/catching_up.py
@@ -232,10 +232,10 @@
         )
         peers = pool.Pool(ip, self._local_node.first_port)
         try:
-            fetched = await pool.fetch(
+            answer = await pool.fetch(
                 peers, request, self._fetch_timeout_seconds
             )
-            page = wire_heartbeats.read_records(_decompress(fetched, ip), ip)
+            page = wire_heartbeats.read_records(_decompress(answer, ip), ip)
         except errors.ClementinepassError as error:
             logger.bind(peer=ip).info('records not fetched: {}', error)
             return
@@ -259,16 +259,16 @@
         ).info('records taken from a peer')
 
 
-def _decompress(fetched: pool.Answer, peer: str) -> bytes:
+def _decompress(answer: pool.Answer, peer: str) -> bytes:
     """Return the decompressed body of a response.
 
     :raises MalformedMessageError: the body is corrupt, truncated or too long.
     """
-    if b'deflate' not in fetched.headers.tokens(b'content-encoding'):
-        return fetched.body
+    if b'deflate' not in answer.headers.tokens(b'content-encoding'):
+        return answer.body
     reader = zlib.decompressobj()
     try:
-        body = reader.decompress(fetched.body, _MAX_RECORDS_BYTES)
+        body = reader.decompress(answer.body, _MAX_RECORDS_BYTES)
     except zlib.error as error:
         raise errors.MalformedMessageError(
             str(error),
