--- a/clementinepass/direct/departure.py
+++ b/clementinepass/direct/departure.py
@@ -56,15 +56,15 @@
         configuration = self._cluster.routing
         timeouts = () if configuration is None else configuration.timeouts
         duties = self._local_node.duties
-        accepting_seconds = decisions.accepting_seconds(duties.grace, timeouts)
-        return decisions.list_policy(accepting_seconds, duties.longest_offer)
+        acceptance_seconds = decisions.accepting_seconds(duties.grace, timeouts)
+        return decisions.list_policy(acceptance_seconds, duties.longest_offer)
 
-    def list_max_age(self, now: float) -> float:
+    def list_ttl_seconds(self, now: float) -> float:
         """Return for how long a list is to be kept that is told now."""
-        max_age = self.list_policy.ttl_seconds
-        expires_at = now + decisions.max_kept_seconds(max_age)
+        ttl_seconds = self.list_policy.ttl_seconds
+        expires_at = now + decisions.max_kept_seconds(ttl_seconds)
         self._lists_expire_at = max(self._lists_expire_at, expires_at)
-        return max_age
+        return ttl_seconds
 
     def start(self, now: float) -> decisions.DrainPlan:
         """Begin to leave; return the times of it."""
--- a/clementinepass/direct/directory.py
+++ b/clementinepass/direct/directory.py
@@ -15,7 +15,7 @@
     def is_ready(self) -> bool:
         """Tell whether callers may be sent here."""
 
-    def list_max_age(self, now: float) -> float:
+    def list_ttl_seconds(self, now: float) -> float:
         """Return for how long callers may keep a list that is told now."""
 
     def listed_addresses(self, now: float) -> list[str]:
--- a/clementinepass/direct/entry.py
+++ b/clementinepass/direct/entry.py
@@ -126,9 +126,9 @@
         """Tell whether callers may be sent here."""
         return self.peers.phase is members.Phase.READY
 
-    def list_max_age(self, now: float) -> float:
+    def list_ttl_seconds(self, now: float) -> float:
         """Return for how long callers may keep a list that is told now."""
-        return self._drain_state.list_max_age(now)
+        return self._drain_state.list_ttl_seconds(now)
 
     def listed_addresses(self, now: float) -> list[str]:
         """Return the callers' addresses of entries to use."""
@@ -144,8 +144,10 @@
         also those that took nothing any more. The ones told last still take
         what comes.
         """
-        offer_seconds = self._drain_state.list_policy.listed_seconds
-        draining_members = self.peers.members.leaving_lately(now, offer_seconds)
+        listed_seconds = self._drain_state.list_policy.listed_seconds
+        draining_members = self.peers.members.leaving_lately(
+            now, listed_seconds
+        )
         addresses = [member.callers for member in draining_members]
         if not addresses or self._drain_state.is_listed(now):
             addresses.append(self._local_node.callers)
--- a/clementinepass/direct/path.py
+++ b/clementinepass/direct/path.py
@@ -205,14 +205,14 @@
             ending,
             status,
             request_log.RefusalContext(
-                configuration=self._cluster.configuration,
-                last_in=self._last_configuration_with(call, ending),
-                store_age=self._cluster.store_age,
+                configuration_version=self._cluster.configuration,
+                last_matching_version=self._last_matching_version(call, ending),
+                store_age_seconds=self._cluster.store_age,
             ),
         )
         reply.send(status, pairs, b'')
 
-    def _last_configuration_with(
+    def _last_matching_version(
         self, call: calls.Call, ending: serving.Ending
     ) -> int:
         """Return the newest configuration with what a call lacks."""
--- a/clementinepass/direct/request_log.py
+++ b/clementinepass/direct/request_log.py
@@ -59,9 +59,9 @@
         ``None`` for never.
     """
 
-    configuration: int
-    last_in: int
-    store_age: float | None
+    configuration_version: int
+    last_matching_version: int
+    store_age_seconds: float | None
 
 
 class RequestLog:
@@ -135,9 +135,9 @@
             status=status,
             host=call.host.decode('latin-1'),
             path=call.request.path[:_MAX_PATH_BYTES].decode('latin-1'),
-            configuration=context.configuration,
-            last_in=context.last_in,
-            store_age=context.store_age,
+            configuration=context.configuration_version,
+            last_in=context.last_matching_version,
+            store_age=context.store_age_seconds,
         ).info('refused')
 
     def log_overloaded(
--- a/clementinepass/direct/selection.py
+++ b/clementinepass/direct/selection.py
@@ -79,15 +79,15 @@
     ) -> endpoints.Endpoint | None:
         """Choose an endpoint; ``None`` if there is none with room."""
         now = asyncio.get_running_loop().time()
-        candidates = self._cluster.candidates(admitted.service, now)
+        usable = self._cluster.candidates(admitted.service, now)
         untried = [
             endpoint
-            for endpoint in candidates
+            for endpoint in usable
             if endpoint.listing.id not in admitted.tried_endpoint_ids
         ]
         engine = admitted.service.engine
-        options = self._options(self._healthy(untried, now), engine, now)
-        startable = _startable_in_time(admitted, options)
+        candidates = self._candidates(self._healthy(untried, now), engine, now)
+        startable = _startable_in_time(admitted, candidates)
         choice = endpoint_choice.choose(startable, self._rng)
         if choice is None:
             admitted.retry_after = first_event.MAX_RETRY_AFTER
@@ -117,7 +117,7 @@
         ]
         return healthy or untried
 
-    def _options(
+    def _candidates(
         self,
         healthy: list[endpoints.Endpoint],
         engine: routing.Engine | None,
@@ -211,26 +211,26 @@
         admitted.retry_after = first_event.retry_after(
             choice.queue_depth, service_rate
         )
-        queued_request = first_event.PendingRequest(
+        pending_request = first_event.PendingRequest(
             queue_depth=choice.queue_depth,
             slots=choice.slots,
             prompt_tokens=admitted.call.prompt_tokens,
             latency_target=admitted.route.latency_target,
             elapsed_seconds=now - admitted.call.request.received,
         )
-        return first_event.meets_target(queued_request, service_rate)
+        return first_event.meets_target(pending_request, service_rate)
 
 
 def _startable_in_time(
     admitted: serving.AdmittedRequest,
-    options: list[endpoint_choice.Candidate],
+    candidates: list[endpoint_choice.Candidate],
 ) -> list[endpoint_choice.Candidate]:
     """Return the endpoints whose weights are allowed when it begins there."""
     engine = admitted.service.engine
     if engine is None:
-        return options
+        return candidates
     request = timely_start.Request(
         admitted.call.prompt_tokens,
         engine.mean_prompt_tokens,
     )
-    return timely_start.filter_timely(request, options, engine.service_rate)
+    return timely_start.filter_timely(request, candidates, engine.service_rate)
--- a/clementinepass/platform/directory.py
+++ b/clementinepass/platform/directory.py
@@ -58,5 +58,5 @@
     ) -> None:
         now = asyncio.get_running_loop().time()
         found = entry_directory.listed_addresses(now)[:_MOST_ADDRESSES]
-        resolved = _Resolved(found, entry_directory.list_max_age(now))
+        resolved = _Resolved(found, entry_directory.list_ttl_seconds(now))
         reply.send(_OK, _JSON, msgspec.json.encode(resolved))
--- a/tests/direct/path_world.py
+++ b/tests/direct/path_harness.py
@@ -49,7 +49,7 @@
 
 def route(name: str, **changes: typing.Any) -> routing.Route:
     """Return a route for a prefix of the same name."""
-    usual: dict[str, typing.Any] = {
+    defaults: dict[str, typing.Any] = {
         'name': name,
         'host': b'h',
         'prefix': f'/{name}/'.encode(),
@@ -61,7 +61,7 @@
         'max_runs': 2,
         'is_resumable': True,
     }
-    return routing.Route(**{**usual, **changes})
+    return routing.Route(**{**defaults, **changes})
 
 
 ROUTES = (
@@ -76,30 +76,30 @@
 )
 
 
-class PathWorld:
+class PathHarness:
     """A path, its front and some endpoints."""
 
-    def __init__(self, count: int = 2, own: node.Node = NODE) -> None:
+    def __init__(self, count: int = 2, local_node: node.Node = NODE) -> None:
         self.endpoints = [
             direct_endpoint.DirectEndpoint(f'i-{number}')
             for number in range(count)
         ]
-        self.cluster = cluster_state.ClusterState(own)
-        self.departure = departure.DrainState(own, self.cluster)
+        self.cluster = cluster_state.ClusterState(local_node)
+        self.departure = departure.DrainState(local_node, self.cluster)
         #: Other entries that callers may be sent to.
-        self.others_ready = 0
+        self.ready_peers = 0
         log = request_log.RequestLog(aioprometheus.Registry())
         spelling = dialect.HeaderDialect()
         self.sender = attempt.Sender(self.cluster, spelling, log)
         self.path = path.RequestHandler(
-            own,
+            local_node,
             self.cluster,
             spelling,
             self.sender,
             log,
             lambda: 1,
             self.departure,
-            lambda: self.others_ready,
+            lambda: self.ready_peers,
             random.Random(3),
         )
         self.front = front.Front(self.path.serve)
@@ -108,19 +108,19 @@
 
     async def __aenter__(self) -> typing.Self:
         """Listen and believe in all endpoints."""
-        for one in self.endpoints:
-            await one.__aenter__()
-            self.listed(one)
+        for endpoint in self.endpoints:
+            await endpoint.__aenter__()
+            self.list_endpoint(endpoint)
         self.configure(1, ROUTES)
         self.port = await self.front.listen(HOST, 0)
         self._callers = pool.Pool(HOST, self.port)
         return self
 
-    async def __aexit__(self, *raised: object) -> None:
+    async def __aexit__(self, *exc_info: object) -> None:
         """Close everything."""
         await self.front.close()
-        for one in self.endpoints:
-            await one.__aexit__()
+        for endpoint in self.endpoints:
+            await endpoint.__aexit__()
 
     def configure(
         self,
@@ -139,36 +139,36 @@
             ),
         )
 
-    def listed(
+    def list_endpoint(
         self,
-        one: direct_endpoint.DirectEndpoint,
+        endpoint: direct_endpoint.DirectEndpoint,
         **changes: typing.Any,
     ) -> None:
         """Believe what an endpoint says of itself."""
-        usual = endpoints.Listing(
-            one.id,
+        listing = endpoints.Listing(
+            endpoint.id,
             'pool',
-            one.address,
+            endpoint.address,
             'north-1',
             16,
             draining=False,
-            heartbeat=len(one.came),
+            heartbeat=len(endpoint.came),
             weights=endpoints.Weights(1, 0, 2),
         )
-        self.cluster.listed(usual._replace(**changes))
+        self.cluster.listed(listing._replace(**changes))
 
-    def kept(self, endpoint_id: str) -> list[channel.Channel]:
+    def idle_connections(self, endpoint_id: str) -> list[channel.Channel]:
         """Return the idle connections that are kept to an endpoint."""
-        kept = self.sender._pools_by_id[endpoint_id]
-        return list(kept.connections._idle)
+        endpoint_pool = self.sender._pools_by_id[endpoint_id]
+        return list(endpoint_pool.connections._idle)
 
     def fail_first(self, *faults: direct_endpoint.Fault) -> None:
         """Let the first endpoints that are asked fail, whichever they are."""
         shared = list(faults)
-        for one in self.endpoints:
-            one.faults = shared
+        for endpoint in self.endpoints:
+            endpoint.faults = shared
 
-    async def ask(
+    async def send(
         self,
         target: str,
         body: bytes = b'body',
@@ -183,19 +183,23 @@
         )
 
     @property
-    def ran(self) -> list[messages.Request]:
+    def executed_requests(self) -> list[messages.Request]:
         """Return the requests that ran, at any endpoint."""
-        return [request for one in self.endpoints for request in one.ran]
+        return [
+            request for endpoint in self.endpoints for request in endpoint.ran
+        ]
 
     @property
-    def came(self) -> list[messages.Request]:
+    def received_requests(self) -> list[messages.Request]:
         """Return the requests that reached any endpoint."""
-        return [request for one in self.endpoints for request in one.came]
+        return [
+            request for endpoint in self.endpoints for request in endpoint.came
+        ]
 
 
 def request(target: str, body: bytes = b'body', **headers: str) -> bytes:
     """Return a caller's request; a header of no text is left out."""
-    usual = {
+    defaults = {
         'Host': 'h',
         'X_Attempt_Id': 'r-1',
         'X_Deadline_Ms': '9000',
@@ -203,21 +207,24 @@
     }
     pairs = [
         (name.replace('_', '-').encode(), field.encode())
-        for name, field in {**usual, **headers}.items()
+        for name, field in {**defaults, **headers}.items()
         if field
     ]
     return messages.request_bytes(b'POST', target.encode(), pairs, body)
 
 
 def run(
-    play: typing.Callable[[PathWorld], typing.Awaitable[None]],
+    scenario: typing.Callable[[PathHarness], typing.Awaitable[None]],
     count: int = 2,
-    own: node.Node = NODE,
+    local_node: node.Node = NODE,
 ) -> None:
-    """Play in a world of some endpoints."""
+    """Play in a harness of some endpoints."""
 
     async def played() -> None:
-        async with PathWorld(count, own) as world, asyncio.timeout(30):
-            await play(world)
+        async with (
+            PathHarness(count, local_node) as harness,
+            asyncio.timeout(30),
+        ):
+            await scenario(harness)
 
     asyncio.run(played())
--- a/tests/direct/test_endpoint_loads.py
+++ b/tests/direct/test_endpoint_loads.py
@@ -50,49 +50,49 @@
     return heartbeats.Load(active, queued, started)
 
 
-class ReportedTest(testtools.TestCase):
+class ReportedLoadTest(testtools.TestCase):
     """An engine's load as its agent tells it."""
 
     def setUp(self) -> None:
         """Know an engine, and another entry's count of its requests there."""
         super().setUp()
-        self.known = cluster_state.ClusterState(test_cluster_state.OWN)
-        self.known.listed(listing())
-        self.known.loads.update_peer_counts('10.0.0.8', {'i-1': 9}, NOW)
-        (self.engine,) = self.known.endpoints
+        self.cluster = cluster_state.ClusterState(test_cluster_state.OWN)
+        self.cluster.listed(listing())
+        self.cluster.loads.update_peer_counts('10.0.0.8', {'i-1': 9}, NOW)
+        (self.engine,) = self.cluster.endpoints
 
     def total(self, after: float = 0) -> int:
         """Return the requests at the engine."""
-        return self.known.loads.total(self.engine, NOW + after)
+        return self.cluster.loads.total(self.engine, NOW + after)
 
     def test_goes_before_counts(self) -> None:
         """Counts of others are old where there are many entries."""
         self.assertEqual(9, self.total())
-        self.known.heard_load(HOST, load(3, 2), NOW)
+        self.cluster.heard_load(HOST, load(3, 2), NOW)
 
         self.assertEqual(5, self.total())
-        self.assertEqual(2, self.known.loads.unstarted(self.engine, NOW))
+        self.assertEqual(2, self.cluster.loads.unstarted(self.engine, NOW))
 
     def test_sent_since(self) -> None:
         """What was sent since the last report is added until the next."""
-        self.known.heard_load(HOST, load(3, 0), NOW)
+        self.cluster.heard_load(HOST, load(3, 0), NOW)
         for after in (0.05, 0.09):
             self.engine.reported_load.record_sent(NOW + after)
         self.assertEqual(5, self.total())
 
-        self.known.heard_load(HOST, load(4, 0), NOW + 0.2)
+        self.cluster.heard_load(HOST, load(4, 0), NOW + 0.2)
         self.assertEqual(4, self.total())
 
     def test_sent_meanwhile(self) -> None:
         """A report left before a request came that was sent before it came."""
         self.engine.reported_load.record_sent(NOW)
-        self.known.heard_load(HOST, load(3, 0), NOW + 0.01)
+        self.cluster.heard_load(HOST, load(3, 0), NOW + 0.01)
 
         self.assertEqual(4, self.total())
 
     def test_agent_silent(self) -> None:
         """Placing went on by the last report of an agent that was killed."""
-        self.known.heard_load(HOST, load(0, 0), NOW)
+        self.cluster.heard_load(HOST, load(0, 0), NOW)
         self.assertEqual(0, self.total(after=0.9))
         self.assertEqual(9, self.total(after=1.1))
 
@@ -101,39 +101,39 @@
 
         To those others the engine looked empty, and drew their requests.
         """
-        self.known.loads.update_peer_counts('10.0.0.8', {}, NOW)
-        self.known.heard_load(HOST, load(8, 5), NOW)
+        self.cluster.loads.update_peer_counts('10.0.0.8', {}, NOW)
+        self.cluster.heard_load(HOST, load(8, 5), NOW)
         self.assertEqual(13, self.total(after=1.1))
         self.assertEqual(0, self.total(after=5.1))
 
     def test_start_before(self) -> None:
         """A report of the engine's start before came after its crash."""
-        self.known.listed(listing(started=5)._replace(heartbeat=2))
-        (self.engine,) = self.known.endpoints
-        self.known.heard_load(HOST, load(8, 8, started=4), NOW)
+        self.cluster.listed(listing(started=5)._replace(heartbeat=2))
+        (self.engine,) = self.cluster.endpoints
+        self.cluster.heard_load(HOST, load(8, 8, started=4), NOW)
 
         self.assertEqual(0, self.engine.reported_load.total)
 
     def test_told_to_others(self) -> None:
         """Entries count to one another only what no agent reports."""
         self.engine.in_flight = 2
-        self.assertEqual({'i-1': 2}, self.known.in_flight_by_endpoint(NOW))
+        self.assertEqual({'i-1': 2}, self.cluster.in_flight_by_endpoint(NOW))
 
-        self.known.heard_load(HOST, load(2, 0), NOW)
-        self.assertEqual({}, self.known.in_flight_by_endpoint(NOW))
+        self.cluster.heard_load(HOST, load(2, 0), NOW)
+        self.assertEqual({}, self.cluster.in_flight_by_endpoint(NOW))
         self.assertEqual(
-            {'i-1': 2}, self.known.in_flight_by_endpoint(NOW + 1.1)
+            {'i-1': 2}, self.cluster.in_flight_by_endpoint(NOW + 1.1)
         )
 
     def test_gone_from_the_list(self) -> None:
         """An address that another endpoint has taken over."""
         other = listing()._replace(id='i-2', service='t')
-        self.known.endpoints.apply_listing(other)
-        self.assertEqual(2, len(self.known.endpoints.at_ip(HOST)))
-        self.known.endpoints.mark_removed('i-1', NOW, 0)
-        self.known.endpoints.remove_expired(NOW + 10)
+        self.cluster.endpoints.apply_listing(other)
+        self.assertEqual(2, len(self.cluster.endpoints.at_ip(HOST)))
+        self.cluster.endpoints.mark_removed('i-1', NOW, 0)
+        self.cluster.endpoints.remove_expired(NOW + 10)
 
-        (left,) = self.known.endpoints.at_ip(HOST)
+        (left,) = self.cluster.endpoints.at_ip(HOST)
         self.assertEqual('i-2', left.listing.id)
 
 
@@ -142,16 +142,18 @@
 
     def test_lease(self) -> None:
         """An entry that was killed is told no longer than its lease."""
-        known = subscribers.Subscribers()
-        known.renewed('10.0.0.1', NOW)
-        known.renewed('10.0.0.2', NOW)
-        known.renewed('10.0.0.2', NOW + 2)
+        agent_subscribers = subscribers.Subscribers()
+        agent_subscribers.renewed('10.0.0.1', NOW)
+        agent_subscribers.renewed('10.0.0.2', NOW)
+        agent_subscribers.renewed('10.0.0.2', NOW + 2)
 
-        self.assertEqual(['10.0.0.1', '10.0.0.2'], known.due(NOW + 3))
-        self.assertEqual([], known.due(NOW + 3.02))
-        self.assertEqual(['10.0.0.2'], known.due(NOW + 4))
-        self.assertEqual([], known.due(NOW + 9))
-        self.assertEqual(0, len(known))
+        self.assertEqual(
+            ['10.0.0.1', '10.0.0.2'], agent_subscribers.due(NOW + 3)
+        )
+        self.assertEqual([], agent_subscribers.due(NOW + 3.02))
+        self.assertEqual(['10.0.0.2'], agent_subscribers.due(NOW + 4))
+        self.assertEqual([], agent_subscribers.due(NOW + 9))
+        self.assertEqual(0, len(agent_subscribers))
 
 
 class SubscribingTest(testtools.TestCase):
@@ -160,11 +162,11 @@
     def setUp(self) -> None:
         """Know near and far engines, every second one without weights."""
         super().setUp()
-        self.known = cluster_state.ClusterState(test_cluster_state.OWN)
-        self.known.routing = routing_of_engines()
+        self.cluster = cluster_state.ClusterState(test_cluster_state.OWN)
+        self.cluster.routing = routing_of_engines()
         for number in range(30):
             weights = endpoints.Weights(number % 2, 0, 4 * (number % 2))
-            self.known.listed(
+            self.cluster.listed(
                 listing()._replace(
                     id=f'i-{number}',
                     address=f'10.2.0.{number}:80',
@@ -173,36 +175,36 @@
                 )
             )
         self.subscribing = subscribing.Subscribing(
-            test_cluster_state.OWN, self.known, lambda ips: None
+            test_cluster_state.OWN, self.cluster, lambda ips: None
         )
 
-    def due(self, after: float = 0) -> set[int]:
+    def due_engines(self, after: float = 0) -> set[int]:
         """Return the numbers of the engines whose agents are asked now."""
         ips = self.subscribing.due(NOW + after)
         return {int(ip.rpartition('.')[2]) for ip in ips}
 
     def test_usable_engines(self) -> None:
         """Engines that had no weights yet took the place of those that work."""
-        far = {number for number in self.due() if number >= 10}
+        far = {number for number in self.due_engines() if number >= 10}
 
         self.assertEqual(7, len(far))
         self.assertEqual({1}, {number % 2 for number in far})
 
     def test_near_engines_without_weights(self) -> None:
         """Agents of added engines knew nobody to tell of their weights."""
-        near = {number for number in self.due() if number < 10}
+        near = {number for number in self.due_engines() if number < 10}
         self.assertEqual(set(range(10)), near)
 
     def test_renewed(self) -> None:
         """An agent is asked again each second, a new one at once."""
-        first = self.due()
-        self.assertEqual(set(), self.due(after=0.9))
-        self.known.listed(
+        first = self.due_engines()
+        self.assertEqual(set(), self.due_engines(after=0.9))
+        self.cluster.listed(
             listing()._replace(
                 id='i-99',
                 address='10.2.0.99:80',
                 weights=endpoints.Weights(0, 0, 0),
             )
         )
-        self.assertEqual({99}, self.due(after=0.9))
-        self.assertEqual(first, self.due(after=1.5) - {99})
+        self.assertEqual({99}, self.due_engines(after=0.9))
+        self.assertEqual(first, self.due_engines(after=1.5) - {99})
--- a/tests/direct/test_leaving.py
+++ b/tests/direct/test_leaving.py
@@ -19,54 +19,54 @@
     routing,
 )
 from clementinepass.http import limits
-from tests.direct import path_world
+from tests.direct import path_harness
 
 #: A node whose entry has two seconds from SIGTERM to SIGKILL; routes of these
 #: tests allow ten.
-HURRIED = msgspec.structs.replace(
-    path_world.NODE,
-    duties=msgspec.structs.replace(path_world.DUTIES, grace=2),
+SHORT_GRACE_NODE = msgspec.structs.replace(
+    path_harness.NODE,
+    duties=msgspec.structs.replace(path_harness.DUTIES, grace=2),
 )
 #: The same with five minutes.
-PATIENT = msgspec.structs.replace(
-    path_world.NODE,
-    duties=msgspec.structs.replace(path_world.DUTIES, grace=300),
+LONG_GRACE_NODE = msgspec.structs.replace(
+    path_harness.NODE,
+    duties=msgspec.structs.replace(path_harness.DUTIES, grace=300),
 )
 
 
-class Quiet:
+class NoPeers:
     """The other entries, of which none is there."""
 
     def __init__(self) -> None:
         self.phase = members.Phase.READY
         #: The phases that were told.
-        self.told: list[members.Phase] = []
+        self.announced_phases: list[members.Phase] = []
 
     def speak(self) -> None:
         """Note what would be told."""
-        self.told.append(self.phase)
+        self.announced_phases.append(self.phase)
 
 
-async def told_to_end(
-    world: path_world.PathWorld,
-    peers: Quiet | None = None,
+async def send_sigterm(
+    harness: path_harness.PathHarness,
+    peers: NoPeers | None = None,
 ) -> asyncio.Task[None]:
     """Send SIGTERM; return what ends the entry."""
-    leave = leaving.Drainer(
-        world.front,
-        world.path,
-        typing.cast('typing.Any', peers or Quiet()),
-        world.departure,
+    drainer = leaving.Drainer(
+        harness.front,
+        harness.path,
+        typing.cast('typing.Any', peers or NoPeers()),
+        harness.departure,
     )
 
-    async def ended() -> None:
-        await leave.wait_until_drained()
-        await world.front.close()
+    async def drain_and_close() -> None:
+        await drainer.wait_until_drained()
+        await harness.front.close()
 
-    task = asyncio.create_task(ended())
+    task = asyncio.create_task(drain_and_close())
     await asyncio.sleep(0)
     signal.raise_signal(signal.SIGTERM)
-    while world.departure.plan is None:
+    while harness.departure.plan is None:
         await asyncio.sleep(0)
     return task
 
@@ -84,16 +84,16 @@
     def test_stream_that_outlives_the_entry(self) -> None:
         """A stream that may last longer is refused, and never ran."""
 
-        async def play(world: path_world.PathWorld) -> None:
-            for one in world.endpoints:
+        async def scenario(harness: path_harness.PathHarness) -> None:
+            for one in harness.endpoints:
                 one.going.clear()
-            ended = await told_to_end(world)
-            fetched = await world.ask('/stream/a')
-            self.assertEqual(503, fetched.status)
-            self.assertEqual([], world.came)
-            await ended
+            drained = await send_sigterm(harness)
+            answer = await harness.send('/stream/a')
+            self.assertEqual(503, answer.status)
+            self.assertEqual([], harness.received_requests)
+            await drained
 
-        path_world.run(play, own=HURRIED)
+        path_harness.run(scenario, local_node=SHORT_GRACE_NODE)
 
     def test_short_request_is_served(self) -> None:
         """What ends in time is taken, and told to use the connection no more.
@@ -101,19 +101,19 @@
         The entry waits for it, though no list names it any more.
         """
 
-        async def play(world: path_world.PathWorld) -> None:
-            ended = await told_to_end(world)
-            for one in world.endpoints:
+        async def scenario(harness: path_harness.PathHarness) -> None:
+            drained = await send_sigterm(harness)
+            for one in harness.endpoints:
                 one.going.clear()
-            asked = asyncio.create_task(world.ask('/plain/brief/a'))
-            while not world.came:
+            answering = asyncio.create_task(harness.send('/plain/brief/a'))
+            while not harness.received_requests:
                 await asyncio.sleep(0)
-            for one in world.endpoints:
+            for one in harness.endpoints:
                 one.going.set()
-            self.assertEqual(200, (await asked).status)
-            await ended
+            self.assertEqual(200, (await answering).status)
+            await drained
 
-        path_world.run(play, own=HURRIED)
+        path_harness.run(scenario, local_node=SHORT_GRACE_NODE)
 
     def test_final_answer_before_the_end(self) -> None:
         """A request that came before SIGTERM has no answer at the end.
@@ -122,17 +122,17 @@
         request may have run.
         """
 
-        async def play(world: path_world.PathWorld) -> None:
-            for one in world.endpoints:
+        async def scenario(harness: path_harness.PathHarness) -> None:
+            for one in harness.endpoints:
                 one.going.clear()
-            asked = asyncio.create_task(world.ask('/plain/a'))
-            while not world.came:
+            answering = asyncio.create_task(harness.send('/plain/a'))
+            while not harness.received_requests:
                 await asyncio.sleep(0)
-            ended = await told_to_end(world)
-            self.assertEqual(504, (await asked).status)
-            await ended
+            drained = await send_sigterm(harness)
+            self.assertEqual(504, (await answering).status)
+            await drained
 
-        path_world.run(play, own=HURRIED)
+        path_harness.run(scenario, local_node=SHORT_GRACE_NODE)
 
     def test_ends_early(self) -> None:
         """An entry with nothing in progress ends long before its last second.
@@ -141,15 +141,15 @@
         do, so that none was left when they were stopped one after the other.
         """
 
-        async def play(world: path_world.PathWorld) -> None:
-            ended = await told_to_end(world)
-            await ended
-            plan = world.departure.plan
+        async def scenario(harness: path_harness.PathHarness) -> None:
+            drained = await send_sigterm(harness)
+            await drained
+            plan = harness.departure.plan
             assert plan is not None
             now = asyncio.get_running_loop().time()
             self.assertLess(now, plan.last_answer_at)
 
-        path_world.run(play, own=PATIENT)
+        path_harness.run(scenario, local_node=LONG_GRACE_NODE)
 
     def test_held_up_at_the_end(self) -> None:
         """The process is held up when the time of all that it has is over.
@@ -158,21 +158,21 @@
         due just before it.
         """
 
-        async def play(world: path_world.PathWorld) -> None:
-            for one in world.endpoints:
+        async def scenario(harness: path_harness.PathHarness) -> None:
+            for one in harness.endpoints:
                 one.going.clear()
-            asked = asyncio.create_task(world.ask('/plain/a'))
-            while not world.came:
+            answering = asyncio.create_task(harness.send('/plain/a'))
+            while not harness.received_requests:
                 await asyncio.sleep(0)
-            ended = await told_to_end(world)
-            plan = world.departure.plan
+            drained = await send_sigterm(harness)
+            plan = harness.departure.plan
             assert plan is not None
             loop = asyncio.get_running_loop()
             loop.call_at(plan.last_answer_at - 0.05, time.sleep, 0.6)
-            self.assertEqual(504, (await asked).status)
-            await ended
+            self.assertEqual(504, (await answering).status)
+            await drained
 
-        path_world.run(play, own=HURRIED)
+        path_harness.run(scenario, local_node=SHORT_GRACE_NODE)
 
     def test_pipelined_behind_a_slow_one(self) -> None:
         """Two requests came on one connection before SIGTERM.
@@ -183,101 +183,103 @@
         behind it.
         """
 
-        async def play(world: path_world.PathWorld) -> None:
-            for one in world.endpoints:
+        async def scenario(harness: path_harness.PathHarness) -> None:
+            for one in harness.endpoints:
                 one.going.clear()
             reader, writer = await asyncio.open_connection(
-                path_world.HOST,
-                world.port,
+                path_harness.HOST,
+                harness.port,
             )
             writer.write(
-                path_world.request('/plain/brief/a')
-                + path_world.request('/plain/brief/b', X_Attempt_Id='r-2'),
+                path_harness.request('/plain/brief/a')
+                + path_harness.request('/plain/brief/b', X_Attempt_Id='r-2'),
             )
-            while not world.came:
+            while not harness.received_requests:
                 await asyncio.sleep(0)
-            ended = await told_to_end(world)
-            for one in world.endpoints:
+            drained = await send_sigterm(harness)
+            for one in harness.endpoints:
                 one.going.set()
             answers = await reader.read()
             writer.close()
             self.assertEqual(2, answers.count(b'HTTP/1.1 '))
             self.assertEqual(1, answers.count(b'Connection: close'))
-            await ended
+            await drained
 
-        path_world.run(play, own=HURRIED)
+        path_harness.run(scenario, local_node=SHORT_GRACE_NODE)
 
 
-class TellingTest(testtools.TestCase):
+class DrainAnnouncementTest(testtools.TestCase):
     """What others and callers are told by an entry that leaves."""
 
     def test_others_and_callers(self) -> None:
         """Others hear of it at once, and each answer ends its connection."""
 
-        async def play(world: path_world.PathWorld) -> None:
-            peers = Quiet()
-            ended = await told_to_end(world, peers)
-            self.assertEqual([members.Phase.LEAVING], peers.told)
-            fetched = await world.ask('/plain/brief/a')
-            self.assertEqual(b'close', fetched.headers.get(b'connection'))
-            await ended
+        async def scenario(harness: path_harness.PathHarness) -> None:
+            peers = NoPeers()
+            drained = await send_sigterm(harness, peers)
+            self.assertEqual([members.Phase.LEAVING], peers.announced_phases)
+            answer = await harness.send('/plain/brief/a')
+            self.assertEqual(b'close', answer.headers.get(b'connection'))
+            await drained
             self.assertRaises(
                 OSError,
                 socket.create_connection,
-                (path_world.HOST, world.port),
+                (path_harness.HOST, harness.port),
                 1,
             )
 
-        path_world.run(play, own=HURRIED)
+        path_harness.run(scenario, local_node=SHORT_GRACE_NODE)
 
     def test_when_to_come_back(self) -> None:
         """At once where another is ready; later where none is."""
 
-        async def play(world: path_world.PathWorld) -> None:
-            ended = await told_to_end(world)
-            alone = await world.ask('/stream/a')
-            world.others_ready = 1
-            beside = await world.ask('/stream/a')
+        async def scenario(harness: path_harness.PathHarness) -> None:
+            drained = await send_sigterm(harness)
+            alone = await harness.send('/stream/a')
+            harness.ready_peers = 1
+            beside = await harness.send('/stream/a')
             waits = [
                 float(one.headers.get(b'retry-after') or b'-1')
                 for one in (beside, alone)
             ]
             self.assertEqual(sorted(waits), waits)
             self.assertLess(waits[0], waits[1])
-            self.assertEqual((0, 2), self.counts(world))
-            await ended
+            self.assertEqual((0, 2), self.request_counts(harness))
+            await drained
 
-        path_world.run(play, own=HURRIED)
+        path_harness.run(scenario, local_node=SHORT_GRACE_NODE)
 
-    def counts(self, world: path_world.PathWorld) -> tuple[int, int]:
+    def request_counts(
+        self, harness: path_harness.PathHarness
+    ) -> tuple[int, int]:
         """Return the requests taken and refused since SIGTERM."""
-        return world.departure.accepted_count, world.departure.refused_count
+        return harness.departure.accepted_count, harness.departure.refused_count
 
     def test_answered_before_it(self) -> None:
         """A request that was answered before SIGTERM ends nothing again."""
 
-        async def play(world: path_world.PathWorld) -> None:
-            self.assertEqual(200, (await world.ask('/plain/a')).status)
-            await (await told_to_end(world))
+        async def scenario(harness: path_harness.PathHarness) -> None:
+            self.assertEqual(200, (await harness.send('/plain/a')).status)
+            await (await send_sigterm(harness))
 
-        path_world.run(play, own=HURRIED)
+        path_harness.run(scenario, local_node=SHORT_GRACE_NODE)
 
 
-class ListsTest(testtools.TestCase):
+class ListTtlTest(testtools.TestCase):
     """For how long callers keep a list, and what that means for the end."""
 
     def setUp(self) -> None:
         """Know nothing yet."""
         super().setUp()
-        self.known = cluster_state.ClusterState(path_world.NODE)
-        self.state = departure.DrainState(path_world.NODE, self.known)
+        self.cluster = cluster_state.ClusterState(path_harness.NODE)
+        self.drain_state = departure.DrainState(path_harness.NODE, self.cluster)
 
     def configure(self, version: int, timeout: float) -> None:
         """Put a configuration with one route in force."""
-        self.known.configured(
+        self.cluster.configured(
             routing.Routing(
                 version,
-                [path_world.route('s', timeout=timeout)],
+                [path_harness.route('s', timeout=timeout)],
                 [],
                 {},
                 limits.Bounds(),
@@ -287,9 +289,9 @@
     def test_by_the_routes(self) -> None:
         """Long requests make short lists."""
         self.configure(1, 6)
-        short = self.state.list_max_age(0)
+        short = self.drain_state.list_ttl_seconds(0)
         self.configure(2, 1)
-        self.assertLess(short, self.state.list_max_age(0))
+        self.assertLess(short, self.drain_state.list_ttl_seconds(0))
 
     def test_lists_told_before(self) -> None:
         """An entry told callers long lists, and ended early.
@@ -298,13 +300,13 @@
         when nobody names it any more.
         """
         self.configure(1, 1)
-        told = self.state.list_max_age(100)
+        ttl_seconds = self.drain_state.list_ttl_seconds(100)
         self.configure(2, 6)
-        plan = self.state.start(100)
-        self.assertGreaterEqual(plan.lists_expire_at, 100 + 3 * told)
+        plan = self.drain_state.start(100)
+        self.assertGreaterEqual(plan.lists_expire_at, 100 + 3 * ttl_seconds)
 
     def test_before_the_first_configuration(self) -> None:
         """Any request may be long while no route is known."""
-        unknown = self.state.list_max_age(0)
+        unknown = self.drain_state.list_ttl_seconds(0)
         self.configure(1, 6)
-        self.assertLessEqual(unknown, self.state.list_max_age(0))
+        self.assertLessEqual(unknown, self.drain_state.list_ttl_seconds(0))
--- a/tests/direct/test_machines.py
+++ b/tests/direct/test_machines.py
@@ -121,7 +121,7 @@
                 if first.callers_address
                 in second.listed_addresses(plan.started_at + step * 0.01)
             ]
-            kept = max(offered) + _LONGEST_KEPT * second.list_max_age(
+            kept = max(offered) + _LONGEST_KEPT * second.list_ttl_seconds(
                 plan.started_at
             )
             self.assertGreaterEqual(
--- a/tests/direct/test_path.py
+++ b/tests/direct/test_path.py
@@ -9,11 +9,11 @@
 from clementinepass.direct import endpoints, routing
 from clementinepass.http import channel, pool
 from standins import direct_endpoint
-from tests.direct import path_world
+from tests.direct import path_harness
 
 Fault = direct_endpoint.Fault
 EVENTS = b''.join(b'id: %d\ndata: %d\n\n' % (one, one) for one in range(3))
-HOST = path_world.HOST
+HOST = path_harness.HOST
 
 #: Targets, what goes wrong, the status for the caller, how often it ran.
 OUTCOMES = (
@@ -52,72 +52,73 @@
         for target, faults, status, runs in OUTCOMES:
             story = (target, faults)
 
-            async def play(
-                world: path_world.PathWorld,
+            async def scenario(
+                harness: path_harness.PathHarness,
                 target: str = target,
                 faults: tuple[Fault, ...] = faults,
                 status: int = status,
                 runs: int = runs,
             ) -> None:
-                world.fail_first(*faults)
-                fetched = await world.ask(target)
+                harness.fail_first(*faults)
+                answer = await harness.send(target)
                 self.assertEqual(
-                    (status, runs), (fetched.status, len(world.ran))
+                    (status, runs),
+                    (answer.status, len(harness.executed_requests)),
                 )
                 if status == 200 and target.startswith('/stream'):
-                    self.assertEqual(EVENTS, fetched.body)
+                    self.assertEqual(EVENTS, answer.body)
 
             try:
-                path_world.run(play)
+                path_harness.run(scenario)
             except Exception as error:
                 raise AssertionError(story) from error
 
     def test_answer_is_the_endpoints(self) -> None:
         """Status, body and stamp come through; an own answer has no stamp."""
 
-        async def play(world: path_world.PathWorld) -> None:
+        async def scenario(harness: path_harness.PathHarness) -> None:
             for fault, stamped in ((None, True), (Fault.LOST, False)):
-                world.fail_first(*([fault] if fault else []))
-                used = await channel.Channel.connect(HOST, world.port, 5)
-                used.send(path_world.request('/once/a'))
+                harness.fail_first(*([fault] if fault else []))
+                used = await channel.Channel.connect(HOST, harness.port, 5)
+                used.send(path_harness.request('/once/a'))
                 head = await used.answer_head()
                 stamp = head.headers.get(b'x-server-stamp')
                 self.assertEqual(stamped, stamp is not None)
                 self.assertEqual(b'r-1', head.headers.get(b'x-attempt-id'))
                 used.abort()
 
-        path_world.run(play)
+        path_harness.run(scenario)
 
     def test_stamp_of_the_first(self) -> None:
         """A stream that is resumed keeps the head of its first endpoint."""
 
-        async def play(world: path_world.PathWorld) -> None:
-            world.fail_first(Fault.CUT)
-            used = await channel.Channel.connect(HOST, world.port, 5)
-            used.send(path_world.request('/stream/a'))
+        async def scenario(harness: path_harness.PathHarness) -> None:
+            harness.fail_first(Fault.CUT)
+            used = await channel.Channel.connect(HOST, harness.port, 5)
+            used.send(path_harness.request('/stream/a'))
             head = await used.answer_head()
-            first = next(one for one in world.endpoints if one.ran)
+            first = next(one for one in harness.endpoints if one.ran)
             self.assertEqual(
                 b'stamp-%b' % first.id.encode(),
                 head.headers.get(b'x-server-stamp'),
             )
             while await used.read():
                 """Read to the end."""
-            second = next(one for one in world.endpoints if one is not first)
+            second = next(one for one in harness.endpoints if one is not first)
             resumed = second.ran[0].headers
             self.assertEqual(b'0', resumed.get(b'last-event-id'))
 
-        path_world.run(play)
+        path_harness.run(scenario)
 
     def test_broken_stream_does_not_look_whole(self) -> None:
         """A stream that can't be resumed ends without its last chunk."""
 
-        async def play(world: path_world.PathWorld) -> None:
-            world.fail_first(Fault.CUT, Fault.CUT)
+        async def scenario(harness: path_harness.PathHarness) -> None:
+            harness.fail_first(Fault.CUT, Fault.CUT)
             with testtools.ExpectedException(channel.ChannelBrokenError):
-                await world.ask('/stream/once/a')
+                await harness.send('/stream/once/a')
 
-        path_world.run(play)
+        path_harness.run(scenario)
 
 
 class RefusalTest(testtools.TestCase):
@@ -142,37 +143,39 @@
             ('/plain/a', {'Host': 'H:80'}, 200),
         )
 
-        async def play(world: path_world.PathWorld) -> None:
+        async def scenario(harness: path_harness.PathHarness) -> None:
             for target, headers, status in table:
-                fetched = await world.ask(target, **headers)
-                self.assertEqual(status, fetched.status, (target, headers))
-            self.assertEqual(3, len(world.came))
+                answer = await harness.send(target, **headers)
+                self.assertEqual(status, answer.status, (target, headers))
+            self.assertEqual(3, len(harness.received_requests))
 
-        path_world.run(play)
+        path_harness.run(scenario)
 
     def test_starting(self) -> None:
         """An entry that knows no configuration says so, not 404."""
 
-        async def play(world: path_world.PathWorld) -> None:
-            world.cluster.routing = None
-            self.assertEqual(503, (await world.ask('/plain/a')).status)
+        async def scenario(harness: path_harness.PathHarness) -> None:
+            harness.cluster.routing = None
+            self.assertEqual(503, (await harness.send('/plain/a')).status)
 
-        path_world.run(play)
+        path_harness.run(scenario)
 
     def test_no_endpoint(self) -> None:
         """Without weights, or with all leaving, nothing is sent."""
 
-        async def play(world: path_world.PathWorld) -> None:
-            world.listed(
-                world.endpoints[0],
+        async def scenario(harness: path_harness.PathHarness) -> None:
+            harness.list_endpoint(
+                harness.endpoints[0],
                 heartbeat=99,
                 weights=endpoints.Weights(1, 0, 1),
             )
-            world.listed(world.endpoints[1], heartbeat=99, draining=True)
-            self.assertEqual(503, (await world.ask('/plain/a')).status)
-            self.assertEqual([], world.came)
+            harness.list_endpoint(
+                harness.endpoints[1], heartbeat=99, draining=True
+            )
+            self.assertEqual(503, (await harness.send('/plain/a')).status)
+            self.assertEqual([], harness.received_requests)
 
-        path_world.run(play)
+        path_harness.run(scenario)
 
 
 class ServiceTest(testtools.TestCase):
@@ -181,12 +184,14 @@
     def test_unknown_service(self) -> None:
         """A route to a service that the configuration lacks is refused."""
 
-        async def play(world: path_world.PathWorld) -> None:
+        async def scenario(harness: path_harness.PathHarness) -> None:
             backends = (routing.Backend('nobody', 1),)
-            world.configure(2, [path_world.route('plain', backends=backends)])
-            self.assertEqual(503, (await world.ask('/plain/a')).status)
+            harness.configure(
+                2, [path_harness.route('plain', backends=backends)]
+            )
+            self.assertEqual(503, (await harness.send('/plain/a')).status)
 
-        path_world.run(play)
+        path_harness.run(scenario)
 
 
 class RestartTest(testtools.TestCase):
@@ -199,18 +204,18 @@
         behind a cut, and its caller was told that it may have run.
         """
 
-        async def play(world: path_world.PathWorld) -> None:
-            (before,) = world.endpoints
-            world.listed(before, started_ms=1)
-            self.assertEqual(200, (await world.ask('/once/a')).status)
+        async def scenario(harness: path_harness.PathHarness) -> None:
+            (before,) = harness.endpoints
+            harness.list_endpoint(before, started_ms=1)
+            self.assertEqual(200, (await harness.send('/once/a')).status)
             before.faults = [Fault.MUTE]
             async with direct_endpoint.DirectEndpoint(before.id) as after:
-                world.listed(after, started_ms=2, heartbeat=0)
-                found = await world.ask('/once/a', X_Deadline_Ms='900')
+                harness.list_endpoint(after, started_ms=2, heartbeat=0)
+                found = await harness.send('/once/a', X_Deadline_Ms='900')
                 self.assertEqual(200, found.status)
                 self.assertEqual((1, 1), (len(before.ran), len(after.ran)))
 
-        path_world.run(play, 1)
+        path_harness.run(scenario, 1)
 
     def test_requests_that_end_there(self) -> None:
         """A stream of the start before ends after the new one is known.
@@ -218,27 +223,27 @@
         Its connection isn't kept, and it isn't counted at the new start.
         """
 
-        async def play(world: path_world.PathWorld) -> None:
-            (one,) = world.endpoints
-            world.listed(one, started_ms=1)
+        async def scenario(harness: path_harness.PathHarness) -> None:
+            (one,) = harness.endpoints
+            harness.list_endpoint(one, started_ms=1)
             one.going.clear()
-            asking = asyncio.create_task(world.ask('/stream/a'))
+            answering = asyncio.create_task(harness.send('/stream/a'))
             while not one.ran:
                 await asyncio.sleep(0.01)
-            before = world.cluster.endpoints.get(one.id)
-            world.listed(one, started_ms=2, heartbeat=0)
-            after = world.cluster.endpoints.get(one.id)
+            before = harness.cluster.endpoints.get(one.id)
+            harness.list_endpoint(one, started_ms=2, heartbeat=0)
+            after = harness.cluster.endpoints.get(one.id)
             assert before is not None
             assert after is not None
             self.assertEqual((1, 0), (before.in_flight, after.in_flight))
             one.going.set()
-            found = await asking
+            found = await answering
             self.assertEqual((200, EVENTS), (found.status, found.body))
             self.assertEqual((0, 0), (before.in_flight, after.in_flight))
-            await world.ask('/plain/a')
-            self.assertEqual(1, len(world.kept(one.id)))
+            await harness.send('/plain/a')
+            self.assertEqual(1, len(harness.idle_connections(one.id)))
 
-        path_world.run(play, 1)
+        path_harness.run(scenario, 1)
 
 
 class HandedOnTest(testtools.TestCase):
@@ -247,8 +252,8 @@
     def test_headers(self) -> None:
         """The key stays here; team, instance and time are set here."""
 
-        async def play(world: path_world.PathWorld) -> None:
-            await world.ask(
+        async def scenario(harness: path_harness.PathHarness) -> None:
+            await harness.send(
                 '/plain/a?b=c',
                 b'the body',
                 X_Tenant='forged',
@@ -259,7 +264,7 @@
                 X_Hop='1',
                 X_Other='kept',
             )
-            (request,) = world.ran
+            (request,) = harness.executed_requests
             headers = request.headers
             self.assertEqual(b'/plain/a?b=c', request.target)
             self.assertEqual(b'the body', request.body)
@@ -274,17 +279,20 @@
             self.assertLessEqual(left, 9000)
             self.assertGreater(left, 0)
 
-        path_world.run(play)
+        path_harness.run(scenario)
 
     def test_route_timeout_bounds_the_deadline(self) -> None:
         """An endpoint gets no more time than the route allows."""
 
-        async def play(world: path_world.PathWorld) -> None:
-            await world.ask('/plain/a', X_Deadline_Ms='60000')
-            left = world.ran[0].headers.get(b'x-deadline-ms') or b'0'
+        async def scenario(harness: path_harness.PathHarness) -> None:
+            await harness.send('/plain/a', X_Deadline_Ms='60000')
+            left = (
+                harness.executed_requests[0].headers.get(b'x-deadline-ms')
+                or b'0'
+            )
             self.assertLessEqual(int(left), 10000)
 
-        path_world.run(play)
+        path_harness.run(scenario)
 
 
 class ConfigurationTest(testtools.TestCase):
@@ -297,52 +305,52 @@
         way; it was allowed when it came, so it ends whole.
         """
 
-        async def play(world: path_world.PathWorld) -> None:
-            for one in world.endpoints:
+        async def scenario(harness: path_harness.PathHarness) -> None:
+            for one in harness.endpoints:
                 one.going.clear()
-            asked = asyncio.create_task(world.ask('/stream/a'))
-            while not world.ran:
+            answering = asyncio.create_task(harness.send('/stream/a'))
+            while not harness.executed_requests:
                 await asyncio.sleep(0)
-            world.configure(2, path_world.ROUTES[2:])
-            world.configure(3, ())
-            for one in world.endpoints:
+            harness.configure(2, path_harness.ROUTES[2:])
+            harness.configure(3, ())
+            for one in harness.endpoints:
                 one.going.set()
-            fetched = await asked
-            self.assertEqual(200, fetched.status)
-            self.assertEqual(3, fetched.body.count(b'data:'))
-            self.assertEqual(404, (await world.ask('/stream/a')).status)
+            answer = await answering
+            self.assertEqual(200, answer.status)
+            self.assertEqual(3, answer.body.count(b'data:'))
+            self.assertEqual(404, (await harness.send('/stream/a')).status)
 
-        path_world.run(play)
+        path_harness.run(scenario)
 
     def test_route_added_later(self) -> None:
         """Callers of a new route were refused, as if there were none."""
 
-        async def play(world: path_world.PathWorld) -> None:
-            self.assertEqual(404, (await world.ask('/new/a')).status)
-            routes = [*path_world.ROUTES, path_world.route('new')]
-            world.configure(2, routes)
+        async def scenario(harness: path_harness.PathHarness) -> None:
+            self.assertEqual(404, (await harness.send('/new/a')).status)
+            routes = [*path_harness.ROUTES, path_harness.route('new')]
+            harness.configure(2, routes)
             for _ in range(5):
-                self.assertEqual(200, (await world.ask('/new/a')).status)
+                self.assertEqual(200, (await harness.send('/new/a')).status)
 
-        path_world.run(play)
+        path_harness.run(scenario)
 
     def test_changes_before_a_repeat(self) -> None:
         """A resumed stream goes on, too, though its route is gone."""
 
-        async def play(world: path_world.PathWorld) -> None:
-            world.fail_first(Fault.CUT)
-            for one in world.endpoints:
+        async def scenario(harness: path_harness.PathHarness) -> None:
+            harness.fail_first(Fault.CUT)
+            for one in harness.endpoints:
                 one.going.clear()
-            asked = asyncio.create_task(world.ask('/stream/a'))
-            while not world.ran:
+            answering = asyncio.create_task(harness.send('/stream/a'))
+            while not harness.executed_requests:
                 await asyncio.sleep(0)
-            world.configure(2, ())
-            for one in world.endpoints:
+            harness.configure(2, ())
+            for one in harness.endpoints:
                 one.going.set()
-            self.assertEqual(3, (await asked).body.count(b'data:'))
-            self.assertEqual(2, len(world.ran))
+            self.assertEqual(3, (await answering).body.count(b'data:'))
+            self.assertEqual(2, len(harness.executed_requests))
 
-        path_world.run(play)
+        path_harness.run(scenario)
 
 
 class TimeTest(testtools.TestCase):
@@ -351,13 +359,13 @@
     def test_timeout(self) -> None:
         """A request that ran has its final answer when its time is over."""
 
-        async def play(world: path_world.PathWorld) -> None:
-            world.fail_first(Fault.MUTE)
-            self.assertEqual(504, (await world.ask('/short/a')).status)
-            while not any(one.left for one in world.endpoints):
+        async def scenario(harness: path_harness.PathHarness) -> None:
+            harness.fail_first(Fault.MUTE)
+            self.assertEqual(504, (await harness.send('/short/a')).status)
+            while not any(one.left for one in harness.endpoints):
                 await asyncio.sleep(0)
 
-        path_world.run(play)
+        path_harness.run(scenario)
 
     def test_caller_left(self) -> None:
         """An endpoint hears of it when the caller closes its connection.
@@ -366,19 +374,19 @@
         connections was only seen when the next event was written.
         """
 
-        async def play(world: path_world.PathWorld) -> None:
-            for one in world.endpoints:
+        async def scenario(harness: path_harness.PathHarness) -> None:
+            for one in harness.endpoints:
                 one.going.clear()
-            used = await channel.Channel.connect(HOST, world.port, 5)
-            used.send(path_world.request('/stream/a'))
-            while not world.ran:
+            used = await channel.Channel.connect(HOST, harness.port, 5)
+            used.send(path_harness.request('/stream/a'))
+            while not harness.executed_requests:
                 await asyncio.sleep(0)
             used.abort()
-            while not any(one.left for one in world.endpoints):
+            while not any(one.left for one in harness.endpoints):
                 await asyncio.sleep(0)
-            self.assertEqual(1, len(world.came))
+            self.assertEqual(1, len(harness.received_requests))
 
-        path_world.run(play)
+        path_harness.run(scenario)
 
 
 class RepeatedDeadlineTest(testtools.TestCase):
@@ -391,18 +399,18 @@
         waits for, and the second one was told the same time once more.
         """
 
-        async def play(world: path_world.PathWorld) -> None:
-            world.fail_first(Fault.MUTE)
-            await world.ask('/plain/a', X_Deadline_Ms='1000')
+        async def scenario(harness: path_harness.PathHarness) -> None:
+            harness.fail_first(Fault.MUTE)
+            await harness.send('/plain/a', X_Deadline_Ms='1000')
             first, second = sorted(
                 int(request.headers.get(b'x-deadline-ms') or 0)
-                for request in world.ran
+                for request in harness.executed_requests
             )[::-1]
             self.assertLessEqual(first, 1000)
             self.assertLessEqual(second, 500)
             self.assertGreater(second, 300)
 
-        path_world.run(play)
+        path_harness.run(scenario)
 
 
 class LeavingEndpointTest(testtools.TestCase):
@@ -415,10 +423,10 @@
         since its first packet was lost.
         """
 
-        async def play(world: path_world.PathWorld) -> None:
-            first = world.endpoints[0]
-            second = world.endpoints[1]
-            world.listed(second, draining=True)
+        async def scenario(harness: path_harness.PathHarness) -> None:
+            first = harness.endpoints[0]
+            second = harness.endpoints[1]
+            harness.list_endpoint(second, draining=True)
             connected = asyncio.Event()
             take = pool.Pool.take
 
@@ -429,16 +437,16 @@
                 return used
 
             self.patch(pool.Pool, 'take', slow)
-            asked = asyncio.create_task(world.ask('/once/a'))
+            answering = asyncio.create_task(harness.send('/once/a'))
             now = asyncio.get_running_loop().time
-            while not world.cluster.in_flight_by_endpoint(now()):
+            while not harness.cluster.in_flight_by_endpoint(now()):
                 await asyncio.sleep(0)
-            world.listed(first, draining=True)
+            harness.list_endpoint(first, draining=True)
             connected.set()
-            self.assertEqual(503, (await asked).status)
-            self.assertEqual([], world.came)
+            self.assertEqual(503, (await answering).status)
+            self.assertEqual([], harness.received_requests)
 
-        path_world.run(play)
+        path_harness.run(scenario)
 
 
 class LoadingTest(testtools.TestCase):
@@ -451,40 +459,40 @@
     def test_waits_for_an_engine(self) -> None:
         """A request waits for an engine that says that it loads."""
 
-        async def play(world: path_world.PathWorld) -> None:
-            for one in world.endpoints:
-                world.listed(
+        async def scenario(harness: path_harness.PathHarness) -> None:
+            for one in harness.endpoints:
+                harness.list_endpoint(
                     one,
                     heartbeat=98,
                     weights=endpoints.Weights(2, 0, 0),
                 )
-            asked = asyncio.create_task(world.ask('/plain/a'))
-            while not world.front.busy():
+            answering = asyncio.create_task(harness.send('/plain/a'))
+            while not harness.front.busy():
                 await asyncio.sleep(0)
-            self.assertEqual([], world.came)
-            world.listed(
-                world.endpoints[0],
+            self.assertEqual([], harness.received_requests)
+            harness.list_endpoint(
+                harness.endpoints[0],
                 heartbeat=99,
                 weights=endpoints.Weights(2, 0, 2),
             )
-            self.assertEqual(200, (await asked).status)
+            self.assertEqual(200, (await answering).status)
 
-        path_world.run(play)
+        path_harness.run(scenario)
 
     def test_not_for_ever(self) -> None:
         """It is refused when none is there after all; it never ran."""
 
-        async def play(world: path_world.PathWorld) -> None:
-            for one in world.endpoints:
-                world.listed(
+        async def scenario(harness: path_harness.PathHarness) -> None:
+            for one in harness.endpoints:
+                harness.list_endpoint(
                     one,
                     heartbeat=98,
                     weights=endpoints.Weights(2, 0, 0),
                 )
-            self.assertEqual(503, (await world.ask('/plain/a')).status)
-            self.assertEqual([], world.came)
+            self.assertEqual(503, (await harness.send('/plain/a')).status)
+            self.assertEqual([], harness.received_requests)
 
-        path_world.run(play)
+        path_harness.run(scenario)
 
 
 class VersionTest(testtools.TestCase):
@@ -493,21 +501,21 @@
     def test_only_the_newest_after_the_bound(self) -> None:
         """After the bound, engines with older weights get nothing."""
 
-        async def play(world: path_world.PathWorld) -> None:
+        async def scenario(harness: path_harness.PathHarness) -> None:
             now = asyncio.get_running_loop().time()
-            world.listed(
-                world.endpoints[1],
+            harness.list_endpoint(
+                harness.endpoints[1],
                 heartbeat=99,
                 weights=endpoints.Weights(2, 0, 2),
             )
-            world.cluster.named('m', 2, now - 60)
+            harness.cluster.named('m', 2, now - 60)
             for _ in range(8):
-                await world.ask('/plain/a')
-            self.assertEqual([], world.endpoints[0].came)
-            expected = world.endpoints[1].ran[0].headers
+                await harness.send('/plain/a')
+            self.assertEqual([], harness.endpoints[0].came)
+            expected = harness.endpoints[1].ran[0].headers
             self.assertEqual(b'2', expected.get(b'x-expect-version'))
 
-        path_world.run(play)
+        path_harness.run(scenario)
 
     def test_given_up_before_the_bound(self) -> None:
         """A request waited too long in the queue of an old engine.
@@ -516,16 +524,18 @@
         estimated, and its first token was made on the old weights after it.
         """
 
-        async def play(world: path_world.PathWorld) -> None:
+        async def scenario(harness: path_harness.PathHarness) -> None:
             now = asyncio.get_running_loop().time()
-            world.fail_first(Fault.MUTE, Fault.MUTE)
-            world.cluster.named('m', 2, now - path_world.DUTIES.version + 0.9)
-            fetched = await world.ask('/stream/a')
-            self.assertEqual(502, fetched.status)
-            while not any(one.left for one in world.endpoints):
+            harness.fail_first(Fault.MUTE, Fault.MUTE)
+            harness.cluster.named(
+                'm', 2, now - path_harness.DUTIES.version + 0.9
+            )
+            answer = await harness.send('/stream/a')
+            self.assertEqual(502, answer.status)
+            while not any(one.left for one in harness.endpoints):
                 await asyncio.sleep(0)
 
-        path_world.run(play)
+        path_harness.run(scenario)
 
     def test_resumed_is_given_up_before_the_bound(self) -> None:
         """A stream that was sent on began on old weights after their bound.
@@ -535,17 +545,19 @@
         the time to begin only held for what the caller had no event of yet.
         """
 
-        async def play(world: path_world.PathWorld) -> None:
+        async def scenario(harness: path_harness.PathHarness) -> None:
             loop = asyncio.get_running_loop()
             now = loop.time()
-            world.fail_first(Fault.CUT, Fault.MUTE)
-            world.cluster.named('m', 2, now - path_world.DUTIES.version + 0.9)
+            harness.fail_first(Fault.CUT, Fault.MUTE)
+            harness.cluster.named(
+                'm', 2, now - path_harness.DUTIES.version + 0.9
+            )
             with self.assertRaises(channel.ChannelBrokenError):
-                await world.ask('/stream/a')
-            self.assertEqual(2, len(world.ran))
+                await harness.send('/stream/a')
+            self.assertEqual(2, len(harness.executed_requests))
             self.assertLess(loop.time() - now, 0.9)
 
-        path_world.run(play)
+        path_harness.run(scenario)
 
     def test_wait_before_the_bound(self) -> None:
         """Requests were sent to a queue in which the bound passed.
@@ -554,28 +566,34 @@
         others waited, and were given up there, or began after it.
         """
 
-        async def play(world: path_world.PathWorld) -> None:
+        async def scenario(harness: path_harness.PathHarness) -> None:
             now = asyncio.get_running_loop().time()
-            world.cluster.named('m', 2, now - path_world.DUTIES.version + 0.9)
-            world.cluster.loads.update_peer_counts(
+            harness.cluster.named(
+                'm', 2, now - path_harness.DUTIES.version + 0.9
+            )
+            harness.cluster.loads.update_peer_counts(
                 'entry-2', {'i-0': 40, 'i-1': 40}, now
             )
-            fetched = await world.ask('/stream/a')
-            self.assertEqual(503, fetched.status)
-            self.assertEqual([], world.came)
+            answer = await harness.send('/stream/a')
+            self.assertEqual(503, answer.status)
+            self.assertEqual([], harness.received_requests)
 
-        path_world.run(play)
+        path_harness.run(scenario)
 
     def test_wait_of_a_repeat_before_the_bound(self) -> None:
         """What a crashed engine ran was sent on to such a queue."""
 
-        async def play(world: path_world.PathWorld) -> None:
+        async def scenario(harness: path_harness.PathHarness) -> None:
             now = asyncio.get_running_loop().time()
-            world.fail_first(Fault.CUT)
-            world.cluster.named('m', 2, now - path_world.DUTIES.version + 0.9)
-            world.cluster.loads.update_peer_counts('entry-2', {'i-1': 40}, now)
+            harness.fail_first(Fault.CUT)
+            harness.cluster.named(
+                'm', 2, now - path_harness.DUTIES.version + 0.9
+            )
+            harness.cluster.loads.update_peer_counts(
+                'entry-2', {'i-1': 40}, now
+            )
             with self.assertRaises(channel.ChannelBrokenError):
-                await world.ask('/stream/a')
-            self.assertEqual([], world.endpoints[1].came)
+                await harness.send('/stream/a')
+            self.assertEqual([], harness.endpoints[1].came)
 
-        path_world.run(play)
+        path_harness.run(scenario)
--- a/tests/direct/test_start.py
+++ b/tests/direct/test_start.py
@@ -9,11 +9,11 @@
 from standins import machines, weights_origin
 
 #: Entries that start together; one of them is the seed of the others.
-ENTRIES = 12
+ENTRY_COUNT = 12
 #: Processes that read the list of endpoints from the store at most: the seed,
 #: and one that nobody had told in time. Each asks twice, for the end first.
-MOST_READERS = 2
-CALLS_EACH = 2
+MAX_READERS = 2
+CALLS_PER_READER = 2
 #: Seconds until all are ready.
 READY_SECONDS = 2
 
@@ -37,17 +37,17 @@
                     machines.LAYERS, machines.CHUNKS, 1
                 )
             ]
-            world = machines.Machines(engines, entries=ENTRIES)
+            world = machines.Machines(engines, entries=ENTRY_COUNT)
             async with asyncio.timeout(30), world:
-                begun = asyncio.get_running_loop().time()
+                started_at = asyncio.get_running_loop().time()
                 await machines.until(
-                    lambda: all(one.is_ready for one in world.entries)
+                    lambda: all(entry.is_ready for entry in world.entries)
                 )
-                took = asyncio.get_running_loop().time() - begun
-                self.assertLess(took, READY_SECONDS)
+                seconds = asyncio.get_running_loop().time() - started_at
+                self.assertLess(seconds, READY_SECONDS)
                 self.assertLessEqual(
                     world.store.newest_by_topic['keyed.servers'],
-                    MOST_READERS * CALLS_EACH,
+                    MAX_READERS * CALLS_PER_READER,
                 )
 
-        asyncio.run(story())
+        asyncio.run(scenario())
--- a/tests/observability/test_causes.py
+++ b/tests/observability/test_causes.py
@@ -27,20 +27,20 @@
 )
 from clementinepass.observability import causes, stories
 from standins import direct_endpoint
-from tests.direct import path_world
+from tests.direct import path_harness
 from tests.observability import test_stories
 
 Cause = causes.Cause
 Fault = direct_endpoint.Fault
-World = path_world.PathWorld
-HOST = path_world.HOST
+World = path_harness.PathHarness
+HOST = path_harness.HOST
 #: An option with which the end of a socket is a reset.
 RESET_AT_END = struct.pack('ii', 1, 0)
 #: Together longer than what the buffers of a connection take.
 LONG_EVENTS = 32
 LONG_EVENT = b'x' * (1 << 19)
 #: A stream whose callers leave after two seconds, the least of all.
-HURRIED = path_world.route('stream', latency_target=0.1, max_event_gap=0.1)
+HURRIED = path_harness.route('stream', latency_target=0.1, max_event_gap=0.1)
 
 
 async def connected(
@@ -50,8 +50,8 @@
 ) -> channel.Channel:
     """Send a request and return when an endpoint runs it."""
     used = await channel.Channel.connect(HOST, world.port, 5)
-    used.send(path_world.request(target, **headers))
-    while not world.ran:
+    used.send(path_harness.request(target, **headers))
+    while not world.executed_requests:
         await asyncio.sleep(0)
     return used
 
@@ -65,7 +65,7 @@
 async def asked(world: World, target: str, **headers: str) -> None:
     """Ask, whatever comes of it."""
     try:
-        await world.ask(target, **headers)
+        await world.send(target, **headers)
     except channel.ChannelBrokenError:
         """The caller sees that there is no answer, and no more."""
 
@@ -119,8 +119,8 @@
     hold(world)
     with socket.create_connection((HOST, world.port)) as caller:
         caller.setsockopt(socket.SOL_SOCKET, socket.SO_LINGER, RESET_AT_END)
-        caller.sendall(path_world.request('/stream/a'))
-        while not world.ran:
+        caller.sendall(path_harness.request('/stream/a'))
+        while not world.executed_requests:
             await asyncio.sleep(0)
     await forgotten(world)
 
@@ -160,23 +160,23 @@
         one.events, one.filling = LONG_EVENTS, LONG_EVENT
     with socket.create_connection((HOST, world.port)) as caller:
         caller.setsockopt(socket.SOL_SOCKET, socket.SO_RCVBUF, 4096)
-        request = path_world.request('/stream/a', X_Deadline_Ms='1000')
+        request = path_harness.request('/stream/a', X_Deadline_Ms='1000')
         caller.sendall(request)
-        while not world.ran:
+        while not world.executed_requests:
             await asyncio.sleep(0)
         await forgotten(world)
 
 
 async def key_withdrawn(world: World) -> None:
     await asked(world, '/plain/a', X_Attempt_Id='before')
-    world.configure(2, path_world.ROUTES, keys=(b'another',))
-    world.configure(3, path_world.ROUTES, keys=(b'another',))
+    world.configure(2, path_harness.ROUTES, keys=(b'another',))
+    world.configure(3, path_harness.ROUTES, keys=(b'another',))
     await asked(world, '/plain/a')
 
 
 async def route_withdrawn(world: World) -> None:
     await asked(world, '/plain/a', X_Attempt_Id='before')
-    world.configure(2, [path_world.route('stream')])
+    world.configure(2, [path_harness.route('stream')])
     await asked(world, '/plain/a')
 
 
@@ -187,20 +187,20 @@
 
 async def no_service(world: World) -> None:
     backends = (routing.Backend('nobody', 1),)
-    world.configure(2, [path_world.route('plain', backends=backends)])
+    world.configure(2, [path_harness.route('plain', backends=backends)])
     await asked(world, '/plain/a')
 
 
 async def no_endpoint(world: World) -> None:
     for one in world.endpoints:
-        world.listed(one, heartbeat=99, draining=True)
+        world.list_endpoint(one, heartbeat=99, draining=True)
     await asked(world, '/plain/a')
 
 
 async def no_weights(world: World) -> None:
     for one in world.endpoints:
         weights = endpoints.Weights(1, 0, 1)
-        world.listed(one, heartbeat=99, weights=weights)
+        world.list_endpoint(one, heartbeat=99, weights=weights)
     await asked(world, '/plain/a')
 
 
@@ -231,12 +231,12 @@
     async with await asyncio.start_server(serve, HOST, 0) as server:
         port = server.sockets[0].getsockname()[1]
         for one in world.endpoints:
-            world.listed(one, heartbeat=99, address=f'{HOST}:{port}')
+            world.list_endpoint(one, heartbeat=99, address=f'{HOST}:{port}')
         await asked(world, '/once/a')
 
 
 async def budget(world: World) -> None:
-    duties = path_world.DUTIES
+    duties = path_harness.DUTIES
     before = duties.budget_share, duties.budget_surplus
     duties.budget_share, duties.budget_surplus = 0, 0
     try:
@@ -247,18 +247,18 @@
 
 async def weights_too_old(world: World) -> None:
     now = asyncio.get_running_loop().time()
-    world.cluster.named('m', 2, now - path_world.DUTIES.version + 0.9)
+    world.cluster.named('m', 2, now - path_harness.DUTIES.version + 0.9)
     await failing('/stream/a', Fault.MUTE, Fault.MUTE)(world)
 
 
 async def took_up_weights(world: World) -> None:
     hold(world)
     task = asyncio.create_task(asked(world, '/stream/once/a'))
-    while not world.ran:
+    while not world.executed_requests:
         await asyncio.sleep(0)
     for one in world.endpoints:
         weights = endpoints.Weights(2, 0, 0)
-        world.listed(one, heartbeat=99, weights=weights)
+        world.list_endpoint(one, heartbeat=99, weights=weights)
         await one.__aexit__()
     await task
 
@@ -392,7 +392,7 @@
 
     handle = logger.add(take, level='INFO', format='{message}')
     try:
-        path_world.run(play)
+        path_harness.run(play)
     finally:
         logger.remove(handle)
     return payload
@@ -624,7 +624,7 @@
                 used.abort()
             late = await pool.fetch(
                 pool.Pool(HOST, world.port),
-                path_world.request('/plain/a'),
+                path_harness.request('/plain/a'),
                 5,
             )
             self.assertEqual(200, late.status)
--- a/tests/observability/test_causes_mixed.py
+++ b/tests/observability/test_causes_mixed.py
@@ -16,12 +16,12 @@
 from clementinepass.http import channel
 from clementinepass.observability import causes, stories
 from standins import direct_endpoint
-from tests.direct import path_world
+from tests.direct import path_harness
 from tests.observability import test_causes
 
 Cause = causes.Cause
 Fault = direct_endpoint.Fault
-HOST = path_world.HOST
+HOST = path_harness.HOST
 SEED = 5
 REQUESTS = 240
 DRAWN = 50
@@ -82,7 +82,7 @@
         loop = asyncio.get_running_loop()
         begun = loop.time()
         used.send(
-            path_world.request(
+            path_harness.request(
                 self.target,
                 X_Attempt_Id=self.id,
                 X_Api_Key=self.key,
@@ -156,13 +156,13 @@
         self.met: list[tuple[str, Fault]] = []
         self.cut: set[str] = set()
 
-    async def play(self, world: path_world.PathWorld) -> None:
+    async def play(self, world: path_harness.PathHarness) -> None:
         """Play it: a key is taken away, and the entry ends at last."""
         faults = {one.id: list(one.faults) for one in self.callers}
         for one in world.endpoints:
             one.faults_by_request = faults
             one.met = self.met
-        routes = path_world.ROUTES
+        routes = path_harness.ROUTES
         world.configure(2, routes, keys=(b'key', b'second'))
         first = Seen(-1, random.Random(0))
         first.target, first.comes_at, first.leaves_after = '/plain/a', 0, None
--- a/tests/platform/test_machines.py
+++ b/tests/platform/test_machines.py
@@ -555,7 +555,7 @@
             """Return one address."""
             return ['10.0.0.1:80']
 
-        def list_max_age(self, now: float) -> float:
+        def list_ttl_seconds(self, now: float) -> float:
             """Return how long to keep it."""
             return 1.5
 
