--- a/clementinepass/direct/entry.py
+++ b/clementinepass/direct/entry.py
@@ -144,10 +144,8 @@
         also those that took nothing any more. The ones told last still take
         what comes.
         """
-        listed_seconds = self._drain_state.list_policy.listed_seconds
-        draining_members = self.peers.members.leaving_lately(
-            now, listed_seconds
-        )
+        max_seconds = self._drain_state.list_policy.listed_seconds
+        draining_members = self.peers.members.leaving_lately(now, max_seconds)
         addresses = [member.callers for member in draining_members]
         if not addresses or self._drain_state.is_listed(now):
             addresses.append(self._local_node.callers)
--- a/clementinepass/direct/selection.py
+++ b/clementinepass/direct/selection.py
@@ -86,8 +86,8 @@
             if endpoint.listing.id not in admitted.tried_endpoint_ids
         ]
         engine = admitted.service.engine
-        candidates = self._candidates(self._healthy(untried, now), engine, now)
-        startable = _startable_in_time(admitted, candidates)
+        compared = self._candidates(self._healthy(untried, now), engine, now)
+        startable = _startable_in_time(admitted, compared)
         choice = endpoint_choice.choose(startable, self._rng)
         if choice is None:
             admitted.retry_after = first_event.MAX_RETRY_AFTER
--- a/tests/direct/test_endpoints.py
+++ b/tests/direct/test_endpoints.py
@@ -42,14 +42,14 @@
 
     def setUp(self) -> None:
         super().setUp()
-        self.endpoints = endpoints.Endpoints()
-        self.endpoints.apply_listing(listing())
+        self.endpoint_table = endpoints.Endpoints()
+        self.endpoint_table.apply_listing(listing())
 
     def usable_ids(self, now: float = 0) -> list[str]:
         """Return the ids of those that may be used."""
         return [
             one.listing.id
-            for one in self.endpoints.usable_for_service('pool', now)
+            for one in self.endpoint_table.usable_for_service('pool', now)
         ]
 
     def test_replaced_at_its_address(self) -> None:
@@ -58,44 +58,46 @@
         Each entry sent to each of those once, and was told that another is
         there now, until it might send nothing more.
         """
-        self.endpoints.apply_listing(listing(id='i-2', record_offset=9))
+        self.endpoint_table.apply_listing(listing(id='i-2', record_offset=9))
         self.assertEqual(['i-2'], self.usable_ids())
-        self.endpoints.apply_listing(listing(id='i-0', record_offset=3))
+        self.endpoint_table.apply_listing(listing(id='i-0', record_offset=3))
         self.assertEqual(['i-2'], self.usable_ids())
 
     def test_address_named_by_another_service(self) -> None:
         """A wrong record takes no endpoint away from another service."""
-        self.endpoints.apply_listing(
+        self.endpoint_table.apply_listing(
             listing(id='i-2', service='other', record_offset=9)
         )
         self.assertEqual(['i-1'], self.usable_ids())
 
     def test_newer_word_at_an_address(self) -> None:
         """Whoever writes last is there; a word of its start isn't needed."""
-        self.endpoints.apply_listing(listing(id='i-2', record_offset=9))
-        self.endpoints.apply_listing(listing(heartbeat=6, record_offset=12))
+        self.endpoint_table.apply_listing(listing(id='i-2', record_offset=9))
+        self.endpoint_table.apply_listing(
+            listing(heartbeat=6, record_offset=12)
+        )
         self.assertEqual(['i-1'], self.usable_ids())
 
     def test_replacement_refuted(self) -> None:
         """A record named an address that isn't its endpoint's."""
-        self.endpoints.apply_listing(listing(id='i-2', record_offset=9))
-        replacement = self.endpoints.get('i-2')
+        self.endpoint_table.apply_listing(listing(id='i-2', record_offset=9))
+        replacement = self.endpoint_table.get('i-2')
         assert replacement is not None
         replacement.is_misdirected = True
         self.assertEqual(['i-1'], self.usable_ids())
 
     def test_replacement_moved(self) -> None:
         """The one that replaced an endpoint started anew elsewhere."""
-        self.endpoints.apply_listing(listing(id='i-2', record_offset=9))
-        self.endpoints.apply_listing(
+        self.endpoint_table.apply_listing(listing(id='i-2', record_offset=9))
+        self.endpoint_table.apply_listing(
             listing(id='i-2', address='10.0.0.7:80', record_offset=10)
         )
         self.assertEqual({'i-1', 'i-2'}, set(self.usable_ids()))
 
     def test_replacement_gone(self) -> None:
         """The record of who replaced an endpoint is dropped."""
-        self.endpoints.apply_listing(listing(id='i-2', record_offset=9))
-        self.endpoints.mark_removed('i-2', 5, 0)
+        self.endpoint_table.apply_listing(listing(id='i-2', record_offset=9))
+        self.endpoint_table.mark_removed('i-2', 5, 0)
         self.assertEqual(['i-1'], self.usable_ids(6))
 
     def test_stalled(self) -> None:
@@ -104,7 +106,7 @@
         Its requests were given up after more than a second each, so that by
         its count it was the emptiest. Nothing had come from it since it froze.
         """
-        endpoint = self.endpoints.get('i-1')
+        endpoint = self.endpoint_table.get('i-1')
         assert endpoint is not None
         endpoint.last_received_at = 10
         endpoint.in_flight = 3
@@ -124,8 +126,10 @@
         Requests went to an endpoint four seconds after it had said that it
         was leaving: an older heartbeat had been read after that.
         """
-        self.endpoints.apply_listing(listing(draining=True, heartbeat=7))
-        self.assertFalse(self.endpoints.apply_listing(listing(heartbeat=6)))
+        self.endpoint_table.apply_listing(listing(draining=True, heartbeat=7))
+        self.assertFalse(
+            self.endpoint_table.apply_listing(listing(heartbeat=6))
+        )
         self.assertEqual([], self.usable_ids())
 
     def test_leaving_overtaken(self) -> None:
@@ -135,12 +139,14 @@
         that it was leaving. That word had been taken for an old one: its
         number was lower than the last heartbeat's.
         """
-        self.endpoints.apply_listing(listing(heartbeat=8))
+        self.endpoint_table.apply_listing(listing(heartbeat=8))
         self.assertTrue(
-            self.endpoints.apply_listing(listing(draining=True, heartbeat=7))
+            self.endpoint_table.apply_listing(
+                listing(draining=True, heartbeat=7)
+            )
         )
         self.assertEqual([], self.usable_ids())
-        self.endpoints.apply_listing(listing(heartbeat=9))
+        self.endpoint_table.apply_listing(listing(heartbeat=9))
         self.assertEqual([], self.usable_ids())
 
     def test_leaving_is_final(self) -> None:
@@ -148,8 +154,8 @@
 
         Where no start is told, nothing tells a new one from a late word.
         """
-        self.endpoints.apply_listing(listing(draining=True, heartbeat=7))
-        self.endpoints.apply_listing(listing(heartbeat=8))
+        self.endpoint_table.apply_listing(listing(draining=True, heartbeat=7))
+        self.endpoint_table.apply_listing(listing(heartbeat=8))
         self.assertEqual([], self.usable_ids())
 
     def test_lapsed_while_the_store_was_away(self) -> None:
@@ -158,27 +164,27 @@
         Every request was refused until they had listed themselves again,
         though all of them lived.
         """
-        self.endpoints.mark_removed('i-1', now=10, grace=2)
+        self.endpoint_table.mark_removed('i-1', now=10, grace=2)
         self.assertEqual(['i-1'], self.usable_ids(11.9))
         self.assertEqual([], self.usable_ids(12))
-        self.endpoints.apply_listing(listing(heartbeat=1))
+        self.endpoint_table.apply_listing(listing(heartbeat=1))
         self.assertEqual(['i-1'], self.usable_ids(12))
 
     def test_gone_at_once(self) -> None:
         """One that the list drops in quiet times is gone."""
-        self.endpoints.mark_removed('i-1', now=10, grace=0)
+        self.endpoint_table.mark_removed('i-1', now=10, grace=0)
         self.assertEqual([], self.usable_ids(10))
 
     def test_forgotten(self) -> None:
         """One that is gone is kept while a request is still there."""
-        one = self.endpoints.get('i-1')
+        one = self.endpoint_table.get('i-1')
         assert one is not None
         one.in_flight = 1
-        self.endpoints.mark_removed('i-1', now=10, grace=0)
-        self.assertEqual([], self.endpoints.remove_expired(20))
+        self.endpoint_table.mark_removed('i-1', now=10, grace=0)
+        self.assertEqual([], self.endpoint_table.remove_expired(20))
         one.in_flight = 0
-        self.assertEqual([one], self.endpoints.remove_expired(20))
-        self.assertIsNone(self.endpoints.get('i-1'))
+        self.assertEqual([one], self.endpoint_table.remove_expired(20))
+        self.assertIsNone(self.endpoint_table.get('i-1'))
 
     def test_layers(self) -> None:
         """Only whole weights, of the version or a newer one, serve."""
@@ -203,19 +209,21 @@
 
     def setUp(self) -> None:
         super().setUp()
-        self.endpoints = endpoints.Endpoints()
-        self.endpoints.apply_listing(listing(started_ms=1000, heartbeat=50))
+        self.endpoint_table = endpoints.Endpoints()
+        self.endpoint_table.apply_listing(
+            listing(started_ms=1000, heartbeat=50)
+        )
 
     def usable_ids(self, now: float = 0) -> list[str]:
         """Return the ids of those that may be used."""
         return [
             one.listing.id
-            for one in self.endpoints.usable_for_service('pool', now)
+            for one in self.endpoint_table.usable_for_service('pool', now)
         ]
 
     def loaded_weights(self) -> endpoints.Weights:
         """Return what the endpoint is believed to hold."""
-        one = self.endpoints.get('i-1')
+        one = self.endpoint_table.get('i-1')
         assert one is not None
         return one.weights
 
@@ -224,12 +232,14 @@
 
         Its counts began anew, so its words were also taken for old ones.
         """
-        self.endpoints.apply_listing(
+        self.endpoint_table.apply_listing(
             listing(started_ms=1000, heartbeat=51, draining=True),
         )
         self.assertEqual([], self.usable_ids())
         self.assertTrue(
-            self.endpoints.apply_listing(listing(started_ms=2000, heartbeat=1))
+            self.endpoint_table.apply_listing(
+                listing(started_ms=2000, heartbeat=1)
+            )
         )
         self.assertEqual(['i-1'], self.usable_ids())
 
@@ -239,7 +249,7 @@
         The endpoint was taken for leaving, or for holding what it had held.
         """
         empty = endpoints.Weights(0, 0, 0)
-        self.endpoints.apply_listing(
+        self.endpoint_table.apply_listing(
             listing(started_ms=2000, heartbeat=1, weights=empty)
         )
         for late in (
@@ -247,12 +257,14 @@
             listing(started_ms=1000, heartbeat=99, draining=True),
             listing(started_ms=1000, heartbeat=99, address='10.0.0.9:80'),
         ):
-            self.assertFalse(self.endpoints.apply_listing(late))
+            self.assertFalse(self.endpoint_table.apply_listing(late))
             self.assertEqual(empty, self.loaded_weights())
             self.assertEqual(['i-1'], self.usable_ids())
-        self.endpoints.mark_removed('i-1', now=10, grace=0)
+        self.endpoint_table.mark_removed('i-1', now=10, grace=0)
         self.assertFalse(
-            self.endpoints.apply_listing(listing(started_ms=1000, heartbeat=99))
+            self.endpoint_table.apply_listing(
+                listing(started_ms=1000, heartbeat=99)
+            )
         )
         self.assertEqual([], self.usable_ids(10))
 
@@ -263,14 +275,14 @@
         requests hung on connections that were gone: it was passed by, though
         it was new and empty.
         """
-        before = self.endpoints.get('i-1')
+        before = self.endpoint_table.get('i-1')
         assert before is not None
         before.is_misdirected = True
         before.in_flight = 7
         before.active_streams = 7
         before.congested_until = 99
-        self.endpoints.apply_listing(listing(started_ms=2000, heartbeat=1))
-        after = self.endpoints.get('i-1')
+        self.endpoint_table.apply_listing(listing(started_ms=2000, heartbeat=1))
+        after = self.endpoint_table.get('i-1')
         assert after is not None
         self.assertEqual(['i-1'], self.usable_ids())
         self.assertFalse(after.is_stalled(99))
@@ -291,18 +303,20 @@
                 service=f'other-{start}',
                 address='10.0.0.9:80',
             )
-            self.endpoints.apply_listing(elsewhere)
+            self.endpoint_table.apply_listing(elsewhere)
             self.assertEqual([], self.usable_ids())
-        self.endpoints.mark_removed('i-1', now=10, grace=0)
-        self.assertEqual(1, len(self.endpoints.remove_expired(20)))
+        self.endpoint_table.mark_removed('i-1', now=10, grace=0)
+        self.assertEqual(1, len(self.endpoint_table.remove_expired(20)))
 
     def test_untold_start(self) -> None:
         """Writers that don't tell their start are ordered as before."""
-        self.assertFalse(self.endpoints.apply_listing(listing(heartbeat=49)))
+        self.assertFalse(
+            self.endpoint_table.apply_listing(listing(heartbeat=49))
+        )
         self.assertTrue(
-            self.endpoints.apply_listing(listing(heartbeat=51, slots=8))
+            self.endpoint_table.apply_listing(listing(heartbeat=51, slots=8))
         )
-        one = self.endpoints.get('i-1')
+        one = self.endpoint_table.get('i-1')
         assert one is not None
         self.assertEqual((1000, 8), (one.listing.started_ms, one.listing.slots))
 
@@ -361,13 +375,15 @@
         The endpoint got requests by the record before. Its next word is
         believed again, and nothing known of it was lost.
         """
-        self.assertFalse(self.endpoints.mark_unreadable('i-unknown'))
-        self.assertTrue(self.endpoints.mark_unreadable('i-1'))
-        self.assertFalse(self.endpoints.mark_unreadable('i-1'))
+        self.assertFalse(self.endpoint_table.mark_unreadable('i-unknown'))
+        self.assertTrue(self.endpoint_table.mark_unreadable('i-1'))
+        self.assertFalse(self.endpoint_table.mark_unreadable('i-1'))
         self.assertEqual([], self.usable_ids())
-        one = self.endpoints.get('i-1')
+        one = self.endpoint_table.get('i-1')
         self.assertTrue(
-            self.endpoints.apply_listing(listing(started_ms=1000, heartbeat=51))
+            self.endpoint_table.apply_listing(
+                listing(started_ms=1000, heartbeat=51)
+            )
         )
         self.assertEqual(['i-1'], self.usable_ids())
-        self.assertIs(one, self.endpoints.get('i-1'))
+        self.assertIs(one, self.endpoint_table.get('i-1'))
--- a/tests/direct/test_start.py
+++ b/tests/direct/test_start.py
@@ -31,7 +31,7 @@
         from it.
         """
 
-        async def story() -> None:
+        async def scenario() -> None:
             engines = [
                 weights_origin.LoadingEngine(
                     machines.LAYERS, machines.CHUNKS, 1
