--- a/clementinepass/direct/attempt.py
+++ b/clementinepass/direct/attempt.py
@@ -1,4 +1,4 @@
-"""Send a request to one endpoint and hand its answer on."""
+"""Send a request to an endpoint and forward its answer."""
 
 from __future__ import annotations
 
@@ -16,38 +16,43 @@
     from clementinepass.direct import cluster_state, endpoints, request_log
     from clementinepass.requests import outcome
 
-#: Seconds for which a connection may have been idle and still carry a request
-#: that must not run twice. An endpoint that ends it meanwhile leaves open
-#: whether it has read the request; endpoints keep connections for seconds.
+#: Longest time that a connection may have been idle to be reused for a request
+#: that must not run twice. If the endpoint closes the connection meanwhile, it
+#: is unknown whether it has read the request; endpoints keep idle connections
+#: for seconds.
 _MAX_IDLE_SECONDS = 1.0
-#: Seconds for a connection to an endpoint. Two round trips take some
-#: milliseconds; a lost packet is sent again after one second.
+#: Timeout for connecting to an endpoint. Two round trips take some
+#: milliseconds; a lost packet is retransmitted after one second.
 _CONNECT_TIMEOUT_SECONDS = 0.6
-#: Bytes of a plain answer that are kept until it is whole.
+#: Largest plain answer that is buffered.
 _MAX_ANSWER_BYTES = 16 * 1024 * 1024
-#: Seconds beyond the aim after which a request that may run twice is tried
-#: elsewhere. Callers give a stream up after two seconds without an event.
+#: Seconds beyond the latency target without a first event after which a
+#: repeatable request is sent to another endpoint. Callers abandon a stream
+#: after two seconds without an event.
 _FIRST_EVENT_GRACE_SECONDS = 0.9
-#: Seconds without an event, beyond the gap that is allowed, after which a
-#: stream is resumed elsewhere; the rest of those two seconds is for that.
+#: Seconds without an event, beyond the longest allowed gap, after which a
+#: stream is resumed at another endpoint. The rest of those two seconds is left
+#: for the other endpoint.
 _EVENT_GAP_GRACE_SECONDS = 0.7
-#: The part of the time left after which a plain request that may run twice is
-#: tried elsewhere. Answers take a ninth of it, the slowest a half.
+#: Share of the remaining time after which a repeatable plain request is sent to
+#: another endpoint. Answers take a ninth of that time, the slowest a half.
 _PLAIN_ANSWER_TIME_SHARE = 0.5
 _MAX_URGENCY = 9
 
 
 class _EndpointPool(typing.NamedTuple):
-    """Connections to one start of an endpoint."""
+    """Connections to one start of an endpoint's process."""
 
     endpoint: endpoints.Endpoint
     connections: pool.Pool
 
 
 class Sender:
-    """Send requests to endpoints, on connections that are kept.
+    """Send requests to endpoints over pooled connections.
 
-    :param dialect: how endpoints spell requests and answers.
+    :param cluster: the state of the cluster.
+    :param dialect: encodes requests for endpoints and decodes their answers.
+    :param log: logs and counts attempts.
     """
 
     __slots__ = (
@@ -68,7 +73,7 @@
         self._dialect = dialect
         self._log = log
         self._pools_by_id: dict[str, _EndpointPool] = {}
-        #: Services of which a request was answered since the start.
+        #: Services that have answered a request since the process started.
         self._answered_services: set[str] = set()
 
     async def send(
@@ -76,7 +81,7 @@
         admitted: serving.AdmittedRequest,
         endpoint: endpoints.Endpoint,
     ) -> serving.AttemptResult:
-        """Send a request to an endpoint and hand on what comes."""
+        """Send a request to an endpoint and forward the answer."""
         attempt = admitted.start_attempt(endpoint.listing.id)
         self._log.log_sending(admitted, endpoint)
         endpoint.in_flight += 1
@@ -93,7 +98,7 @@
         return result
 
     def close_connections(self, endpoint_id: str) -> None:
-        """Close the connections to an endpoint that is gone."""
+        """Close the connections to an endpoint that was removed."""
         endpoint_pool = self._pools_by_id.pop(endpoint_id, None)
         if endpoint_pool is not None:
             endpoint_pool.connections.close()
@@ -140,22 +145,22 @@
             connection.abort()
             return serving.AttemptResult.BROKEN
         except BaseException:
-            # The caller has left or the time is over: the endpoint must hear
-            # of it, or it works on for nobody.
+            # The caller has disconnected or the deadline has passed. Without
+            # the abort the endpoint would continue to work for nobody.
             connection.abort()
             raise
         finally:
             connections.give_back(connection)
             if not self._has_pool(endpoint):
-                # It has started anew meanwhile: no more requests here.
+                # The endpoint has restarted: its old connections are useless.
                 connections.close()
 
     def _became_unusable(self, endpoint: endpoints.Endpoint) -> bool:
-        """Tell whether an endpoint left while its connection was made.
+        """Tell whether an endpoint became unusable during connection setup.
 
-        Failure: the endpoint was chosen, its connection took up to 0.6 s, and
-        it had said meanwhile that it leaves. Two seconds after that it must get
-        nothing more, and what follows the choice used up a third of them.
+        Connecting takes up to 0.6 s, in which the endpoint may announce that it
+        drains. Requests must not reach it two seconds after that, and the setup
+        takes up to a third of this time.
         """
         return not endpoint.is_usable(asyncio.get_running_loop().time())
 
@@ -195,7 +200,7 @@
             calls.Verdict.INVALID,
         }:
             raise channel.ChannelBrokenError(
-                f'status {head.status} is no answer to this request',
+                f'status {head.status} is not a valid answer to this request',
                 peer=connection.peer,
             )
         if (
@@ -226,7 +231,7 @@
         decoded_head: calls.DecodedHead,
         status: int,
     ) -> serving.AttemptResult:
-        """Take a plain answer whole, then hand it on."""
+        """Buffer a plain answer until it is complete, then forward it."""
         admitted.start_deadline = math.inf
         parts = []
         length = 0
@@ -236,7 +241,7 @@
                 length += len(part)
                 if length > _MAX_ANSWER_BYTES:
                     raise channel.ChannelBrokenError(
-                        'the answer is too long',
+                        'the answer is longer than the limit',
                         peer=connection.peer,
                     )
         attempt.ended()
@@ -247,7 +252,9 @@
             )
             return serving.AttemptResult.FAILED
         if admitted.reply.begun:
-            raise channel.ChannelBrokenError('no stream', peer=connection.peer)
+            raise channel.ChannelBrokenError(
+                'a plain answer came instead of a stream', peer=connection.peer
+            )
         admitted.first_event_at = asyncio.get_running_loop().time()
         admitted.reply.send(status, decoded_head.pairs, body)
         return serving.AttemptResult.ANSWERED
@@ -261,7 +268,7 @@
         decoded_head: calls.DecodedHead,
         status: int,
     ) -> serving.AttemptResult:
-        """Hand on whole events as they come."""
+        """Forward complete events as they arrive."""
         reply = admitted.reply
         endpoint.last_received_at = connection.heard
         while True:
@@ -275,7 +282,9 @@
                 reply.write(event.payload)
             await reply.writable()
         if admitted.splitter.has_partial_event:
-            raise events.StreamBrokenError('the last event is cut short')
+            raise events.StreamBrokenError(
+                'the stream ended in the middle of an event'
+            )
         self._start_reply(admitted, decoded_head, status)
         attempt.ended()
         reply.end()
@@ -287,13 +296,15 @@
         decoded_head: calls.DecodedHead,
         status: int,
     ) -> None:
-        """Send the head before the first event.
+        """Send the head of the reply with the first event.
 
-        Only then: until it went out, another endpoint may still answer.
+        The head is not sent earlier, as another endpoint may still answer until
+        then.
 
-        The time to begin holds for each attempt until its own first event.
-        Failure: a stream whose engine had crashed was sent on and began on
-        old weights after their bound, since its caller had events already.
+        The start deadline applies to each attempt until its own first event,
+        even if the caller has events of an earlier attempt. Otherwise a stream
+        that is resumed after a crash of its engine may start on old weights
+        after their bound.
         """
         admitted.start_deadline = math.inf
         if not admitted.reply.begun:
@@ -305,11 +316,11 @@
         admitted: serving.AdmittedRequest,
         endpoint: endpoints.Endpoint,
     ) -> float:
-        """Return the time by which a request must begin at an endpoint.
+        """Return the time by which a request must start at an endpoint.
 
-        Failure: a request waited in an engine's queue for longer than its
-        estimate, and began on old weights after their bound. Given up before
-        that, the end of its connection takes it out of the queue.
+        A request that waits in the queue of an engine for longer than estimated
+        would start on old weights after their bound. It is abandoned before
+        that; closing its connection removes it from the queue.
         """
         engine = admitted.service.engine
         if engine is None:
@@ -325,7 +336,7 @@
         engine = admitted.service.engine
         version = 0
         if engine is not None and self._cluster.required_version(engine, now):
-            # The engine may have restarted with older weights unseen.
+            # The engine may have restarted unnoticed with older weights.
             version = endpoint.weights.version
         team = admitted.team
         return calls.AttemptParameters(
@@ -356,11 +367,11 @@
         admitted: serving.AdmittedRequest,
         endpoint: endpoints.Endpoint,
     ) -> pool.Pool:
-        """Return the connections to one start of an endpoint.
+        """Return the connections to one start of an endpoint's process.
 
-        Failure: a request that must not run twice went out on a connection to
-        the process before, which was gone, and so it may have run for all
-        that this entry could tell.
+        A pool is not reused after a restart. A request that must not run twice,
+        sent on a connection to the previous process, may have run as far as the
+        entry can tell.
         """
         listing = endpoint.listing
         if not self._has_pool(endpoint):
@@ -380,7 +391,7 @@
         endpoint: endpoints.Endpoint,
         result: serving.AttemptResult,
     ) -> None:
-        """Tell the ejector how the endpoint did."""
+        """Report the result of an attempt to the ejector."""
         now = asyncio.get_running_loop().time()
         if result is serving.AttemptResult.ANSWERED:
             answered_at = admitted.first_event_at or now
@@ -390,12 +401,12 @@
             result is not serving.AttemptResult.NOT_RUN
             and not endpoint.is_loading
         ):
-            # An engine that takes up new weights cuts what still runs.
+            # An engine that loads new weights cuts off running requests.
             self._cluster.failed(endpoint, now)
 
 
 def _urgency(admitted: serving.AdmittedRequest) -> int:
-    """Return the rank at the engine: the team's goes before the route's."""
+    """Return the priority at the engine: by team first, then by route."""
     team_priority = 0 if admitted.team is None else admitted.team.priority
     return min(
         max(team_priority * 3 + admitted.route.priority, 0), _MAX_URGENCY
@@ -406,7 +417,7 @@
     admitted: serving.AdmittedRequest,
     connection: channel.Channel,
 ) -> _SilenceTimeout:
-    """Return how long to wait for what comes next."""
+    """Return the timeout for the next bytes of an answer."""
     deadline = min(_silence_deadline(admitted), admitted.start_deadline)
     return _SilenceTimeout(
         None if deadline == math.inf else deadline, connection
@@ -414,7 +425,7 @@
 
 
 def _silence_deadline(admitted: serving.AdmittedRequest) -> float:
-    """Return the time at which a silent endpoint is given up."""
+    """Return the time at which an attempt at a silent endpoint is abandoned."""
     now = asyncio.get_running_loop().time()
     route = admitted.route
     if not route.is_repeatable or admitted.run_count >= route.max_runs:
@@ -427,10 +438,10 @@
 
 
 class _SilenceTimeout:
-    """Give an endpoint up that says nothing for too long.
+    """Abandon an endpoint that sends nothing for too long.
 
-    Only for what may run once more: for anything else a late answer is the
-    only one that there can be.
+    This applies to requests that may run once more only. Any other request can
+    have no answer but the late one.
     """
 
     __slots__ = ('_timeout', '_connection')
@@ -449,7 +460,7 @@
             await self._timeout.__aexit__(*exc_info)
         except TimeoutError as error:
             raise channel.ChannelBrokenError(
-                'the endpoint is silent',
+                'the endpoint sent nothing until the timeout',
                 peer=self._connection.peer,
                 fault=channel.Fault.SILENT,
             ) from error
--- a/clementinepass/direct/calls.py
+++ b/clementinepass/direct/calls.py
@@ -1,4 +1,4 @@
-"""A caller's request as the direct path understands it."""
+"""Callers' requests and endpoints' answers, decoded."""
 
 from __future__ import annotations
 
@@ -12,32 +12,32 @@
     from clementinepass.http import messages
 
 
-#: What callers wait for an event of a stream: seconds, aims of the route, and
-#: gaps of the route; the longest counts.
+#: Time for which callers wait for an event of a stream: the longest of this
+#: many seconds, latency targets of the route, and event gaps of the route.
 _MIN_EVENT_WAIT_SECONDS = 2.0
 _LATENCY_TARGETS_WAITED = 4
 _EVENT_GAPS_WAITED = 8
 
 
 class InvalidRequestError(errors.ClementinepassError):
-    """A request lacks what each request must say, or says it wrongly."""
+    """A request lacks a required header, or one of its headers is invalid."""
 
     def __init__(self, detail: str) -> None:
         super().__init__(detail, step='receive', peer='caller')
-        #: The request's id, where that much could be read.
+        #: The id of the request; empty if it could not be decoded.
         self.request_id = ''
 
 
 class Call:
-    """One request of a caller.
+    """A decoded request of a caller.
 
-    :param id: what the caller named it; endpoints echo it.
+    :param id: id that the caller chose; endpoints echo it.
     :param key: the caller's key; empty for none.
-    :param patience: seconds for which the caller waits; ``None`` if untold.
-    :param prompt_tokens: tokens to read; 0 if untold.
-    :param answer_tokens: tokens to write at most; 0 if untold.
-    :param resume_after: the last event that the caller has; ``None`` for a
-        request that begins at the start.
+    :param timeout_seconds: how long the caller waits; ``None`` if unspecified.
+    :param prompt_tokens: tokens of the prompt; 0 if unspecified.
+    :param answer_tokens: maximum tokens of the answer; 0 if unspecified.
+    :param resume_after: id of the last event that the caller has received;
+        ``None`` for a request that is not resumed.
     """
 
     __slots__ = (
@@ -74,13 +74,13 @@
 
 
 class AttemptParameters(typing.NamedTuple):
-    """What one attempt adds to a call.
+    """Parameters of one attempt, sent along with the request.
 
-    :param endpoint_id: the only endpoint that may run it.
-    :param seconds: what is left for the answer.
-    :param version: the only version to run it on; 0 for any.
-    :param resume_after: the last event that the caller has.
-    :param urgency: 0 is served first, 9 last.
+    :param endpoint_id: the only endpoint that may run the request.
+    :param timeout_seconds: time left for the answer.
+    :param version: the only version to run the request on; 0 for any.
+    :param resume_after: id of the last event that the caller has received.
+    :param urgency: priority at the engine, from 0 (first) to 9 (last).
     """
 
     endpoint_id: str
@@ -92,65 +92,65 @@
 
 
 class Verdict(enum.Enum):
-    """What the head of an answer says."""
+    """Classification of an answer by its head."""
 
-    #: The endpoint did not run the request: it is full or leaving.
+    #: The endpoint did not run the request, as it is full or draining.
     NOT_RUN = 'not_run'
-    #: As ``NOT_RUN``, since the endpoint there is another, or its weights are.
+    #: As ``NOT_RUN``, as another endpoint or another version is at the address.
     MISDIRECTED = 'misdirected'
-    #: Another request's answer.
+    #: The answer belongs to another request.
     OTHER_REQUEST = 'foreign'
-    #: Not an answer that an endpoint gives: unmarked, or encoded.
+    #: Not an answer of an endpoint: it is not stamped, or it is encoded.
     INVALID = 'spoiled'
-    #: The endpoint's answer: a success.
+    #: The request succeeded.
     SUCCESS = 'success'
-    #: The endpoint's answer: it ran the request and failed.
+    #: The endpoint ran the request and failed.
     FAILURE = 'failure'
 
 
 class DecodedHead(typing.NamedTuple):
-    """The head of an endpoint's answer, decoded."""
+    """The decoded head of an endpoint's answer."""
 
     verdict: Verdict
     #: Whether the body is a stream of events.
     is_stream: bool
-    #: The headers to pass on.
+    #: Headers to forward to the caller.
     pairs: list[messages.Pair]
-    #: Who answered, where it says so.
+    #: Id of the instance that answered; empty if the answer has none.
     instance: str = ''
 
 
 class Dialect(typing.Protocol):
-    """How callers and endpoints spell what the path must know."""
+    """Encoding of requests and answers in the headers of the platform."""
 
     def decode_request(self, request: messages.Request) -> Call:
         """Decode a caller's request.
 
-        :raises BadCallError: it can't be served as it is.
+        :raises InvalidRequestError: a header is missing or invalid.
         """
 
     def encode_attempt(
         self, call: Call, parameters: AttemptParameters
     ) -> bytes:
-        """Return the request for an endpoint as it goes on the wire."""
+        """Encode the request for an endpoint."""
 
     def decode_head(self, call: Call, head: messages.AnswerHead) -> DecodedHead:
         """Decode the head of an endpoint's answer."""
 
     def refusal_headers(self, call: Call | None) -> list[messages.Pair]:
-        """Return the headers of an answer of the system's own."""
+        """Return the headers of an answer that the entry itself gives."""
 
 
 def first_event_deadline(call: Call, route: routing.Route) -> float:
-    """Return the monotonic seconds until which a stream's caller waits."""
+    """Return the monotonic time until which a caller waits for an event."""
     return call.request.received + max_event_wait(route)
 
 
 def max_event_wait(route: routing.Route) -> float:
-    """Return the seconds after which a stream's caller gives it up.
+    """Return the seconds without an event after which callers disconnect.
 
-    Callers do so, also before its first event, after the longest of two
-    seconds, four aims and eight gaps.
+    Callers of streams do so, also before the first event, after the longest of
+    two seconds, four latency targets and eight event gaps.
     """
     return max(
         _MIN_EVENT_WAIT_SECONDS,
@@ -160,7 +160,7 @@
 
 
 def deadline(call: Call, route: routing.Route) -> float:
-    """Return the monotonic seconds by which the final answer is due."""
+    """Return the monotonic time by which the final answer is due."""
     seconds = route.timeout
     if call.timeout_seconds is not None:
         seconds = min(seconds, call.timeout_seconds)
--- a/clementinepass/direct/departure.py
+++ b/clementinepass/direct/departure.py
@@ -1,4 +1,4 @@
-"""How far an entry is on its way out, for all that serve callers."""
+"""The state of an entry's drain, shared by all that serve callers."""
 
 from __future__ import annotations
 
@@ -12,15 +12,15 @@
 if typing.TYPE_CHECKING:
     from clementinepass.direct import cluster_state, node
 
-#: Seconds between lines that the directory names an entry that leaves.
+#: Seconds between log lines about the directory listing a draining entry.
 _LOG_INTERVAL_SECONDS = 1.0
 
 
 class DrainState:
-    """Whether an entry is to end, and what follows from that.
+    """Whether an entry drains, and which requests it still accepts.
 
-    :param own: who the entry is.
-    :param known: the state of the cluster.
+    :param local_node: the entry.
+    :param cluster: the state of the cluster.
     """
 
     __slots__ = (
@@ -39,19 +39,19 @@
         self._local_node = local_node
         self._cluster = cluster
         self._logged_at = -math.inf
-        #: Until when a list is kept that this entry told.
+        #: Monotonic time until which callers keep lists from this entry.
         self._lists_expire_at = -math.inf
-        #: The times of leaving; ``None`` while the entry is to stay.
+        #: The schedule of the drain; ``None`` unless the entry drains.
         self.plan: decisions.DrainPlan | None = None
-        #: Requests taken, and turned away, since it was told to end.
+        #: Requests accepted and refused since the drain started.
         self.accepted_count = 0
         self.refused_count = 0
 
     @property
     def list_policy(self) -> decisions.ListPolicy:
-        """Return how entries are named to callers.
+        """Return how entries are listed to callers.
 
-        Before a configuration is known any request may be the longest.
+        Before a configuration is known, any request may take the longest time.
         """
         configuration = self._cluster.routing
         timeouts = () if configuration is None else configuration.timeouts
@@ -60,14 +60,14 @@
         return decisions.list_policy(acceptance_seconds, duties.longest_offer)
 
     def list_ttl_seconds(self, now: float) -> float:
-        """Return for how long a list is to be kept that is told now."""
+        """Return how long callers may keep a list that they receive now."""
         ttl_seconds = self.list_policy.ttl_seconds
         expires_at = now + decisions.max_kept_seconds(ttl_seconds)
         self._lists_expire_at = max(self._lists_expire_at, expires_at)
         return ttl_seconds
 
     def start(self, now: float) -> decisions.DrainPlan:
-        """Begin to leave; return the times of it."""
+        """Start to drain and return the schedule."""
         self.plan = decisions.plan_drain(
             now,
             self._local_node.duties.grace,
@@ -77,7 +77,7 @@
         return self.plan
 
     def is_listed(self, now: float) -> bool:
-        """Tell whether callers are sent here where no entry is ready."""
+        """Tell whether callers are sent here while no entry is ready."""
         seconds_draining = self.seconds_draining(now)
         return (
             seconds_draining is None
@@ -85,11 +85,11 @@
         )
 
     def seconds_draining(self, now: float) -> float | None:
-        """Return the seconds since it was told; ``None`` before that."""
+        """Return the seconds since the drain started; ``None`` before that."""
         return None if self.plan is None else now - self.plan.started_at
 
     def accepts(self, deadline: float) -> bool:
-        """Tell whether a request is taken whose final answer is due then."""
+        """Tell whether to accept a request with this deadline, and count it."""
         if self.plan is None:
             return True
         if self.plan.accepts(deadline):
@@ -99,7 +99,7 @@
         return False
 
     def log_listed(self, now: float) -> None:
-        """Note that callers are told to use this entry."""
+        """Log that callers are sent to this entry while it drains."""
         seconds_draining = self.seconds_draining(now)
         if (
             seconds_draining is None
--- a/clementinepass/direct/directory.py
+++ b/clementinepass/direct/directory.py
@@ -1,4 +1,4 @@
-"""What the directory and the readiness question need of an entry."""
+"""Interfaces between an entry and its directory and readiness endpoints."""
 
 from __future__ import annotations
 
@@ -9,23 +9,23 @@
 
 
 class EntryDirectory(typing.Protocol):
-    """Who can be asked for entries."""
+    """An entry as the directory and the readiness check see it."""
 
     @property
     def is_ready(self) -> bool:
         """Tell whether callers may be sent here."""
 
     def list_ttl_seconds(self, now: float) -> float:
-        """Return for how long callers may keep a list that is told now."""
+        """Return how long callers may keep a list that they receive now."""
 
     def listed_addresses(self, now: float) -> list[str]:
-        """Return the callers' addresses of entries to use."""
+        """Return the addresses of the entries that callers should use."""
 
 
 class HandlerFactory(typing.Protocol):
-    """How those questions and their answers are spelled."""
+    """The protocol of the directory and of the readiness check."""
 
     def create_handler(
         self, entry_directory: EntryDirectory
     ) -> connection.Handler:
-        """Return what answers them."""
+        """Return a handler of directory and readiness requests."""
--- a/clementinepass/direct/entry.py
+++ b/clementinepass/direct/entry.py
@@ -1,4 +1,4 @@
-"""An entry: the parts that serve callers, put together."""
+"""Assemble and run an entry, which serves callers."""
 
 from __future__ import annotations
 
@@ -32,14 +32,14 @@
 if typing.TYPE_CHECKING:
     from clementinepass.direct import calls, directory, node, routing
 
-#: Seconds between looks for endpoints and members that are gone.
+#: Seconds between removals of expired endpoints and members.
 _CLEANUP_SECONDS = 1.0
-#: Seconds for which an entry that fell silent still counts for the budget.
+#: Seconds for which a silent entry still counts for the retry budget.
 _ENTRY_COUNT_SECONDS = 12.0
 
 
 class PlatformAdapters(typing.NamedTuple):
-    """What an entry needs from the users' platform."""
+    """Adapters to the store and the protocols of the users' platform."""
 
     store: records.Store
     dialect: calls.Dialect
@@ -48,10 +48,11 @@
 
 
 class Entry:
-    """One entry.
+    """An HTTP front process.
 
-    :param own: who it is.
-    :param boundary: how it speaks to callers, endpoints and the store.
+    :param local_node: identity, addresses and limits of the entry.
+    :param adapters: adapters to callers, endpoints and the store.
+    :param registry: where metrics are registered.
     """
 
     def __init__(
@@ -83,10 +84,11 @@
             self.cluster,
             self.peers.subscribe,
         )
-        # Agents have eight seconds for five seconds' work.
+        # Desired versions are announced at once: agents have eight seconds to
+        # load a version, and need five.
         self.cluster.on_named = self._announce_version
         log = request_log.RequestLog(registry)
-        #: The cluster state, as metrics.
+        #: Metrics of the cluster state.
         self.gauges = gauges.Gauges(
             registry,
             self.cluster,
@@ -118,7 +120,7 @@
 
     @property
     def directory_address(self) -> str:
-        """Return ``host:port`` where callers ask for entries."""
+        """Return ``host:port`` of the directory of entries."""
         return self._local_node.directory or self._local_node.readiness
 
     @property
@@ -127,22 +129,22 @@
         return self.peers.phase is members.Phase.READY
 
     def list_ttl_seconds(self, now: float) -> float:
-        """Return for how long callers may keep a list that is told now."""
+        """Return how long callers may keep a list that they receive now."""
         return self._drain_state.list_ttl_seconds(now)
 
     def listed_addresses(self, now: float) -> list[str]:
-        """Return the callers' addresses of entries to use."""
+        """Return the addresses of the entries that callers should use."""
         addresses = [member.callers for member in self.peers.members.ready(now)]
         if self.is_ready:
             addresses.append(self._local_node.callers)
         return addresses or self._draining_addresses(now)
 
     def _draining_addresses(self, now: float) -> list[str]:
-        """Return the entries to use when none is ready.
+        """Return the addresses to list while no entry is ready.
 
-        Failure: all were stopped within six seconds, and each named itself,
-        also those that took nothing any more. The ones told last still take
-        what comes.
+        If all entries are stopped within six seconds, only those that started
+        to drain last still accept requests. Without this restriction each entry
+        lists itself, even if it accepts nothing any more.
         """
         max_seconds = self._drain_state.list_policy.listed_seconds
         draining_members = self.peers.members.leaving_lately(now, max_seconds)
@@ -153,7 +155,7 @@
         return addresses
 
     async def run(self) -> None:
-        """Serve until told to stop."""
+        """Serve until the process is asked to stop and has drained."""
         await self._listen()
         drainer = leaving.Drainer(
             self.front,
@@ -196,7 +198,7 @@
         )
 
     async def _become_ready(self) -> None:
-        """Be ready once configuration and endpoints are known."""
+        """Become ready once configuration and endpoints are known."""
         while not all(
             follower.started for follower in self._followers.values()
         ) or (self.cluster.routing is None):
@@ -211,7 +213,7 @@
         await self._join()
 
     async def _join(self) -> None:
-        """Find the other entries, and be found, through the store."""
+        """Discover the other entries through the store, and register there."""
         store = self._adapters.store
         while True:
             try:
--- a/clementinepass/direct/events.py
+++ b/clementinepass/direct/events.py
@@ -1,4 +1,4 @@
-"""Cut a stream of server-sent events into whole events with their ids."""
+"""Split a stream of server-sent events into events with their ids."""
 
 from __future__ import annotations
 
@@ -10,14 +10,14 @@
 if typing.TYPE_CHECKING:
     from collections.abc import Iterator
 
-#: Bytes of one event that are kept until it is whole.
+#: Largest event that is buffered.
 _MAX_EVENT_BYTES = 1 << 20
-#: What ends an event: a line without anything on it.
+#: An empty line ends an event.
 _BLANK_LINE = re.compile(b'\n\n|\r\n\r\n')
 
 
 class Event(typing.NamedTuple):
-    """One whole event as it came, with its id."""
+    """A complete event, unchanged, with its id."""
 
     payload: bytes
     #: ``None`` for an event without an id.
@@ -25,41 +25,41 @@
 
 
 class StreamBrokenError(errors.ClementinepassError):
-    """A stream's events don't follow on one another."""
+    """The events of a stream are not consecutive, or one is malformed."""
 
     def __init__(self, detail: str) -> None:
         super().__init__(detail, step='relay', peer='endpoint')
 
 
 class EventSplitter:
-    """Collect bytes and hand out whole events in their order.
+    """Buffer bytes and yield complete events in order.
 
-    Endpoints stop in the middle of an event when they crash.  Only whole
-    events go to a caller, so that another endpoint can go on after the last.
+    An endpoint that crashes may stop in the middle of an event. Only complete
+    events are forwarded, so that another endpoint can resume after the last.
 
-    :param after: the last event that the caller has; ``None`` at the start.
+    :param after_id: id of the last event that the caller has received;
+        ``None`` at the start.
     """
 
     __slots__ = ('_pending', 'last_id')
 
     def __init__(self, after_id: int | None) -> None:
         self._pending = b''
-        #: The id of the last event handed out.
+        #: The id of the last event that was yielded.
         self.last_id = after_id
 
     @property
     def has_partial_event(self) -> bool:
-        """Tell whether an event has begun and isn't whole."""
+        """Tell whether an incomplete event is buffered."""
         return bool(self._pending)
 
     def feed(self, payload: bytes) -> Iterator[Event]:
-        """Take bytes and yield the events that are whole now.
+        """Buffer bytes and yield the events that are now complete.
 
-        One by one: those before a fault were good, and whoever relays them
-        has passed them on when the fault is found.
+        Events are yielded one by one, so that those before a faulty event are
+        forwarded before the error is raised.
 
-        :raises StreamBrokenError: an event is missing, comes twice, or
-            is too long.
+        :raises StreamBrokenError: an event is missing, repeated or too long.
         """
         self._pending += payload
         end = _event_end(self._pending)
@@ -70,18 +70,20 @@
             yield event
             end = _event_end(self._pending)
         if len(self._pending) > _MAX_EVENT_BYTES:
-            raise StreamBrokenError('an event has no end')
+            raise StreamBrokenError('an event is too long')
 
     def _check_sequence(self, event: Event) -> None:
         if event.id is None:
             return
         if self.last_id is not None and event.id != self.last_id + 1:
-            raise StreamBrokenError(f'{event.id} follows on {self.last_id}')
+            raise StreamBrokenError(
+                f'event {event.id} follows event {self.last_id}'
+            )
         self.last_id = event.id
 
 
 def _event_end(pending: bytes) -> int:
-    """Return where the first event ends; 0 where none is whole."""
+    """Return the end of the first event; 0 if no event is complete."""
     match = _BLANK_LINE.search(pending)
     return match.end() if match else 0
 
--- a/clementinepass/direct/leaving.py
+++ b/clementinepass/direct/leaving.py
@@ -1,9 +1,10 @@
-"""Leave without a cut answer: from SIGTERM to the end of the process.
+"""Drain an entry after SIGTERM without cutting off answers.
 
-Callers keep a list of entries for a while and use open connections until
-they are told otherwise.  So a leaving entry first says so to the others and
-to the platform, serves on what it can finish, and tells each caller with its
-next answer to use the connection no more; idle connections end last.
+Callers keep a list of entries for a while and reuse open connections until an
+answer closes them. A draining entry therefore first announces its drain to the
+other entries and to the platform, continues to serve requests that it can
+finish, and closes each connection with its next answer. Idle connections are
+closed last.
 """
 
 from __future__ import annotations
@@ -21,17 +22,19 @@
     from clementinepass.http import front
 
 _POLL_SECONDS = 0.05
-#: Looks at the end in which final answers go out, and connections that a caller
-#: still uses end. Counted and not timed, since a process that is held up for a
-#: moment finds its time over, with its final answers still to be written.
+#: Polls at the end in which final answers are written and connections in use
+#: are closed. Polls are counted instead of timed, as a process that is delayed
+#: for a moment would find its time over before its final answers are written.
 _FINAL_POLLS = 4
 
 
 class Drainer:
-    """Wait for SIGTERM, then leave.
+    """Wait for SIGTERM, then drain.
 
-    :param callers: takes callers' connections.
-    :param serving: the path of requests.
+    :param caller_front: accepts callers' connections.
+    :param request_handler: serves the requests in progress.
+    :param peers: announces the phase of this entry.
+    :param drain_state: decides which requests are still accepted.
     """
 
     __slots__ = (
@@ -56,7 +59,7 @@
         self._stop_requested = asyncio.Event()
 
     async def wait_until_drained(self) -> None:
-        """Return when the process may end."""
+        """Return once the process has drained and may end."""
         loop = asyncio.get_running_loop()
         loop.add_signal_handler(signal.SIGTERM, self._stop_requested.set)
         loop.add_signal_handler(signal.SIGINT, self._stop_requested.set)
--- a/clementinepass/direct/path.py
+++ b/clementinepass/direct/path.py
@@ -1,4 +1,4 @@
-"""The path of a request: receive, admit, place, send, relay, conclude."""
+"""Serve callers' requests: admit, select an endpoint, send, relay, answer."""
 
 from __future__ import annotations
 
@@ -29,19 +29,25 @@
 _BAD_GATEWAY = 502
 _UNAVAILABLE = 503
 _GATEWAY_TIMEOUT = 504
-#: Seconds after which a caller may ask again when nothing says how long it
-#: will take: an entry that starts knows its configuration by then.
+#: Default of ``Retry-After`` in seconds. An entry that is starting has its
+#: configuration by then.
 _RETRY_AFTER_SECONDS = 0.4
-#: Seconds from sending to the first event of a stream; twice the usual.
+#: Seconds from sending a request to the first event of its stream. This is
+#: twice the usual time.
 _FIRST_EVENT_MARGIN_SECONDS = 0.35
 
 
 class RequestHandler:
     """Serve callers' requests.
 
-    :param entries: returns how many entries there are, this one included.
-    :param leaving: whether, and since when, this entry is to end.
-    :param others_ready: returns how many others callers may be sent to.
+    :param local_node: the entry.
+    :param cluster: configuration, versions, endpoints and loads.
+    :param dialect: decodes requests of callers and answers of endpoints.
+    :param sender: sends requests to endpoints.
+    :param count_entries: returns the number of entries, including this one.
+    :param drain_state: whether, and since when, this entry is draining.
+    :param count_ready_peers: returns the number of other entries that callers
+        may be sent to.
     """
 
     __slots__ = (
@@ -99,7 +105,7 @@
         request: messages.Request,
         reply: replies.Reply,
     ) -> None:
-        """Serve one request to its end."""
+        """Serve one request and send its final answer."""
         try:
             call = self._dialect.decode_request(request)
         except calls.InvalidRequestError as error:
@@ -129,10 +135,10 @@
             del self._timeouts_by_request[admitted]
 
     def finish_by(self, deadline: float) -> None:
-        """Give whatever is in progress its final answer by some time.
+        """Send the final answers of all requests in progress by a deadline.
 
-        Failure: a request without a first event was cut off when the entry
-        ended, and its caller could not tell whether it had run.
+        Otherwise a request without a first event is cut off when the process
+        ends, and its caller cannot tell whether the request has run.
         """
         for admitted, timeout in self._timeouts_by_request.items():
             if admitted.shorten_deadline(deadline):
@@ -145,7 +151,7 @@
         call: calls.Call,
         reply: replies.Reply,
     ) -> serving.AdmittedRequest | None:
-        """Find out what a request is; refuse it if it is nothing."""
+        """Match a request to a route, a team and a service, or refuse it."""
         configuration = self._cluster.routing
         if configuration is None:
             self._refuse(call, reply, serving.Ending.STARTING, _UNAVAILABLE)
@@ -182,8 +188,9 @@
     ) -> routing.Service:
         """Return the service that runs the request.
 
-        One that the configuration lacks has no endpoints, and its requests
-        are refused like others that nobody can run.
+        A service that is missing in the configuration is returned without
+        endpoints, so that its requests are refused like those of any service
+        that has none.
         """
         name = route.service_for(self._rng.random())
         service = configuration.services_by_name.get(name)
@@ -215,7 +222,7 @@
     def _last_matching_version(
         self, call: calls.Call, ending: serving.Ending
     ) -> int:
-        """Return the newest configuration with what a call lacks."""
+        """Return the newest configuration with the missing key or route."""
         if ending is serving.Ending.UNKNOWN_KEY:
             return self._configuration_history.last_version_with_key(call)
         if ending is serving.Ending.UNKNOWN_ROUTE:
@@ -238,7 +245,7 @@
     # Attempts.
 
     async def _run_attempts(self, admitted: serving.AdmittedRequest) -> None:
-        """Send the request until it is answered or nothing is left to try."""
+        """Send the request until it is answered or must not be retried."""
         endpoint = await self._selector.select_first(admitted)
         while endpoint is not None:
             self._count_in_budget(admitted)
@@ -293,7 +300,7 @@
             self._retry_budgets_by_service[service] = budget
         return budget
 
-    # The end.
+    # Final answers.
 
     def _ending_after_attempt(
         self,
@@ -330,7 +337,7 @@
         admitted: serving.AdmittedRequest,
         ending: serving.Ending,
     ) -> None:
-        """Give the final answer to a request that has none."""
+        """Send the final answer unless the request has one already."""
         reply = admitted.reply
         if reply.done:
             return
@@ -358,7 +365,7 @@
         admitted: serving.AdmittedRequest,
         ending: serving.Ending,
     ) -> int:
-        """Return the status; 503 promises that the request never runs."""
+        """Return the status; 503 guarantees that the request has not run."""
         if admitted.has_not_run:
             return _UNAVAILABLE
         if ending in serving.EXPIRED:
@@ -367,10 +374,10 @@
 
 
 def _seconds_left(admitted: serving.AdmittedRequest, now: float) -> float:
-    """Return the time in which another attempt is of use.
+    """Return the seconds left in which a retry is useful.
 
-    A stream that has not begun is given up by its caller long before its
-    deadline; what is sent then reaches an endpoint for nobody.
+    A caller abandons a stream without a first event long before its deadline.
+    An endpoint that receives a retry after that works for nobody.
     """
     remaining = admitted.deadline - now
     is_stream = admitted.route.kind is routing.RouteKind.STREAM
--- a/clementinepass/direct/routing.py
+++ b/clementinepass/direct/routing.py
@@ -1,4 +1,4 @@
-"""The operator's configuration as entries and agents use it."""
+"""The operator's configuration: routes, services, engines and teams."""
 
 from __future__ import annotations
 
@@ -15,42 +15,42 @@
 
 
 class RouteKind(enum.Enum):
-    """What a route's requests are, and so what may be repeated."""
+    """How a route's requests are answered and whether they may run twice."""
 
-    #: Answered by events; a second run is allowed where it can be resumed.
+    #: Answered by a stream of events; may run again if it can be resumed.
     STREAM = 'stream'
-    #: Running twice does no harm.
+    #: Answered at once; may run any number of times.
     IDEMPOTENT = 'idempotent'
-    #: Runs once at most.
+    #: Must not run twice.
     AT_MOST_ONCE = 'once'
 
 
 class Backend(msgspec.Struct, frozen=True):
-    """A service that a route leads to, with its share of the requests."""
+    """A service of a route and its weight among the route's services."""
 
     service: str
     weight: float
 
 
 class Route(msgspec.Struct, frozen=True, kw_only=True):
-    """Where requests of a host and a prefix go, and what they may cost."""
+    """Target and limits of the requests for a host and a path prefix."""
 
     name: str
     host: bytes
     prefix: bytes
     kind: RouteKind
     backends: tuple[Backend, ...]
-    #: Seconds until the final answer.
+    #: Seconds from the request to its final answer.
     timeout: float
-    #: Seconds to the answer, or to the first event of a stream.
+    #: Seconds within which the answer, or the first event of a stream, is due.
     latency_target: float
-    #: Seconds between events of a stream on time.
+    #: Longest time in seconds between events of a stream.
     max_event_gap: float = 0
-    #: Its rank; 0 is served first.
+    #: 0 is served first.
     priority: int = 0
-    #: How often a request may run.
+    #: Maximum number of attempts that run a request.
     max_runs: int = 1
-    #: Whether requests need no key.
+    #: Whether requests are admitted without a key.
     is_public: bool = False
     #: Whether a stream may be resumed after its last event.
     is_resumable: bool = False
@@ -63,7 +63,7 @@
         return self.kind is RouteKind.IDEMPOTENT
 
     def service_for(self, fraction: float) -> str:
-        """Return the service for a point from 0 to 1, by the weights."""
+        """Return the service at a fraction, from 0 to 1, of the total weight."""
         total = sum(backend.weight for backend in self.backends)
         remaining = fraction * total
         for backend in self.backends:
@@ -74,27 +74,27 @@
 
 
 class Engine(msgspec.Struct, frozen=True, kw_only=True):
-    """What the operator says of a service's engines."""
+    """The model and the speed of a service's engines."""
 
     model: str
-    #: Requests that one runs at a time.
+    #: Requests that an engine runs at once.
     slots: int
     #: Layers of the model.
     layers: int
-    #: Pieces that make up a version's weights, and the bytes of each.
+    #: Number of pieces of a version's weights, and the size of each.
     chunks: int
     chunk_bytes: int
-    #: Seconds for one token of each running request.
+    #: Seconds in which each running request produces one token.
     step_seconds: float
-    #: Prompt tokens read in a second.
+    #: Prompt tokens that an engine reads per second.
     prompt_tokens_per_second: float
-    #: Mean tokens of a prompt and of an answer.
+    #: Mean number of tokens of a prompt and of an answer.
     mean_prompt_tokens: float
     mean_answer_tokens: float
 
     @property
     def service_rate(self) -> first_event.ServiceRate:
-        """Return how fast a full engine works."""
+        """Return the service rate of an engine that is fully loaded."""
         return first_event.service_rate(
             self.prompt_tokens_per_second,
             self.mean_prompt_tokens,
@@ -105,32 +105,32 @@
 
 
 class Service(msgspec.Struct, frozen=True):
-    """A service of the operator."""
+    """A service, by which requests are run or weights are handed out."""
 
     name: str
-    #: Connections that one endpoint allows to all callers together.
+    #: Connections that an endpoint accepts in total.
     max_connections: int
     engine: Engine | None = None
-    #: ``host:port`` of the service that hands out weights; empty for others.
+    #: ``host:port`` of the weights' origin; empty for other services.
     origin: str = ''
-    #: The failure domain of such a service.
+    #: The failure domain of the origin.
     domain: str = ''
-    #: Megabits a second that its link carries; 0 where it isn't told.
+    #: Bandwidth of the origin's link in Mbit/s; 0 if unknown.
     link_mbps: float = 0
 
 
 class Team(msgspec.Struct, frozen=True):
-    """Whose requests a key admits."""
+    """The owner of a key."""
 
     name: str
-    #: Its rank; 0 is served first.
+    #: 0 is served first.
     priority: int
 
 
 class Routing:
-    """One configuration of the operator, whole.
+    """A complete configuration of the operator.
 
-    :param version: grows from one configuration to the next.
+    :param version: increases with each configuration.
     """
 
     __slots__ = (
@@ -153,19 +153,19 @@
     ) -> None:
         self.version = version
         self.services_by_name = {service.name: service for service in services}
-        #: Whether requests need a key.
+        #: Whether requests for routes that are not public need a key.
         self.requires_key = teams_by_key is not None
         self.teams_by_key = teams_by_key or {}
         self.bounds = bounds
         self._routes_by_host: dict[bytes, list[Route]] = {}
         routes = tuple(routes)
-        #: Seconds that requests may take, each figure once.
+        #: The distinct timeouts of all routes.
         self.timeouts = frozenset(item.timeout for item in routes)
         for route in sorted(routes, key=_prefix_length, reverse=True):
             self._routes_by_host.setdefault(route.host, []).append(route)
 
     def find_route(self, host: bytes, path: bytes) -> Route | None:
-        """Return the route with the longest prefix that begins the path."""
+        """Return the route with the longest prefix that matches the path."""
         name = host.lower()
         if name not in self._routes_by_host:
             name = name.rpartition(b':')[0] or name
@@ -176,7 +176,7 @@
 
     @property
     def origin(self) -> Service | None:
-        """Return the service that hands out weights."""
+        """Return the service from which weights originate."""
         for service in self.services_by_name.values():
             if service.origin:
                 return service
--- a/clementinepass/direct/selection.py
+++ b/clementinepass/direct/selection.py
@@ -1,4 +1,4 @@
-"""Choose the endpoint of a request: step *place* of its path."""
+"""Select the endpoint for a request."""
 
 from __future__ import annotations
 
@@ -22,20 +22,21 @@
         serving,
     )
 
-#: Seconds that a request waits for an engine that loads: the time for it to
-#: finish what it runs, and to load.
+#: Seconds for which a request waits while engines load weights. An engine
+#: finishes its running requests and loads within this time.
 _LOADING_WAIT_SECONDS = 1.2
 _POLL_SECONDS = 0.03
 _UNKNOWN_SERVICE_RATE = first_event.ServiceRate(0, 0)
-#: Engines with links that aren't congested that are enough to choose from.
+#: Number of engines with uncongested links from which congested ones are not
+#: considered.
 _MIN_UNCONGESTED = 2
 
 
 class EndpointSelector:
-    """Choose endpoints by the state of the cluster.
+    """Select endpoints by the state of the cluster.
 
-    :param own: who this entry is.
-    :param known: configuration, versions, endpoints and loads.
+    :param local_node: the entry.
+    :param cluster: configuration, versions, endpoints and loads.
     """
 
     __slots__ = ('_cluster', '_log', '_local_node', '_rng')
@@ -56,11 +57,11 @@
         self,
         admitted: serving.AdmittedRequest,
     ) -> endpoints.Endpoint | None:
-        """Choose an endpoint, waiting a moment for engines that load.
+        """Select an endpoint, waiting briefly for engines that load weights.
 
-        Load: a new version while all engines take it up within the same
-        second. Harm: whoever comes then is told to come back after two
-        seconds, though an engine is there after half a second.
+        All engines may load a new version within the same second. Without the
+        wait, requests of that second are refused with a retry after two
+        seconds, though an engine is available after half a second.
         """
         loop = asyncio.get_running_loop()
         wait_deadline = admitted.call.request.received + _LOADING_WAIT_SECONDS
@@ -77,7 +78,7 @@
     def select(
         self, admitted: serving.AdmittedRequest
     ) -> endpoints.Endpoint | None:
-        """Choose an endpoint; ``None`` if there is none with room."""
+        """Select an endpoint; return ``None`` if none has free capacity."""
         now = asyncio.get_running_loop().time()
         usable = self._cluster.candidates(admitted.service, now)
         untried = [
@@ -104,9 +105,9 @@
         untried: list[endpoints.Endpoint],
         now: float,
     ) -> list[endpoints.Endpoint]:
-        """Return the endpoints without those that fail or stall.
+        """Return the endpoints that neither are ejected nor stall.
 
-        Where all do, each would be the wrong one to leave out.
+        If no endpoint is healthy, all of them are returned.
         """
         ejected = self._cluster.ejector.ejected_endpoints(now)
         healthy = [
@@ -123,7 +124,7 @@
         engine: routing.Engine | None,
         now: float,
     ) -> list[endpoint_choice.Candidate]:
-        """Return what is compared: of engines a sample."""
+        """Return the candidates to compare: a sample of the engines."""
         newest_version = max(
             (endpoint.weights.version for endpoint in healthy), default=0
         )
@@ -149,12 +150,13 @@
         healthy: list[endpoints.Endpoint],
         now: float,
     ) -> Sequence[endpoints.Endpoint]:
-        """Return a few of a service's engines.
+        """Return a sample of a service's engines.
 
-        Those elsewhere by their agents' reports, as their loads are hardly
-        known without. Near ones also where reports don't come: on a link that
-        is full of weights they are late or lost, and requests met at the few
-        engines whose agents were heard.
+        Engines of other failure domains are considered only if their agents'
+        reports are fresh, as their loads are hardly known otherwise. Engines of
+        the local domain are considered even without reports: on a link that is
+        full of weights, reports are late or lost, and requests would pile up at
+        the few engines whose agents' reports arrive.
         """
         uncongested = [
             endpoint for endpoint in healthy if endpoint.congested_until <= now
@@ -203,7 +205,7 @@
         choice: endpoint_choice.Choice,
         now: float,
     ) -> bool:
-        """Tell whether the best endpoint answers in time."""
+        """Tell whether the best endpoint meets the latency target."""
         engine = admitted.service.engine
         service_rate = (
             _UNKNOWN_SERVICE_RATE if engine is None else engine.service_rate
@@ -225,7 +227,7 @@
     admitted: serving.AdmittedRequest,
     candidates: list[endpoint_choice.Candidate],
 ) -> list[endpoint_choice.Candidate]:
-    """Return the endpoints whose weights are allowed when it begins there."""
+    """Return the endpoints whose weights are still allowed at the start."""
     engine = admitted.service.engine
     if engine is None:
         return candidates
--- a/clementinepass/direct/serving.py
+++ b/clementinepass/direct/serving.py
@@ -1,4 +1,4 @@
-"""One admitted request on its way: what was tried and what came of it."""
+"""The state of an admitted request: its attempts and their results."""
 
 from __future__ import annotations
 
@@ -16,46 +16,47 @@
     from clementinepass.http import channel, messages, replies
 
 
-#: Seconds after which a caller may ask again when nothing says how long it
-#: will take: an entry that starts knows its configuration by then.
+#: Default of ``Retry-After`` in seconds. An entry that is starting has its
+#: configuration by then.
 _RETRY_AFTER_SECONDS = 0.4
 
 
 class Ending(enum.Enum):
-    """Why a request gets an answer of the system's own, or none."""
+    """Why a request is not answered by an endpoint."""
 
-    #: No configuration is known yet.
+    #: The entry has no configuration yet.
     STARTING = 'starting'
     MALFORMED = 'malformed'
     UNKNOWN_ROUTE = 'unknown_route'
     UNKNOWN_KEY = 'unknown_key'
-    #: It would wait too long.
+    #: The request would wait too long in every queue.
     OVERLOAD = 'overload'
-    #: The configuration sends it to a service that it lacks.
+    #: The route names a service that is missing in the configuration.
     NO_SERVICE = 'no_service'
-    #: No endpoint of its service is there, or all of them are leaving.
+    #: The service has no endpoints, or all of them are draining.
     NO_ENDPOINT = 'no_endpoint'
-    #: Endpoints are there, and none has whole weights that may be used.
+    #: The service has endpoints, but none with complete weights of a version
+    #: that may be used.
     NO_WEIGHTS = 'no_weights'
-    #: All endpoints that were tried turned it away.
+    #: Every endpoint that was tried rejected the request.
     REJECTED = 'turned_away'
-    #: The endpoint broke off or spoiled its answer.
+    #: The answer of the endpoint was cut off or malformed.
     BROKEN = 'broken'
-    #: The endpoint ran it and failed; its own answer is passed on.
+    #: The endpoint ran the request and failed; its answer is forwarded.
     ENDPOINT_FAILED = 'endpoint_failed'
-    #: The time that its caller gave it is over.
+    #: The timeout set by the caller has expired.
     DEADLINE = 'deadline'
-    #: The time that its route gives it is over.
+    #: The timeout of the route has expired.
     ROUTE_TIMEOUT = 'route_time'
-    #: The same while its caller had yet to read what was sent.
+    #: A timeout has expired while the caller had not read what was sent.
     SLOW_READER = 'slow_reader'
-    #: This entry ends before the request would.
+    #: The entry shuts down before the request would end.
     DRAINING = 'leaving'
-    #: A fault of this process.
+    #: An unexpected exception in this process.
     INTERNAL_ERROR = 'own_fault'
 
 
-#: Endings of requests whose time is over, or that of the entry.
+#: Endings of requests whose deadline has passed.
 EXPIRED = frozenset(
     (
         Ending.DEADLINE,
@@ -67,45 +68,47 @@
 
 
 class AttemptResult(enum.Enum):
-    """What became of one attempt."""
+    """The result of one attempt."""
 
-    #: The caller has the whole answer.
+    #: The caller has received the complete answer.
     ANSWERED = 'answered'
     #: The endpoint did not run the request.
     NOT_RUN = 'not_run'
-    #: It may have run; there is no answer, or only a part of it.
+    #: The request may have run; the answer is missing or incomplete.
     BROKEN = 'broken'
-    #: It ran and failed; the answer to that is whole.
+    #: The request ran and failed; the error answer is complete.
     FAILED = 'failed'
 
 
 class AttemptFailure(enum.Enum):
-    """What became of an attempt that failed."""
+    """Why an attempt failed."""
 
-    #: The endpoint said that it did not run it.
+    #: The endpoint rejected the request without running it.
     REJECTED = 'turned_away'
-    #: Another endpoint, or another version, was there; it did not run it.
+    #: Another endpoint or another version answered at the address; the
+    #: request did not run.
     MISDIRECTED = 'misdirected'
-    #: No connection was opened.
+    #: No connection could be opened.
     UNREACHABLE = 'unreachable'
-    #: The connection was reset, or the kernel gave it up.
+    #: The connection was reset or timed out in the kernel.
     CONNECTION_LOST = 'lost'
-    #: The endpoint ended the connection before its answer was whole.
+    #: The endpoint closed the connection before its answer was complete.
     CONNECTION_CLOSED = 'ended'
-    #: Nothing came for too long.
+    #: The endpoint sent nothing for too long.
     SILENT = 'silent'
-    #: What came was no answer, or none to this request.
+    #: The answer was malformed or belonged to another request.
     MALFORMED = 'spoilt'
-    #: The engine took up weights when it cut its answer.
+    #: The engine cut off its answer as it was loading weights.
     ENGINE_LOADING = 'loading'
-    #: It had not begun when the weights there were about to be too old.
+    #: The request had not started when the weights of the endpoint were
+    #: about to become too old.
     WEIGHTS_TOO_OLD = 'too_old'
-    #: It ran, and failed.
+    #: The request ran and failed.
     FAILED = 'failed'
 
 
 class FailedAnswer(typing.NamedTuple):
-    """An endpoint's whole answer that it failed."""
+    """The complete error answer of an endpoint."""
 
     status: int
     pairs: list[messages.Pair]
@@ -113,9 +116,9 @@
 
 
 class AdmittedRequest:
-    """One admitted request.
+    """A request that was admitted, with its attempts.
 
-    :param final_at: monotonic seconds by which the final answer is due.
+    :param deadline: monotonic time by which the final answer is due.
     """
 
     __slots__ = (
@@ -155,40 +158,43 @@
         self.service = service
         self.team = team
         self.deadline = deadline
-        #: Whether that is the time of this entry's own end.
+        #: Whether the deadline is that of the entry's own shutdown.
         self.is_cut_short_by_drain = False
         self.attempts: list[outcome.Attempt] = []
-        #: When the newest of them began, and its connection once it has one.
+        #: Monotonic time at which the newest attempt started, and its
+        #: connection once it is open.
         self.attempt_started_at: float = 0
         self.channel: channel.Channel | None = None
-        #: What became of those that failed, in order, and whether it was to
-        #: be sent once more after the last of them.
+        #: Why attempts failed, in order, and the decision whether to retry
+        #: after the last of them.
         self.attempt_failures: list[AttemptFailure] = []
         self.retry_decision = ''
-        #: Whether a line was written of it, so that one has to say its end.
+        #: Whether a line about the request was logged, so that its end must be
+        #: logged as well.
         self.is_logged = False
-        #: Endpoints that it was sent to.
+        #: Endpoints to which the request was sent.
         self.tried_endpoint_ids: set[str] = set()
-        #: An endpoint's answer to fall back on.
+        #: The error answer of an endpoint, sent if no retry succeeds.
         self.failed_answer: FailedAnswer | None = None
-        #: When the first piece of the answer went to the caller.
+        #: Monotonic time at which the first piece of the answer was sent to
+        #: the caller.
         self.first_event_at: float | None = None
-        #: Monotonic seconds by which the attempt must have begun, since the
-        #: weights there are old.
+        #: Monotonic time by which the attempt must have started, as the
+        #: endpoint has old weights.
         self.start_deadline = math.inf
-        #: Seconds after which its caller may find room.
+        #: Seconds after which the caller may find a free slot.
         self.retry_after = _RETRY_AFTER_SECONDS
-        #: Follows the events of a stream over all attempts.
+        #: Tracks the events of the stream across attempts.
         self.splitter = events.EventSplitter(call.resume_after)
 
     @property
     def resume_after(self) -> int | None:
-        """Return the last event that the caller has."""
+        """Return the id of the last event that the caller has received."""
         return self.splitter.last_id
 
     @property
     def ending_at_deadline(self) -> Ending:
-        """Return whose time it is that is over at ``final_at``."""
+        """Return the ending of the request if its deadline passes."""
         if self.is_cut_short_by_drain:
             return Ending.DRAINING
         if self.reply.blocked:
@@ -199,7 +205,10 @@
         return Ending.ROUTE_TIMEOUT
 
     def shorten_deadline(self, latest: float) -> bool:
-        """Have it end by a time, as this entry does; tell if that is sooner."""
+        """Move the deadline forward to the shutdown of the entry.
+
+        :returns: whether the deadline was later than that.
+        """
         if self.deadline <= latest:
             return False
         self.deadline = latest
@@ -209,7 +218,7 @@
     def silent_seconds(self, now: float) -> float | None:
         """Return the seconds for which the endpoint has sent nothing.
 
-        :returns: ``None`` if the request was sent to none.
+        :returns: ``None`` if the request was not sent to any endpoint.
         """
         if not self.attempts:
             return None
@@ -220,7 +229,7 @@
 
     @property
     def run_count(self) -> int:
-        """Return the attempts that ran, or may have."""
+        """Return the number of attempts that ran or may have run."""
         return sum(
             attempt.execution is not errors.Execution.NOT_RUN
             for attempt in self.attempts
@@ -228,11 +237,11 @@
 
     @property
     def has_not_run(self) -> bool:
-        """Tell whether it is known that no endpoint ran the request."""
+        """Tell whether certainly no endpoint has run the request."""
         return not self.run_count
 
     def start_attempt(self, endpoint_id: str) -> outcome.Attempt:
-        """Begin another attempt."""
+        """Start another attempt."""
         attempt = outcome.Attempt(
             self.call.id,
             len(self.attempts) + 1,
@@ -242,7 +251,7 @@
         self.attempt_started_at = asyncio.get_running_loop().time()
         self.channel = None
         self.tried_endpoint_ids.add(endpoint_id)
-        # What one endpoint left unfinished is no beginning of what the next
-        # one sends.
+        # Discard the partial event of the previous endpoint: the next one
+        # sends the whole event.
         self.splitter = events.EventSplitter(self.splitter.last_id)
         return attempt
--- a/tests/observability/test_causes.py
+++ b/tests/observability/test_causes.py
@@ -351,7 +351,7 @@
     (
         failing('/stream/once/a', Fault.GAP),
         Cause.ENDPOINT_SPOILT,
-        '2 follows on 0',
+        'event 2 follows event 0',
     ),
     (failing('/once/a', Fault.ERROR), Cause.ENDPOINT_FAILED, 'with 500'),
     (
