--- a/clementinepass/direct/background.py
+++ b/clementinepass/direct/background.py
@@ -1,4 +1,4 @@
-"""Work that goes on for as long as the process does."""
+"""Background jobs that run for as long as the process."""
 
 from __future__ import annotations
 
@@ -10,16 +10,18 @@
 if typing.TYPE_CHECKING:
     from collections.abc import Awaitable, Callable
 
-#: Seconds after which work is begun anew that ended with a fault.
+#: Seconds after which a job that failed is restarted.
 _RESTART_DELAY_SECONDS = 0.5
 
 
 async def keep_running(job: Callable[[], Awaitable[None]]) -> None:
-    """Do work that never ends, and begin it anew when a fault ends it.
+    """Run a job that never ends, and restart it after an exception.
 
-    Failure: one unforeseen fault in one of several tasks would end the
-    process and with it every request that it serves. The fault is written
-    with its place; nothing else of the process depends on that task's state.
+    Otherwise one unexpected exception in one of several tasks would end the
+    process and with it all requests in progress. The exception is logged with
+    its traceback; no other task depends on the state of the failed one.
+
+    :param job: creates the awaitable to run.
     """
     while True:
         try:
--- a/clementinepass/direct/configuration_history.py
+++ b/clementinepass/direct/configuration_history.py
@@ -1,4 +1,4 @@
-"""What configurations before the one in force allowed."""
+"""Recent configurations, to explain refusals."""
 
 from __future__ import annotations
 
@@ -8,17 +8,18 @@
 if typing.TYPE_CHECKING:
     from clementinepass.direct import calls, routing
 
-#: Configurations that are kept. A caller whose key or route was taken away
-#: asks within seconds of it, and operators change a few of them a minute.
+#: Number of configurations that are kept. A caller whose key or route was
+#: removed sends requests within seconds of it, and operators publish a few
+#: configurations a minute.
 _MAX_CONFIGURATIONS = 8
 
 
 class ConfigurationHistory:
-    """Tell what was taken away from what never was there.
+    """The last configurations under which requests were received.
 
-    Failure: a caller is refused since its key was taken away, and the log
-    says that the key is unknown, as of a caller with a wrong one.  Only
-    configurations that some request met are kept.
+    With these the log distinguishes a key or a route that was removed from one
+    that never existed. Otherwise a caller whose key was removed looks like one
+    with a wrong key.
     """
 
     __slots__ = ('_configurations',)
@@ -28,7 +29,7 @@
         self._configurations = collections.deque(maxlen=_MAX_CONFIGURATIONS)
 
     def record(self, configuration: routing.Routing) -> None:
-        """Take it that a configuration is in force."""
+        """Record the configuration in force."""
         if (
             not self._configurations
             or self._configurations[-1] is not configuration
@@ -36,13 +37,13 @@
             self._configurations.append(configuration)
 
     def last_version_with_key(self, call: calls.Call) -> int:
-        """Return the newest configuration with a key; 0 if none had it."""
+        """Return the newest version with the key of a call; 0 for none."""
         return self._last_version_where(
             lambda configuration: call.key in configuration.teams_by_key
         )
 
     def last_version_with_route(self, call: calls.Call) -> int:
-        """Return the newest configuration with a route; 0 if none had it."""
+        """Return the newest version with a route for a call; 0 for none."""
         path = call.request.path
         return self._last_version_where(
             lambda configuration: (
--- a/clementinepass/direct/endpoint_loads.py
+++ b/clementinepass/direct/endpoint_loads.py
@@ -1,7 +1,8 @@
-"""How many requests are at each endpoint, by the newest word on it.
+"""The number of requests at each endpoint, by the newest reports.
 
-An agent tells the load of its engine to the entries that use it.  Where none
-does, as with plain services, entries go by what they tell one another.
+An agent reports the load of its engine to the entries that use the engine. For
+endpoints without reports, such as plain services, entries announce their own
+counts to one another.
 """
 
 from __future__ import annotations
@@ -11,16 +12,16 @@
 if typing.TYPE_CHECKING:
     from clementinepass.direct import endpoints
 
-#: Seconds for which the last report of an agent that fell silent is the least
-#: that is assumed. Some entries may still hear it; these count to others no
+#: Seconds for which the last report of a silent agent remains a lower bound.
+#: Other entries may still receive its reports, and then do not announce their
 #: requests there.
 _STALE_REPORT_SECONDS = 5.0
-#: Seconds after which another entry's count of its requests says nothing.
+#: Seconds for which another entry's counts of its requests are valid.
 _PEER_COUNT_LIFETIME_SECONDS = 2.5
 
 
 class _PeerCounts:
-    """Another entry's requests at endpoints, as it last told."""
+    """The requests of another entry, as it last announced them."""
 
     __slots__ = ('received_at', 'in_flight_by_endpoint')
 
@@ -34,7 +35,7 @@
 
 
 class EndpointLoads:
-    """The requests at endpoints, of this entry and all others."""
+    """The requests of all entries at endpoints."""
 
     __slots__ = ('_counts_by_peer',)
 
@@ -47,11 +48,11 @@
         in_flight_by_endpoint: dict[str, int],
         now: float,
     ) -> None:
-        """Take another entry's counts of its requests at endpoints."""
+        """Replace another entry's counts of its requests at endpoints."""
         self._counts_by_peer[peer] = _PeerCounts(in_flight_by_endpoint, now)
 
     def total(self, endpoint: endpoints.Endpoint, now: float) -> int:
-        """Return the requests at an endpoint."""
+        """Return the number of requests at an endpoint."""
         reported_load = endpoint.reported_load
         if reported_load.is_fresh(now):
             return max(reported_load.total, endpoint.in_flight)
@@ -67,10 +68,10 @@
         return counted
 
     def unstarted(self, endpoint: endpoints.Endpoint, now: float) -> float:
-        """Return how many requests there have no event yet.
+        """Return the number of requests at an endpoint without an event.
 
-        Entries tell only how many they have there; those of others are taken
-        to have begun as often as this entry's.
+        Entries announce only how many requests they have there. The share that
+        has started is assumed to be the same as for this entry.
         """
         if endpoint.reported_load.is_fresh(now):
             return endpoint.reported_load.unstarted
@@ -80,12 +81,12 @@
         return unstarted_here / endpoint.in_flight * self.total(endpoint, now)
 
     def forget_endpoint(self, endpoint_id: str) -> None:
-        """Drop what is known of the start before of an endpoint."""
+        """Drop the counts for the previous start of an endpoint."""
         for peer_counts in self._counts_by_peer.values():
             peer_counts.in_flight_by_endpoint.pop(endpoint_id, None)
 
     def remove_expired(self, now: float) -> None:
-        """Drop counts that say nothing any more."""
+        """Drop counts that are no longer valid."""
         for peer in list(self._counts_by_peer):
             if (
                 now - self._counts_by_peer[peer].received_at
--- a/clementinepass/direct/endpoints.py
+++ b/clementinepass/direct/endpoints.py
@@ -1,14 +1,18 @@
-"""What is known of endpoints, and from whom.
-
-Endpoints list themselves in the platform's store.  Five things go wrong
-there.  An older word of an endpoint may come after a newer one; a heartbeat
-number keeps it from being believed.  Leaving is final for one start of an
-endpoint, and true whenever the word of it comes.  An endpoint starts again
-under its id and holds nothing of before; all that was known of its earlier
-start is dropped.  An entry of the list lapses while the store is away, though
-its endpoint lives; it is kept until the endpoint has had time to write again.
-And an address is given to another endpoint; a request names the one that it is
-meant for, and one that answers otherwise is dropped.
+"""The endpoints that an entry knows, and what was reported about them.
+
+Endpoints list themselves in the platform's store. The list has five faults:
+
+* An older record may arrive after a newer one. Its heartbeat number is lower,
+  and it is ignored.
+* Draining is final for one start of an endpoint, so that a record that says so
+  counts even if it arrives late.
+* An endpoint restarts under its id with nothing loaded. All that was known of
+  its earlier start is dropped.
+* A record expires while the store is unavailable, though its endpoint is alive.
+  The endpoint is kept until it has had time to list itself again.
+* An address is reassigned to another endpoint. A request names the endpoint
+  that it is meant for, and an endpoint is dropped if another answers at its
+  address.
 """
 
 from __future__ import annotations
@@ -22,24 +26,25 @@
 
     from clementinepass.direct import routing
 
-#: Seconds after the store's return within which endpoints list themselves
-#: again; one that is still missing then is gone. The platform's promise.
+#: Seconds after the store's return within which the platform guarantees that
+#: endpoints list themselves again. An endpoint still missing then is gone.
 RELIST_SECONDS = 2.0
 
 
-#: Seconds without a byte of an endpoint, though streams of it have begun, after
-#: which it gets no more. An engine that works sends events each 60 ms, and one
-#: that reads the longest prompts each 300.
+#: Seconds without a byte from an endpoint with active streams after which it
+#: gets no more requests. A working engine sends events every 60 ms, and every
+#: 300 ms while it reads the longest prompts.
 _STALLED_SECONDS = 0.6
-#: Streams that say so; a single one may have been given up there.
+#: Active streams needed to call an endpoint stalled; the endpoint may have
+#: abandoned a single one.
 _MIN_STALLED_STREAMS = 2
 
 
-#: Seconds that a report is on its way: what was sent there since then may have
-#: come after it was made.
+#: Transit time of a load report. Requests sent within this time before the
+#: report arrives may not be included in it.
 _REPORT_TRANSIT_SECONDS = 0.03
-#: Seconds for which an agent's report of its engine's load is gone by: two of
-#: the longest intervals between reports.
+#: Seconds for which an agent's report of its engine's load is valid: two of the
+#: longest intervals between reports.
 _REPORT_LIFETIME_SECONDS = 1.0
 
 
@@ -47,7 +52,8 @@
     """The layers of one version that an engine has loaded.
 
     :param version: 0 for none.
-    :param end: the first layer that it doesn't hold.
+    :param first: the first loaded layer.
+    :param end: the layer after the last loaded one.
     """
 
     version: int
@@ -56,39 +62,40 @@
 
 
 class Listing(typing.NamedTuple):
-    """An endpoint's own word in the list."""
+    """An endpoint's record of itself in the list."""
 
     id: str
     service: str
     #: ``host:port``.
     address: str
     domain: str
-    #: Requests that it runs at a time.
+    #: Requests that the endpoint runs at once.
     slots: int
     draining: bool
-    #: Grows with each word of one start.
+    #: Increases with each record of one start.
     heartbeat: int
     weights: Weights
-    #: When its process started, in milliseconds of Unix time.
+    #: Unix time in milliseconds at which the process started.
     started_ms: int = incarnations.UNKNOWN_START
-    #: Grows with each word in the list, whosever it is.
+    #: Offset of the record in the list; increases with each record of any
+    #: endpoint.
     record_offset: int = 0
 
     @property
     def host(self) -> str:
-        """Return the IP number of its address."""
+        """Return the IP address."""
         return self.address.rpartition(':')[0]
 
     @property
     def stamp(self) -> incarnations.Stamp:
-        """Return what orders it among the words of its id."""
+        """Return the stamp that orders the records of an id."""
         return incarnations.Stamp(self.started_ms, self.heartbeat)
 
     def has_moved_from(self, earlier: Listing) -> bool:
-        """Tell whether it names another place than a word before.
+        """Tell whether service or address differ from an earlier record.
 
-        A process keeps its service and address for as long as it runs, so
-        this too is another start, also where none is told.
+        A process keeps both for as long as it runs. A difference therefore
+        shows a restart even if the record does not give its start.
         """
         return (self.service, self.address) != (
             earlier.service,
@@ -97,20 +104,21 @@
 
 
 class ReportedLoad:
-    """The load of an engine as its agent told it, and what was sent since."""
+    """The load of an engine by its agent's report, and requests sent since."""
 
     __slots__ = ('_sent_at', 'active', 'received_at', 'queued')
 
     def __init__(self) -> None:
-        #: When it was told; monotonic seconds.
+        #: Monotonic time at which the report arrived.
         self.received_at = float('-inf')
         self.active = 0
         self.queued = 0
-        #: When this entry sent what it doesn't know of; monotonic seconds.
+        #: Monotonic times at which this entry sent requests that the report
+        #: does not include.
         self._sent_at: list[float] = []
 
     def update(self, active: int, queued: int, now: float) -> None:
-        """Take a newer report."""
+        """Replace the report by a newer one."""
         self.received_at = now
         self.active = active
         self.queued = queued
@@ -121,34 +129,34 @@
         ]
 
     def is_fresh(self, now: float) -> bool:
-        """Tell whether it still says something."""
+        """Tell whether the report is still valid."""
         return now - self.received_at < _REPORT_LIFETIME_SECONDS
 
     def record_sent(self, now: float) -> None:
-        """Note that this entry sends a request there."""
+        """Record that this entry sends a request to the engine."""
         self._sent_at.append(now)
 
     @property
     def sent_since_report(self) -> int:
-        """Return how many requests the report can't know of."""
+        """Return the number of requests that the report does not include."""
         return len(self._sent_at)
 
     @property
     def unstarted(self) -> int:
-        """Return how many requests there have no event yet, about."""
+        """Return the approximate number of requests without an event."""
         return self.queued + self.sent_since_report
 
     @property
     def total(self) -> int:
-        """Return how many requests are there."""
+        """Return the number of requests at the engine."""
         return self.active + self.unstarted
 
 
 class Endpoint:
     """One start of an endpoint and what this entry knows of it.
 
-    A newer start under the same id is another object, so that requests that
-    still end at the one before leave no trace on it.
+    A restart under the same id gets an object of its own, so that requests that
+    end at the previous start do not affect it.
     """
 
     __slots__ = (
@@ -169,33 +177,36 @@
 
     def __init__(self, listing: Listing) -> None:
         self.listing = listing
-        #: The newest word on its weights, of the list or of its agent, and
-        #: the start of the engine that it is of.
+        #: The newest report of the loaded weights, from the list or from the
+        #: agent, and the start of the engine to which it belongs.
         self.weights = listing.weights
         self.weights_started_ms = listing.started_ms
-        #: Requests of this entry at the endpoint.
+        #: Requests of this entry in flight at the endpoint.
         self.in_flight = 0
-        #: Whether another answered at its address.
+        #: Whether another endpoint answered at the address.
         self.is_misdirected = False
-        #: Whether the newest record under its id names no endpoint.
+        #: Whether the newest record of the id could not be decoded.
         self.is_unreadable = False
-        #: The endpoint that last listed itself at its address, if another.
+        #: The other endpoint that listed itself at the address later, if any.
         self.replaced_by: Endpoint | None = None
-        #: When the list dropped it; ``None`` while it stands there.
+        #: Monotonic time at which the record was removed from the list;
+        #: ``None`` while it is listed.
         self.removed_at: float | None = None
-        #: When a byte of a stream of it last came; monotonic seconds.
+        #: Monotonic time of the last byte received on a stream.
         self.last_received_at: float = 0
-        #: Streams of it that have begun and go on.
+        #: Streams of this entry that have started and not ended.
         self.active_streams = 0
-        #: What its agent last told of its load.
+        #: The last load report of the agent.
         self.reported_load = ReportedLoad()
-        #: Until when its machine's link is taken for slow.
+        #: Monotonic time until which the link of the instance is considered
+        #: congested.
         self.congested_until = float('-inf')
-        #: When it stops to be used after the list dropped it.
+        #: Monotonic time at which the endpoint becomes unusable after its
+        #: removal from the list.
         self.unusable_at: float | None = None
 
     def is_usable(self, now: float) -> bool:
-        """Tell whether requests may be sent to it."""
+        """Tell whether requests may be sent to the endpoint."""
         if self.listing.draining or self.is_misdirected or self.is_unreadable:
             return False
         if self.replaced_by is not None and self.replaced_by.is_listed:
@@ -204,28 +215,29 @@
 
     @property
     def is_listed(self) -> bool:
-        """Tell whether nothing speaks against its word in the list."""
+        """Tell whether the endpoint's record is in the list and not refuted."""
         is_refuted = self.is_misdirected or self.is_unreadable
         return self.removed_at is None and not is_refuted
 
     def is_stalled(self, now: float) -> bool:
-        """Tell whether it says nothing though streams of it have begun.
+        """Tell whether the endpoint sends nothing on its active streams.
 
-        Failure: a machine stood still for four seconds. Its requests were
-        given up one by one after more than a second each, and until three had
-        been, it looked like the emptiest and drew more. Requests that haven't
-        begun say nothing: they may wait for those of other entries.
+        If an instance freezes for four seconds, its requests are abandoned one
+        by one after more than a second each, and three must fail before the
+        endpoint is ejected. Until then it looks like the emptiest endpoint and
+        attracts more requests. Requests that have not started prove nothing, as
+        they may wait behind those of other entries.
         """
         is_silent = now - self.last_received_at > _STALLED_SECONDS
         return is_silent and self.active_streams >= _MIN_STALLED_STREAMS
 
     @property
     def is_loading(self) -> bool:
-        """Tell whether its engine takes up a version and runs nothing."""
+        """Tell whether the engine is loading a version and runs nothing."""
         return bool(self.weights.version) and not self.weights.end
 
     def has_weights(self, engine: routing.Engine, version: int) -> bool:
-        """Tell whether it holds all layers of a version, or a newer one."""
+        """Tell whether all layers of a version, or a newer one, are loaded."""
         loaded = self.weights
         if not loaded.version or loaded.version < version:
             return False
@@ -239,24 +251,24 @@
 
     def __init__(self) -> None:
         self._by_id: dict[str, Endpoint] = {}
-        #: Those at an IP number by id: it may be used again.
+        #: Endpoints by IP address and id; an address may be reassigned.
         self._by_host: dict[str, dict[str, Endpoint]] = {}
         self._by_service: dict[str, dict[str, Endpoint]] = {}
 
     def __iter__(self) -> Iterator[Endpoint]:
-        """Go through all endpoints."""
+        """Iterate over all endpoints."""
         return iter(self._by_id.values())
 
     def get(self, endpoint_id: str) -> Endpoint | None:
-        """Return an endpoint by its id."""
+        """Return the endpoint with an id, or ``None``."""
         return self._by_id.get(endpoint_id)
 
     def at_ip(self, ip: str) -> list[Endpoint]:
-        """Return the endpoints that list themselves at an IP number."""
+        """Return the endpoints that list themselves at an IP address."""
         return list(self._by_host.get(ip, {}).values())
 
     def apply_listing(self, listing: Listing) -> bool:
-        """Take an endpoint's word; tell whether it changed anything."""
+        """Apply an endpoint's record; return whether it changed anything."""
         endpoint = self._by_id.get(listing.id)
         if endpoint is None:
             self._add(Endpoint(listing))
@@ -267,8 +279,8 @@
         has_moved = listing.has_moved_from(endpoint.listing)
         if order is incarnations.Order.OLDER:
             is_late_drain = listing.draining and not has_moved
-            # Where no start is told, counts that begin anew after the list
-            # dropped it are all that a restart shows.
+            # If the record does not give its start, a heartbeat number that
+            # restarts after a removal is the only sign of a restart.
             may_have_restarted = (
                 endpoint.removed_at is not None
                 and listing.started_ms == incarnations.UNKNOWN_START
@@ -281,12 +293,12 @@
         return self._update(endpoint, listing)
 
     def mark_unreadable(self, endpoint_id: str) -> bool:
-        """Take it that the newest record of an id names no endpoint.
+        """Stop using an endpoint whose newest record cannot be decoded.
 
-        Failure: an endpoint's state was one that this version doesn't know,
-        and it went on getting requests by the record before. Nothing else
-        known of it is touched: its next record tells it all. It holds in all
-        entries alike, since only the newest record of a key is kept.
+        A record may have a state that this version does not know. Without the
+        mark, the endpoint gets requests by its previous record. Everything else
+        is kept, as the next record replaces it. All entries agree, as only the
+        newest record of a key is kept.
         """
         endpoint = self._by_id.get(endpoint_id)
         if endpoint is None or endpoint.is_unreadable:
@@ -295,10 +307,10 @@
         return True
 
     def mark_removed(self, endpoint_id: str, now: float, grace: float) -> bool:
-        """Take it that the list dropped an endpoint.
+        """Apply the removal of an endpoint's record from the list.
 
-        :param grace: seconds for which it is used all the same, since the
-            entry may have lapsed while the store was away.
+        :param grace: seconds for which the endpoint remains usable, as its
+            record may have expired while the store was unavailable.
         """
         endpoint = self._by_id.get(endpoint_id)
         if endpoint is None or endpoint.removed_at is not None:
@@ -308,7 +320,7 @@
         return True
 
     def usable_for_service(self, service: str, now: float) -> list[Endpoint]:
-        """Return the endpoints of a service that may be used."""
+        """Return the usable endpoints of a service."""
         return [
             endpoint
             for endpoint in self._by_service.get(service, {}).values()
@@ -316,7 +328,7 @@
         ]
 
     def remove_expired(self, now: float) -> list[Endpoint]:
-        """Drop endpoints that are gone and have no request left."""
+        """Remove and return endpoints that are gone and have no requests."""
         expired = [
             endpoint
             for endpoint in self._by_id.values()
@@ -329,10 +341,9 @@
         return expired
 
     def _update(self, endpoint: Endpoint, listing: Listing) -> bool:
-        """Take a later word of the start that is known."""
+        """Apply a later record of the known start."""
         if endpoint.listing.draining:
-            # A process that leaves never stays; a word that says so was
-            # written before.
+            # Draining is final: a record without it was written before.
             listing = listing._replace(draining=True)
         if not listing.started_ms:
             listing = listing._replace(started_ms=endpoint.listing.started_ms)
@@ -354,24 +365,24 @@
         return has_changed
 
     def _replace_endpoint(self, previous: Endpoint, listing: Listing) -> None:
-        """Put a newer start in the place of the one that is known.
+        """Replace an endpoint by its newer start.
 
-        Failure: an endpoint that had left, or that another had answered for,
-        was never used again after it came back under its id; one that came
-        back empty was sent requests for the weights that it had held.
+        Were the state of the earlier start kept, an endpoint that had drained
+        or was misdirected would never be used again after its restart, and one
+        that restarts without weights would get requests for its former ones.
         """
         is_same_start = listing.started_ms and (
             listing.started_ms == previous.listing.started_ms
         )
         if is_same_start and previous.listing.draining:
-            # Moved, by its word; leaving is final for one start all the same.
+            # The endpoint has moved, yet draining is final for one start.
             listing = listing._replace(draining=True)
         replacement = Endpoint(listing)
         if (
             listing.started_ms
             and previous.weights_started_ms == listing.started_ms
         ):
-            # Its agent was faster than the list.
+            # The report of the agent arrived before the record.
             replacement.weights = previous.weights
         self._remove(previous)
         self._add(replacement)
@@ -396,14 +407,15 @@
         self._resolve_address(endpoint)
 
     def _resolve_address(self, endpoint: Endpoint) -> None:
-        """Have the newest word at an address replace the others there.
+        """Let the newest record at an address replace the older ones there.
 
-        Only of the same service: a word that is wrong is refuted as soon as a
-        request is sent by it, and to another service none may ever be.
+        This applies within one service only. A wrong record is refuted by the
+        first request that is sent according to it, but a request must never be
+        sent to another service.
 
-        Failure: all machines lost their power and came back. The list still
-        named the endpoints of before beside those that had just started; each
-        entry sent to each of them once, and had no attempts left for others.
+        After a power loss of all instances, the list still names the previous
+        endpoints beside those that have just started. Without this rule each
+        entry sends a request to each of the former and has no attempts left.
         """
         listing = endpoint.listing
         endpoint.replaced_by = None
--- a/clementinepass/direct/exposition.py
+++ b/clementinepass/direct/exposition.py
@@ -1,4 +1,4 @@
-"""Metrics of a process on the direct path, on a port of their own."""
+"""Serve the metrics of a process on a port of their own."""
 
 from __future__ import annotations
 
@@ -13,7 +13,7 @@
 
     from clementinepass.http import messages
 
-#: The port and path that the deploy file names.
+#: The port and the path are also given in the deployment file.
 PORT = 9464
 _PATH = b'/metrics'
 _OK = 200
@@ -23,8 +23,8 @@
 class MetricsServer:
     """Serve the metrics of a registry.
 
-    :param registry: what is served.
-    :param refresh: brings it up to date, before each answer.
+    :param registry: the metrics to serve.
+    :param refresh: updates the metrics; called before each answer.
     """
 
     __slots__ = ('_front', '_refresh', '_registry')
@@ -39,7 +39,7 @@
         self._front = front.Front(self._handle)
 
     async def listen(self, ip: str, port: int = PORT) -> int:
-        """Listen and return the port that was bound."""
+        """Start to listen and return the bound port."""
         return await self._front.listen(ip, port)
 
     async def close(self) -> None:
--- a/clementinepass/direct/gauges.py
+++ b/clementinepass/direct/gauges.py
@@ -1,4 +1,4 @@
-"""The cluster state as metrics that are worked out when read."""
+"""Metrics of the cluster state, computed when they are read."""
 
 from __future__ import annotations
 
@@ -12,9 +12,12 @@
 
 
 class Gauges:
-    """Keep gauges of the cluster state and its age.
+    """Gauges of the cluster state and its age.
 
-    :param registry: where they are registered.
+    :param registry: where the gauges are registered.
+    :param cluster: the state of the cluster.
+    :param followers: the readers of the store, by topic.
+    :param peers: the other entries.
     """
 
     __slots__ = (
@@ -59,7 +62,7 @@
         )
 
     def update(self) -> None:
-        """Set the gauges to what is known now."""
+        """Set the gauges to the current state."""
         now = asyncio.get_running_loop().time()
         configuration = self._cluster.routing
         self._configuration_version.set(
--- a/clementinepass/direct/node.py
+++ b/clementinepass/direct/node.py
@@ -1,4 +1,4 @@
-"""What a process on the users' machines is told at its start."""
+"""The identity of a process and the limits set by the operator."""
 
 from __future__ import annotations
 
@@ -6,31 +6,32 @@
 
 
 class SystemLimits(msgspec.Struct):
-    """Bounds that the operator sets for the whole system; in seconds.
+    """Limits that the operator sets for the whole system; times in seconds.
 
-    One object for the life of the process: whoever asks it sees what the
-    newest settings say.
+    A process has one object, which is updated in place when the settings
+    change, so that all its users see the newest values.
     """
 
-    #: Until no request goes to an endpoint that said it is leaving.
+    #: Time after which an endpoint that announced its drain gets no requests.
     drain: float = 2
-    #: From SIGTERM to SIGKILL.
+    #: Time from SIGTERM to SIGKILL.
     grace: float = 8
-    #: Repeats for each request, over all entries and in each window.
+    #: Retries per request, over all entries and in each window, and the length
+    #: of the window.
     budget_share: float = 0.2
     budget_window: float = 10
-    #: Repeats in a window beyond that share, over all entries.
+    #: Retries in a window beyond that share, over all entries.
     budget_surplus: float = 100
-    #: Until no request begins on an older version.
+    #: Time after which no request starts on an older version.
     version: float = 8
-    #: For which a process that has started, or whose links were disturbed,
-    #: isn't held to the bounds.
+    #: Time for which the limits do not apply to a process that has started or
+    #: whose links were disturbed.
     settling: float = 3
-    #: For which callers may keep a list of entries.
+    #: Longest time for which callers may keep a list of entries.
     longest_offer: float = 5
 
     def update(self, newer: SystemLimits) -> bool:
-        """Take over newer settings; tell whether anything changed."""
+        """Apply newer settings; return whether anything changed."""
         changed = newer != self
         for name in self.__struct_fields__:
             setattr(self, name, getattr(newer, name))
@@ -38,31 +39,31 @@
 
 
 class Node(msgspec.Struct, frozen=True, kw_only=True):
-    """One process: who and where it is, and whom it asks."""
+    """The identity, location and addresses of one process."""
 
     name: str
     ip: str
-    #: Its failure domain and region.
+    #: Failure domain and region of the process.
     domain: str
     region: str
     regions_by_domain: dict[str, str]
-    #: The first of the ports that are free for the system's own use.
+    #: The first port that is reserved for the system's internal use.
     first_port: int
-    #: The store's address, ``host:port``.
+    #: ``host:port`` of the store.
     store: str
     duties: SystemLimits
     #: ``host:port`` where callers connect; empty for an agent.
     callers: str = ''
-    #: ``host:port`` where readiness is asked for.
+    #: ``host:port`` of the readiness check.
     readiness: str = ''
-    #: ``host:port`` where callers ask for entries.
+    #: ``host:port`` of the directory of entries.
     directory: str = ''
-    #: Megabits a second that its link carries.
+    #: Bandwidth of the link in Mbit/s.
     link_mbps: float = 1000
     #: ``host:port`` of the endpoint beside an agent, and its service.
     endpoint: str = ''
     service: str = ''
-    #: IP numbers of processes that may be up.
+    #: IP addresses of processes that may be running.
     seeds: tuple[str, ...] = ()
 
     def region_of(self, domain: str) -> str:
--- a/clementinepass/direct/request_log.py
+++ b/clementinepass/direct/request_log.py
@@ -1,8 +1,7 @@
-"""What is told of each request: log lines and metrics.
+"""Log lines and metrics of requests.
 
-Lines of requests that went well are written for one request in some, chosen
-by its id, so that the same requests are followed at every process; whatever
-went wrong is written for each.
+Successful requests are sampled by their id, so that every process logs the same
+ones. Errors are logged for every request.
 """
 
 from __future__ import annotations
@@ -21,15 +20,15 @@
     from clementinepass.decisions import endpoint_choice, next_try
     from clementinepass.direct import endpoints
 
-#: Bytes of a path that are written; callers may send any length.
+#: Longest logged part of a path; callers may send paths of any length.
 _MAX_PATH_BYTES = 80
-#: Of so many requests that go well one is followed in the log.
+#: One in this many successful requests is logged.
 _SAMPLE_ONE_IN = 16
 _BUCKETS = (
     0.025, 0.05, 0.1, 0.2, 0.3, 0.4, 0.6, 1.0, 2.0, 4.0, 8.0, float('inf'),
 )  # fmt: skip
-#: What is written of a request whose connection ended, and at which level,
-#: by why it did. Only a caller that ended its side is said to have left.
+#: Level and message for a request whose connection ended, by the cause of the
+#: end. A caller has left only if it closed its side of the connection.
 _LEVEL_AND_MESSAGE_BY_END = {
     endings.End.CALLER_CLOSED: ('INFO', 'caller left'),
     endings.End.CALLER_RESET: ('INFO', 'connection reset'),
@@ -37,7 +36,7 @@
     endings.End.TRANSPORT_FAULT: ('INFO', 'connection lost'),
     endings.End.CUT: ('WARNING', 'cut off, as this entry ends'),
 }
-#: What becomes of an attempt that an engine cuts to take up weights.
+#: Failures of an attempt that an engine cuts off in order to load weights.
 _CUT_BY_ENGINE = frozenset(
     (
         serving.AttemptFailure.CONNECTION_LOST,
@@ -49,14 +48,14 @@
 
 
 class RefusalContext(typing.NamedTuple):
-    """What a request was refused by.
-
-    :param configuration: the version in force; 0 for none.
-    :param last_in: the newest configuration with the key or the route that
-        it lacks; 0 if this process knew none.
-    :param store_age: seconds since the store last answered a read of what the
-        operator wrote, or an entry was heard that reads it for this one;
-        ``None`` for never.
+    """The configuration on which a refusal is based.
+
+    :param configuration_version: the version in force; 0 for none.
+    :param last_matching_version: the newest configuration with the key or the
+        route that is missing now; 0 if this process knew none.
+    :param store_age_seconds: time since the store last answered a read of the
+        operator's records, or since the last message of an entry that reads
+        them for this one; ``None`` for never.
     """
 
     configuration_version: int
@@ -65,7 +64,7 @@
 
 
 class RequestLog:
-    """Write and count what happens to requests.
+    """Log and count what happens to requests.
 
     :param registry: where the metrics are registered.
     """
@@ -110,7 +109,7 @@
     def log_malformed(
         self, error: calls.InvalidRequestError, status: int
     ) -> None:
-        """Tell of a request that could not be read."""
+        """Log a request that could not be decoded."""
         ending = serving.Ending.MALFORMED.value
         self._endings.inc({'ending': ending})
         logger.bind(
@@ -127,7 +126,7 @@
         status: int,
         context: RefusalContext,
     ) -> None:
-        """Tell of a request that was refused before it was admitted."""
+        """Log a request that was refused before its admission."""
         self._endings.inc({'ending': ending.value})
         logger.bind(
             request=call.id,
@@ -145,7 +144,7 @@
         admitted: serving.AdmittedRequest,
         choice: endpoint_choice.Choice,
     ) -> None:
-        """Tell that even the best endpoint has too many waiting."""
+        """Log that the queue of even the best endpoint is too long."""
         logger.bind(
             request=admitted.call.id,
             service=admitted.service.name,
@@ -159,7 +158,7 @@
         admitted: serving.AdmittedRequest,
         endpoint: endpoints.Endpoint,
     ) -> None:
-        """Tell where a request is sent."""
+        """Log to which endpoint a request is sent."""
         number = len(admitted.attempts)
         if number == 1 and not _is_sampled(admitted.call.id):
             return
@@ -178,7 +177,7 @@
         endpoint: endpoints.Endpoint,
         error: Exception,
     ) -> None:
-        """Tell of an attempt without an answer."""
+        """Log an attempt without a complete answer."""
         attempt = admitted.attempts[-1]
         failure = _classify_failure(admitted, endpoint, error)
         admitted.attempt_failures.append(failure)
@@ -201,7 +200,7 @@
         endpoint: endpoints.Endpoint,
         status: int,
     ) -> None:
-        """Tell of an endpoint that did not run a request."""
+        """Log that an endpoint rejected a request without running it."""
         self._attempts.inc({'outcome': 'turned_away'})
         admitted.attempt_failures.append(serving.AttemptFailure.REJECTED)
         logger.bind(
@@ -213,7 +212,7 @@
         ).info('turned away by the endpoint')
 
     def log_failed_by_endpoint(self, admitted: serving.AdmittedRequest) -> None:
-        """Tell of an endpoint's whole answer that it failed."""
+        """Log the complete error answer of an endpoint."""
         self._attempts.inc({'outcome': 'failed'})
         admitted.attempt_failures.append(serving.AttemptFailure.FAILED)
         attempt = admitted.attempts[-1]
@@ -235,7 +234,7 @@
         endpoint: endpoints.Endpoint,
         instance: str,
     ) -> None:
-        """Tell of an endpoint, or of weights, that are others than expected."""
+        """Log that another endpoint or version than expected answered."""
         self._attempts.inc({'outcome': 'misdirected'})
         admitted.attempt_failures.append(serving.AttemptFailure.MISDIRECTED)
         logger.bind(
@@ -252,7 +251,7 @@
         decision: next_try.RetryDecision,
         is_allowed: bool,  # noqa: FBT001
     ) -> None:
-        """Tell whether a request is sent once more."""
+        """Log the decision whether a request is retried."""
         reason = decision.value
         if not is_allowed and reason == 'allowed':
             reason = 'budget_spent'
@@ -265,7 +264,7 @@
         ).info('sending once more' if is_allowed else 'not sending once more')
 
     def log_answered(self, admitted: serving.AdmittedRequest) -> None:
-        """Tell of a whole answer."""
+        """Log a request that was answered completely."""
         self._endings.inc({'ending': 'answered'})
         received = admitted.call.request.received
         seconds = _now() - received
@@ -289,7 +288,7 @@
         ending: serving.Ending,
         status: int,
     ) -> None:
-        """Tell of a request without a success."""
+        """Log a request that ended without success."""
         self._endings.inc({'ending': ending.value})
         logger.bind(
             request=admitted.call.id,
@@ -304,7 +303,7 @@
         ).warning('ended without an answer')
 
     def log_interrupted(self, admitted: serving.AdmittedRequest) -> None:
-        """Tell of a request whose connection ended before its answer."""
+        """Log a request whose connection ended before its answer."""
         end = admitted.reply.ending
         self._endings.inc({'ending': end.value})
         level, message = _LEVEL_AND_MESSAGE_BY_END.get(end, _UNKNOWN_END)
@@ -319,7 +318,7 @@
     def log_internal_error(
         self, admitted: serving.AdmittedRequest, error: Exception
     ) -> None:
-        """Tell of a request that met a fault which nobody foresaw."""
+        """Log a request that raised an unexpected exception."""
         self._endings.inc({'ending': serving.Ending.INTERNAL_ERROR.value})
         logger.bind(
             request=admitted.call.id,
@@ -332,12 +331,13 @@
         admitted: serving.AdmittedRequest,
         seconds_draining: float,
     ) -> None:
-        """Tell of a request that came to an entry that leaves.
+        """Log a request that was accepted while the entry drains.
 
-        How it came is told by its connection: a new one is of a caller that
-        found this entry in a list, a kept one of a caller that was not told.
+        The age of the connection shows how it arrived: on a new connection the
+        caller found this entry in a list; on an old one it has not been asked
+        to close it.
 
-        :param since: seconds since the entry was told to end.
+        :param seconds_draining: time since the drain started.
         """
         request = admitted.call.request
         admitted.is_logged = True
@@ -357,10 +357,10 @@
 def _progress(
     admitted: serving.AdmittedRequest, now: float
 ) -> dict[str, typing.Any]:
-    """Return how far a request had come when it ended.
+    """Return log fields on the progress of a request at its end.
 
-    With these a caller that gave up is told from one that left of its own
-    accord, and whose silence it was that it gave up on.
+    The fields distinguish a caller that timed out from one that left on its
+    own, and show whether the entry or the endpoint was silent.
     """
     received = admitted.call.request.received
     first_at = admitted.first_event_at
@@ -385,10 +385,11 @@
     endpoint: endpoints.Endpoint,
     error: Exception,
 ) -> serving.AttemptFailure:
-    """Return what became of an attempt without an answer.
+    """Return why an attempt had no complete answer.
 
-    One that is given up since the weights there grow too old looks like one
-    at a silent endpoint: both end as nothing has come by a certain time.
+    An attempt that is abandoned because the weights of the endpoint become too
+    old looks like one at a silent endpoint, as both end in a timeout. They are
+    told apart by the start deadline.
     """
     failure = serving.AttemptFailure.MALFORMED
     if isinstance(error, channel.ChannelBrokenError):
--- a/clementinepass/direct/routing.py
+++ b/clementinepass/direct/routing.py
@@ -42,7 +42,7 @@
     backends: tuple[Backend, ...]
     #: Seconds from the request to its final answer.
     timeout: float
-    #: Seconds within which the answer, or the first event of a stream, is due.
+    #: Target in seconds for the answer, or for the first event of a stream.
     latency_target: float
     #: Longest time in seconds between events of a stream.
     max_event_gap: float = 0
@@ -63,7 +63,7 @@
         return self.kind is RouteKind.IDEMPOTENT
 
     def service_for(self, fraction: float) -> str:
-        """Return the service at a fraction, from 0 to 1, of the total weight."""
+        """Return the service at a fraction, from 0 to 1, of all weights."""
         total = sum(backend.weight for backend in self.backends)
         remaining = fraction * total
         for backend in self.backends:
--- a/clementinepass/direct/uptime.py
+++ b/clementinepass/direct/uptime.py
@@ -1,13 +1,13 @@
-"""How long this process has been there."""
+"""The uptime of this process."""
 
 from __future__ import annotations
 
 import time
 
-#: Monotonic seconds at which the process read its program.
+#: Monotonic time at which this module was imported.
 _STARTED_AT = time.monotonic()
 
 
 def seconds() -> float:
-    """Return the seconds since the process began, to the millisecond."""
+    """Return the uptime in seconds, rounded to milliseconds."""
     return round(time.monotonic() - _STARTED_AT, 3)
--- a/clementinepass/platform/dialect.py
+++ b/clementinepass/platform/dialect.py
@@ -61,7 +61,7 @@
     def decode_request(self, request: messages.Request) -> calls.Call:
         """Decode a caller's request.
 
-        :raises BadCallError: it has no id, or one of its numbers is none.
+        :raises InvalidRequestError: it has no id, or one of its numbers is none.
         """
         headers = request.headers
         name = headers.get(_ID_NAME) or b''
@@ -152,7 +152,7 @@
 def _number(field: bytes | None, read: Callable[[bytes], _T]) -> _T | None:
     """Read a number, if there is one.
 
-    :raises BadCallError: there is something else.
+    :raises InvalidRequestError: there is something else.
     """
     if field is None:
         return None
--- a/tests/observability/test_causes.py
+++ b/tests/observability/test_causes.py
@@ -346,7 +346,7 @@
     (
         failing('/once/a', Fault.UNSTAMPED),
         Cause.ENDPOINT_SPOILT,
-        'no answer to this request',
+        'not a valid answer to this request',
     ),
     (
         failing('/stream/once/a', Fault.GAP),
