--- a/clementinepass/direct/events.py
+++ b/clementinepass/direct/events.py
@@ -77,7 +77,7 @@
             return
         if self.last_id is not None and event.id != self.last_id + 1:
             raise StreamBrokenError(
-                f'event {event.id} follows event {self.last_id}'
+                f'{event.id} is not the event after {self.last_id}'
             )
         self.last_id = event.id
 
--- a/tests/direct/path_harness.py
+++ b/tests/direct/path_harness.py
@@ -1,4 +1,4 @@
-"""An entry's path between a caller and scripted endpoints, on loopback."""
+"""A request handler between a caller and scripted endpoints, on loopback."""
 
 from __future__ import annotations
 
@@ -48,7 +48,7 @@
 
 
 def route(name: str, **changes: typing.Any) -> routing.Route:
-    """Return a route for a prefix of the same name."""
+    """Return a route whose prefix is its name."""
     defaults: dict[str, typing.Any] = {
         'name': name,
         'host': b'h',
@@ -77,7 +77,7 @@
 
 
 class PathHarness:
-    """A path, its front and some endpoints."""
+    """A request handler with its front and some endpoints."""
 
     def __init__(self, count: int = 2, local_node: node.Node = NODE) -> None:
         self.endpoints = [
@@ -85,29 +85,29 @@
             for number in range(count)
         ]
         self.cluster = cluster_state.ClusterState(local_node)
-        self.departure = departure.DrainState(local_node, self.cluster)
-        #: Other entries that callers may be sent to.
+        self.drain_state = departure.DrainState(local_node, self.cluster)
+        #: Number of other entries that callers may be sent to.
         self.ready_peers = 0
         log = request_log.RequestLog(aioprometheus.Registry())
-        spelling = dialect.HeaderDialect()
-        self.sender = attempt.Sender(self.cluster, spelling, log)
-        self.path = path.RequestHandler(
+        header_dialect = dialect.HeaderDialect()
+        self.sender = attempt.Sender(self.cluster, header_dialect, log)
+        self.request_handler = path.RequestHandler(
             local_node,
             self.cluster,
-            spelling,
+            header_dialect,
             self.sender,
             log,
             lambda: 1,
-            self.departure,
+            self.drain_state,
             lambda: self.ready_peers,
             random.Random(3),
         )
-        self.front = front.Front(self.path.serve)
+        self.front = front.Front(self.request_handler.serve)
         self.port = 0
         self._callers: pool.Pool | None = None
 
     async def __aenter__(self) -> typing.Self:
-        """Listen and believe in all endpoints."""
+        """Start to listen, list all endpoints and apply a configuration."""
         for endpoint in self.endpoints:
             await endpoint.__aenter__()
             self.list_endpoint(endpoint)
@@ -117,7 +117,7 @@
         return self
 
     async def __aexit__(self, *exc_info: object) -> None:
-        """Close everything."""
+        """Close the front and the endpoints."""
         await self.front.close()
         for endpoint in self.endpoints:
             await endpoint.__aexit__()
@@ -144,7 +144,7 @@
         endpoint: direct_endpoint.DirectEndpoint,
         **changes: typing.Any,
     ) -> None:
-        """Believe what an endpoint says of itself."""
+        """Apply the record of an endpoint."""
         listing = endpoints.Listing(
             endpoint.id,
             'pool',
@@ -158,12 +158,12 @@
         self.cluster.listed(listing._replace(**changes))
 
     def idle_connections(self, endpoint_id: str) -> list[channel.Channel]:
-        """Return the idle connections that are kept to an endpoint."""
+        """Return the idle connections to an endpoint."""
         endpoint_pool = self.sender._pools_by_id[endpoint_id]
         return list(endpoint_pool.connections._idle)
 
-    def fail_first(self, *faults: direct_endpoint.Fault) -> None:
-        """Let the first endpoints that are asked fail, whichever they are."""
+    def set_shared_faults(self, *faults: direct_endpoint.Fault) -> None:
+        """Let the first attempts fail, at whichever endpoints they arrive."""
         shared = list(faults)
         for endpoint in self.endpoints:
             endpoint.faults = shared
@@ -174,7 +174,7 @@
         body: bytes = b'body',
         **headers: str,
     ) -> pool.Fetched:
-        """Send a request as a caller and return the whole answer."""
+        """Send a request as a caller and return the complete answer."""
         assert self._callers is not None
         return await pool.fetch(
             self._callers,
@@ -184,7 +184,7 @@
 
     @property
     def executed_requests(self) -> list[messages.Request]:
-        """Return the requests that ran, at any endpoint."""
+        """Return the requests that ran at any endpoint."""
         return [
             request for endpoint in self.endpoints for request in endpoint.ran
         ]
@@ -198,7 +198,7 @@
 
 
 def request(target: str, body: bytes = b'body', **headers: str) -> bytes:
-    """Return a caller's request; a header of no text is left out."""
+    """Return a caller's request; headers with empty values are left out."""
     defaults = {
         'Host': 'h',
         'X_Attempt_Id': 'r-1',
@@ -218,7 +218,7 @@
     count: int = 2,
     local_node: node.Node = NODE,
 ) -> None:
-    """Play in a harness of some endpoints."""
+    """Run a scenario in a harness with some endpoints."""
 
     async def played() -> None:
         async with (
--- a/tests/direct/test_day.py
+++ b/tests/direct/test_day.py
@@ -1,4 +1,4 @@
-"""A short day of each kind on the emulator, with its rules checked."""
+"""Short emulated days of each kind, with their rules checked."""
 
 from __future__ import annotations
 
@@ -10,10 +10,10 @@
 
 
 class DayTest(testtools.TestCase):
-    """Entries, agents, engines that work in passes, and callers together."""
+    """Entries, agents, batching engines and callers together."""
 
     def test_calm(self) -> None:
-        """Each caller of a calm day gets its whole answer."""
+        """Each caller of a calm day gets its complete answer."""
         calm = day.Day(3, 1, heavy=False)
         asyncio.run(calm.play())
         self.assertEqual([], calm.broken())
@@ -21,11 +21,11 @@
         self.assertLessEqual(kinds, {'in aim', 'late'})
 
     def test_restarts(self) -> None:
-        """An engine crashes and starts again under its id, several times.
+        """An engine crashes and restarts under its id several times.
 
-        Entries believe for a while that it holds what it held. It is loaded
-        anew each time, whole, and serves again; what the crash cut off is
-        resumed elsewhere, so that each caller gets its whole answer.
+        Entries assume for a while that it still has its weights. It loads
+        complete weights again each time and serves. Requests that the crash cut
+        off are resumed elsewhere, so that each caller gets its complete answer.
         """
         restarts = day.Day(6, 1, heavy=False, restarts=True)
         asyncio.run(restarts.play())
@@ -39,10 +39,10 @@
     def test_heavy(self) -> None:
         """A heavy day breaks no rule, and all engines get the new version.
 
-        More requests than the engines run, one engine that stands still, and
-        the origin gone while a version spreads. Whether requests begin on an
-        old version in time depends on this machine's speed too, so that the
-        measurement checks it, not this test.
+        There are more requests than the engines run, one engine freezes, and
+        the origin is unavailable while a version spreads. Whether requests start
+        on an old version in time also depends on the speed of the test machine,
+        so that the benchmark checks it instead of this test.
         """
         heavy = day.Day(5, 1, heavy=True)
         asyncio.run(heavy.play())
--- a/tests/direct/test_endpoint_loads.py
+++ b/tests/direct/test_endpoint_loads.py
@@ -1,4 +1,4 @@
-"""Tests of what is known of the requests at endpoints."""
+"""Tests of the load of endpoints and of its reports."""
 
 from __future__ import annotations
 
@@ -21,7 +21,7 @@
 
 
 def listing(started: int = 0) -> endpoints.Listing:
-    """Return an engine's own word."""
+    """Return an engine's record."""
     weights = endpoints.Weights(1, 0, 4)
     return endpoints.Listing(
         'i-1', 's', ADDRESS, 'a', 8, False, 1, weights, started
@@ -46,15 +46,15 @@
 
 
 def load(active: int, queued: int, started: int = 0) -> heartbeats.Load:
-    """Return an agent's word on it."""
+    """Return an agent's load report."""
     return heartbeats.Load(active, queued, started)
 
 
 class ReportedLoadTest(testtools.TestCase):
-    """An engine's load as its agent tells it."""
+    """An engine's load as its agent reports it."""
 
     def setUp(self) -> None:
-        """Know an engine, and another entry's count of its requests there."""
+        """List an engine with the count of another entry's requests."""
         super().setUp()
         self.cluster = cluster_state.ClusterState(test_cluster_state.OWN)
         self.cluster.listed(listing())
@@ -66,7 +66,7 @@
         return self.cluster.loads.total(self.engine, NOW + after)
 
     def test_goes_before_counts(self) -> None:
-        """Counts of others are old where there are many entries."""
+        """A report replaces the counts of other entries, which may be old."""
         self.assertEqual(9, self.total())
         self.cluster.heard_load(HOST, load(3, 2), NOW)
 
@@ -74,7 +74,7 @@
         self.assertEqual(2, self.cluster.loads.unstarted(self.engine, NOW))
 
     def test_sent_since(self) -> None:
-        """What was sent since the last report is added until the next."""
+        """Requests sent since the last report are added until the next."""
         self.cluster.heard_load(HOST, load(3, 0), NOW)
         for after in (0.05, 0.09):
             self.engine.reported_load.record_sent(NOW + after)
@@ -84,22 +84,23 @@
         self.assertEqual(4, self.total())
 
     def test_sent_meanwhile(self) -> None:
-        """A report left before a request came that was sent before it came."""
+        """A request sent shortly before a report arrives is added to it."""
         self.engine.reported_load.record_sent(NOW)
         self.cluster.heard_load(HOST, load(3, 0), NOW + 0.01)
 
         self.assertEqual(4, self.total())
 
     def test_agent_silent(self) -> None:
-        """Placing went on by the last report of an agent that was killed."""
+        """The report of a killed agent expires."""
         self.cluster.heard_load(HOST, load(0, 0), NOW)
         self.assertEqual(0, self.total(after=0.9))
         self.assertEqual(9, self.total(after=1.1))
 
     def test_some_hear_it(self) -> None:
-        """On a full link reports came to some, who counted nothing to others.
+        """An expired report remains a lower bound for a while.
 
-        To those others the engine looked empty, and drew their requests.
+        On a full link reports reached some entries only, which then announced no
+        counts. To the others the engine looked empty and attracted requests.
         """
         self.cluster.loads.update_peer_counts('10.0.0.8', {}, NOW)
         self.cluster.heard_load(HOST, load(8, 5), NOW)
@@ -107,7 +108,7 @@
         self.assertEqual(0, self.total(after=5.1))
 
     def test_start_before(self) -> None:
-        """A report of the engine's start before came after its crash."""
+        """A late report of the engine's previous start is ignored."""
         self.cluster.listed(listing(started=5)._replace(heartbeat=2))
         (self.engine,) = self.cluster.endpoints
         self.cluster.heard_load(HOST, load(8, 8, started=4), NOW)
@@ -115,7 +116,7 @@
         self.assertEqual(0, self.engine.reported_load.total)
 
     def test_told_to_others(self) -> None:
-        """Entries count to one another only what no agent reports."""
+        """Entries announce only counts that no agent reports."""
         self.engine.in_flight = 2
         self.assertEqual({'i-1': 2}, self.cluster.in_flight_by_endpoint(NOW))
 
@@ -126,7 +127,7 @@
         )
 
     def test_gone_from_the_list(self) -> None:
-        """An address that another endpoint has taken over."""
+        """Two endpoints may list one address until the first is removed."""
         other = listing()._replace(id='i-2', service='t')
         self.cluster.endpoints.apply_listing(other)
         self.assertEqual(2, len(self.cluster.endpoints.at_ip(HOST)))
@@ -138,10 +139,10 @@
 
 
 class SubscribersTest(testtools.TestCase):
-    """Whom an agent tells."""
+    """The entries that an agent reports to."""
 
     def test_lease(self) -> None:
-        """An entry that was killed is told no longer than its lease."""
+        """A killed entry gets no reports after its lease."""
         agent_subscribers = subscribers.Subscribers()
         agent_subscribers.renewed('10.0.0.1', NOW)
         agent_subscribers.renewed('10.0.0.2', NOW)
@@ -157,10 +158,10 @@
 
 
 class SubscribingTest(testtools.TestCase):
-    """Which agents an entry asks, and when."""
+    """The agents to which an entry subscribes, and when."""
 
     def setUp(self) -> None:
-        """Know near and far engines, every second one without weights."""
+        """List engines of two domains, every second one without weights."""
         super().setUp()
         self.cluster = cluster_state.ClusterState(test_cluster_state.OWN)
         self.cluster.routing = routing_of_engines()
@@ -179,24 +180,24 @@
         )
 
     def due_engines(self, after: float = 0) -> set[int]:
-        """Return the numbers of the engines whose agents are asked now."""
+        """Return the numbers of the engines due for a subscription."""
         ips = self.subscribing.due(NOW + after)
         return {int(ip.rpartition('.')[2]) for ip in ips}
 
     def test_usable_engines(self) -> None:
-        """Engines that had no weights yet took the place of those that work."""
+        """Of other domains, only engines with weights are subscribed to."""
         far = {number for number in self.due_engines() if number >= 10}
 
         self.assertEqual(7, len(far))
         self.assertEqual({1}, {number % 2 for number in far})
 
     def test_near_engines_without_weights(self) -> None:
-        """Agents of added engines knew nobody to tell of their weights."""
+        """Agents of new engines in the local domain are subscribed to at once."""
         near = {number for number in self.due_engines() if number < 10}
         self.assertEqual(set(range(10)), near)
 
     def test_renewed(self) -> None:
-        """An agent is asked again each second, a new one at once."""
+        """A subscription is renewed each second; a new one is due at once."""
         first = self.due_engines()
         self.assertEqual(set(), self.due_engines(after=0.9))
         self.cluster.listed(
--- a/tests/direct/test_endpoints.py
+++ b/tests/direct/test_endpoints.py
@@ -1,4 +1,4 @@
-"""Tests of what is believed of endpoints."""
+"""Tests of the table of endpoints."""
 
 from __future__ import annotations
 
@@ -23,7 +23,7 @@
 
 
 def listing(**changes: typing.Any) -> endpoints.Listing:
-    """Return an endpoint's word, changed in some fields."""
+    """Return a record of an endpoint with some fields changed."""
     usual = endpoints.Listing(
         'i-1',
         'pool',
@@ -38,7 +38,7 @@
 
 
 class EndpointsTest(testtools.TestCase):
-    """Older words, lapses and other endpoints at an address."""
+    """Older records, expiry, and other endpoints at an address."""
 
     def setUp(self) -> None:
         super().setUp()
@@ -48,15 +48,16 @@
     def usable_ids(self, now: float = 0) -> list[str]:
         """Return the ids of those that may be used."""
         return [
-            one.listing.id
-            for one in self.endpoint_table.usable_for_service('pool', now)
+            endpoint.listing.id
+            for endpoint in self.endpoint_table.usable_for_service('pool', now)
         ]
 
     def test_replaced_at_its_address(self) -> None:
-        """All lost their power; the list named who had been there, too.
+        """The newest record at an address replaces older ones.
 
-        Each entry sent to each of those once, and was told that another is
-        there now, until it might send nothing more.
+        After a power loss the list named the previous endpoints as well. Each
+        entry sent a request to each of them and was rejected by the endpoint now
+        at the address, until it had no attempts left.
         """
         self.endpoint_table.apply_listing(listing(id='i-2', record_offset=9))
         self.assertEqual(['i-2'], self.usable_ids())
@@ -64,14 +65,14 @@
         self.assertEqual(['i-2'], self.usable_ids())
 
     def test_address_named_by_another_service(self) -> None:
-        """A wrong record takes no endpoint away from another service."""
+        """A wrong record does not replace an endpoint of another service."""
         self.endpoint_table.apply_listing(
             listing(id='i-2', service='other', record_offset=9)
         )
         self.assertEqual(['i-1'], self.usable_ids())
 
     def test_newer_word_at_an_address(self) -> None:
-        """Whoever writes last is there; a word of its start isn't needed."""
+        """The last record at an address counts, also without a start time."""
         self.endpoint_table.apply_listing(listing(id='i-2', record_offset=9))
         self.endpoint_table.apply_listing(
             listing(heartbeat=6, record_offset=12)
@@ -79,7 +80,7 @@
         self.assertEqual(['i-1'], self.usable_ids())
 
     def test_replacement_refuted(self) -> None:
-        """A record named an address that isn't its endpoint's."""
+        """A misdirected endpoint replaces no other at its address."""
         self.endpoint_table.apply_listing(listing(id='i-2', record_offset=9))
         replacement = self.endpoint_table.get('i-2')
         assert replacement is not None
@@ -87,7 +88,7 @@
         self.assertEqual(['i-1'], self.usable_ids())
 
     def test_replacement_moved(self) -> None:
-        """The one that replaced an endpoint started anew elsewhere."""
+        """An endpoint is usable again if its replacement moves elsewhere."""
         self.endpoint_table.apply_listing(listing(id='i-2', record_offset=9))
         self.endpoint_table.apply_listing(
             listing(id='i-2', address='10.0.0.7:80', record_offset=10)
@@ -95,22 +96,23 @@
         self.assertEqual({'i-1', 'i-2'}, set(self.usable_ids()))
 
     def test_replacement_gone(self) -> None:
-        """The record of who replaced an endpoint is dropped."""
+        """An endpoint is usable again if its replacement is removed."""
         self.endpoint_table.apply_listing(listing(id='i-2', record_offset=9))
         self.endpoint_table.mark_removed('i-2', 5, 0)
         self.assertEqual(['i-1'], self.usable_ids(6))
 
     def test_stalled(self) -> None:
-        """A machine stood still for four seconds and drew a third of the load.
+        """An endpoint that sends nothing on two streams is stalled.
 
-        Its requests were given up after more than a second each, so that by
-        its count it was the emptiest. Nothing had come from it since it froze.
+        An instance froze for four seconds and attracted a third of the load. Its
+        requests were abandoned after more than a second each, so that it looked
+        like the emptiest one.
         """
         endpoint = self.endpoint_table.get('i-1')
         assert endpoint is not None
         endpoint.last_received_at = 10
         endpoint.in_flight = 3
-        # Nothing has begun: all may wait behind the requests of others.
+        # No request has started: all may wait behind those of other entries.
         self.assertFalse(endpoint.is_stalled(12))
         endpoint.active_streams = 2
         self.assertFalse(endpoint.is_stalled(10.5))
@@ -121,10 +123,10 @@
         self.assertFalse(endpoint.is_stalled(12))
 
     def test_old_word(self) -> None:
-        """A word from before the endpoint was leaving comes late.
+        """A late record from before the drain is ignored.
 
-        Requests went to an endpoint four seconds after it had said that it
-        was leaving: an older heartbeat had been read after that.
+        Requests were sent to an endpoint four seconds after it announced its
+        drain, as an older heartbeat was read after that.
         """
         self.endpoint_table.apply_listing(listing(draining=True, heartbeat=7))
         self.assertFalse(
@@ -133,11 +135,11 @@
         self.assertEqual([], self.usable_ids())
 
     def test_leaving_overtaken(self) -> None:
-        """An endpoint's word that it leaves comes after a later heartbeat.
+        """A drain counts even if its record arrives after a later heartbeat.
 
-        A request went to an endpoint 2.3 seconds after the store had its word
-        that it was leaving. That word had been taken for an old one: its
-        number was lower than the last heartbeat's.
+        A request was sent to an endpoint 2.3 seconds after the store had the
+        record of its drain. The record was ignored, as its heartbeat number was
+        lower than the last one.
         """
         self.endpoint_table.apply_listing(listing(heartbeat=8))
         self.assertTrue(
@@ -150,19 +152,21 @@
         self.assertEqual([], self.usable_ids())
 
     def test_leaving_is_final(self) -> None:
-        """An endpoint that leaves never stays, as long as it runs.
+        """A draining endpoint never becomes usable again while it runs.
 
-        Where no start is told, nothing tells a new one from a late word.
+        Without a start time, a restart cannot be distinguished from a late
+        record.
         """
         self.endpoint_table.apply_listing(listing(draining=True, heartbeat=7))
         self.endpoint_table.apply_listing(listing(heartbeat=8))
         self.assertEqual([], self.usable_ids())
 
     def test_lapsed_while_the_store_was_away(self) -> None:
-        """All endpoints vanished from the list when the store came back.
+        """Endpoints whose records expired in an outage remain usable.
 
-        Every request was refused until they had listed themselves again,
-        though all of them lived.
+        All endpoints vanished from the list when the store came back. Requests
+        were refused until the endpoints had listed themselves again, though all
+        of them were alive.
         """
         self.endpoint_table.mark_removed('i-1', now=10, grace=2)
         self.assertEqual(['i-1'], self.usable_ids(11.9))
@@ -171,23 +175,23 @@
         self.assertEqual(['i-1'], self.usable_ids(12))
 
     def test_gone_at_once(self) -> None:
-        """One that the list drops in quiet times is gone."""
+        """An endpoint that is removed without an outage is unusable at once."""
         self.endpoint_table.mark_removed('i-1', now=10, grace=0)
         self.assertEqual([], self.usable_ids(10))
 
     def test_forgotten(self) -> None:
-        """One that is gone is kept while a request is still there."""
-        one = self.endpoint_table.get('i-1')
-        assert one is not None
-        one.in_flight = 1
+        """A removed endpoint is kept while it has a request in flight."""
+        endpoint = self.endpoint_table.get('i-1')
+        assert endpoint is not None
+        endpoint.in_flight = 1
         self.endpoint_table.mark_removed('i-1', now=10, grace=0)
         self.assertEqual([], self.endpoint_table.remove_expired(20))
-        one.in_flight = 0
-        self.assertEqual([one], self.endpoint_table.remove_expired(20))
+        endpoint.in_flight = 0
+        self.assertEqual([endpoint], self.endpoint_table.remove_expired(20))
         self.assertIsNone(self.endpoint_table.get('i-1'))
 
     def test_layers(self) -> None:
-        """Only whole weights, of the version or a newer one, serve."""
+        """Only complete weights, of the version or a newer one, are usable."""
         table = (
             (endpoints.Weights(0, 0, 0), 0, False),
             (endpoints.Weights(1, 0, 16), 0, True),
@@ -198,14 +202,14 @@
             (endpoints.Weights(2, 0, 0), 2, False),
         )
         for weights, version, expected in table:
-            one = endpoints.Endpoint(listing(weights=weights))
+            endpoint = endpoints.Endpoint(listing(weights=weights))
             self.assertEqual(
-                expected, one.has_weights(ENGINE, version), weights
+                expected, endpoint.has_weights(ENGINE, version), weights
             )
 
 
 class RestartTest(testtools.TestCase):
-    """An endpoint starts again under the id that it had."""
+    """An endpoint restarts under its id."""
 
     def setUp(self) -> None:
         super().setUp()
@@ -217,20 +221,21 @@
     def usable_ids(self, now: float = 0) -> list[str]:
         """Return the ids of those that may be used."""
         return [
-            one.listing.id
-            for one in self.endpoint_table.usable_for_service('pool', now)
+            endpoint.listing.id
+            for endpoint in self.endpoint_table.usable_for_service('pool', now)
         ]
 
     def loaded_weights(self) -> endpoints.Weights:
-        """Return what the endpoint is believed to hold."""
-        one = self.endpoint_table.get('i-1')
-        assert one is not None
-        return one.weights
+        """Return the weights that the endpoint is known to have loaded."""
+        endpoint = self.endpoint_table.get('i-1')
+        assert endpoint is not None
+        return endpoint.weights
 
     def test_back_after_leaving(self) -> None:
-        """An endpoint that had left came back, and was never used again.
+        """An endpoint that drained is usable after its restart.
 
-        Its counts began anew, so its words were also taken for old ones.
+        It was never used again: its heartbeat numbers restarted, so that its
+        records were taken for old ones.
         """
         self.endpoint_table.apply_listing(
             listing(started_ms=1000, heartbeat=51, draining=True),
@@ -244,9 +249,10 @@
         self.assertEqual(['i-1'], self.usable_ids())
 
     def test_late_word_of_the_start_before(self) -> None:
-        """A word of the start before comes late, with a higher count.
+        """A late record of the previous start is ignored.
 
-        The endpoint was taken for leaving, or for holding what it had held.
+        Its heartbeat number is higher. It was applied, and the endpoint seemed
+        to drain or to have its former weights.
         """
         empty = endpoints.Weights(0, 0, 0)
         self.endpoint_table.apply_listing(
@@ -269,11 +275,11 @@
         self.assertEqual([], self.usable_ids(10))
 
     def test_nothing_is_kept(self) -> None:
-        """All that was known of the start before is dropped.
+        """All that was known of the previous start is dropped.
 
-        Another had answered at its address, streams of it had stalled, and
-        requests hung on connections that were gone: it was passed by, though
-        it was new and empty.
+        The previous start was misdirected, its streams had stalled and requests
+        hung on dead connections. The restarted endpoint was skipped for that,
+        though it was empty.
         """
         before = self.endpoint_table.get('i-1')
         assert before is not None
@@ -286,15 +292,15 @@
         assert after is not None
         self.assertEqual(['i-1'], self.usable_ids())
         self.assertFalse(after.is_stalled(99))
-        # What still ends there ends at the start before.
+        # Requests in flight are counted for the previous start.
         before.in_flight -= 1
         self.assertEqual((0, 6), (after.in_flight, before.in_flight))
 
     def test_another_service(self) -> None:
-        """An id came back at another service, and tidying failed for good.
+        """An endpoint that restarts in another service can be removed.
 
-        The endpoint stood in the table of its old service, and was looked
-        for in that of the new one.
+        The endpoint was in the table of its old service and was looked up in
+        that of the new one, so that the removal of expired endpoints failed.
         """
         for start in (2000, 0):
             elsewhere = listing(
@@ -309,28 +315,30 @@
         self.assertEqual(1, len(self.endpoint_table.remove_expired(20)))
 
     def test_untold_start(self) -> None:
-        """Writers that don't tell their start are ordered as before."""
+        """Records without a start time are ordered by their heartbeat."""
         self.assertFalse(
             self.endpoint_table.apply_listing(listing(heartbeat=49))
         )
         self.assertTrue(
             self.endpoint_table.apply_listing(listing(heartbeat=51, slots=8))
         )
-        one = self.endpoint_table.get('i-1')
-        assert one is not None
-        self.assertEqual((1000, 8), (one.listing.started_ms, one.listing.slots))
+        endpoint = self.endpoint_table.get('i-1')
+        assert endpoint is not None
+        self.assertEqual(
+            (1000, 8), (endpoint.listing.started_ms, endpoint.listing.slots)
+        )
 
     def test_any_words_in_any_order(self) -> None:
-        """Whatever comes when: starts don't go back, and leaving is final.
+        """In any order of records, starts never go back and drains are final.
 
-        Words of three starts, some of them from elsewhere, with the list
-        dropping the endpoint and malformed records in between.
+        The records are of three starts, some in another service, mixed with
+        removals and malformed records.
         """
         for seed in range(300):
             self.play(random.Random(seed), seed)
 
     def play(self, rng: random.Random, seed: int) -> None:
-        """Take words and check what is believed after each."""
+        """Apply random records and check the table after each."""
         known = endpoints.Endpoints()
         newest = 0
         left: set[int] = set()
@@ -354,36 +362,37 @@
             elif known.apply_listing(word):
                 self.assertGreaterEqual(word.started_ms, newest, seed)
                 newest = word.started_ms
-            one = known.get('i-1')
-            if one is None:
+            endpoint = known.get('i-1')
+            if endpoint is None:
                 continue
-            if one.listing.draining:
-                left.add(one.listing.started_ms)
-            self.assertEqual(newest, one.listing.started_ms, seed)
+            if endpoint.listing.draining:
+                left.add(endpoint.listing.started_ms)
+            self.assertEqual(newest, endpoint.listing.started_ms, seed)
             if newest in left:
-                self.assertFalse(one.is_usable(now), seed)
+                self.assertFalse(endpoint.is_usable(now), seed)
             served = [
-                each.listing.id
+                usable.listing.id
                 for service in ('pool', 'other')
-                for each in known.usable_for_service(service, now)
+                for usable in known.usable_for_service(service, now)
             ]
-            self.assertEqual(int(one.is_usable(now)), len(served), seed)
+            self.assertEqual(int(endpoint.is_usable(now)), len(served), seed)
 
     def test_unreadable(self) -> None:
-        """A state that this version doesn't know, under a known id.
+        """An endpoint with a malformed record is unusable until the next one.
 
-        The endpoint got requests by the record before. Its next word is
-        believed again, and nothing known of it was lost.
+        An endpoint with a state unknown to this version got requests by its
+        previous record. The next valid record makes it usable again, with its
+        state kept.
         """
         self.assertFalse(self.endpoint_table.mark_unreadable('i-unknown'))
         self.assertTrue(self.endpoint_table.mark_unreadable('i-1'))
         self.assertFalse(self.endpoint_table.mark_unreadable('i-1'))
         self.assertEqual([], self.usable_ids())
-        one = self.endpoint_table.get('i-1')
+        endpoint = self.endpoint_table.get('i-1')
         self.assertTrue(
             self.endpoint_table.apply_listing(
                 listing(started_ms=1000, heartbeat=51)
             )
         )
         self.assertEqual(['i-1'], self.usable_ids())
-        self.assertIs(one, self.endpoint_table.get('i-1'))
+        self.assertIs(endpoint, self.endpoint_table.get('i-1'))
--- a/tests/direct/test_events.py
+++ b/tests/direct/test_events.py
@@ -1,4 +1,4 @@
-"""Tests of cutting a stream into events."""
+"""Tests of splitting a stream into events."""
 
 from __future__ import annotations
 
@@ -18,11 +18,11 @@
 
 
 class SplitterTest(testtools.TestCase):
-    """Only whole events pass, each once and in order."""
+    """Only complete events are yielded, each once and in order."""
 
     @given(st.integers(1, 20), st.lists(st.integers(1, 30), max_size=40))
     def test_any_cuts(self, count: int, cuts: list[int]) -> None:
-        """However the bytes come, the events are the same."""
+        """The events do not depend on how the bytes are split."""
         payload = stream(0, count)
         splitter = events.EventSplitter(None)
         found = []
@@ -38,10 +38,10 @@
         self.assertFalse(splitter.has_partial_event)
 
     def test_crash_in_an_event(self) -> None:
-        """An endpoint died in the middle of an event.
+        """An incomplete event of a crashed endpoint is not forwarded.
 
-        A user saw an answer with a broken piece followed by the same piece
-        again: half of it had been passed on before the stream was resumed.
+        Half of an event was forwarded before the stream was resumed, so that the
+        caller received a broken event followed by the same event again.
         """
         splitter = events.EventSplitter(None)
         found = list(splitter.feed(stream(0, 2) + b'id: 2\ndata: tok'))
@@ -50,7 +50,7 @@
         self.assertEqual(1, splitter.last_id)
 
     def test_gap_and_repeat(self) -> None:
-        """Pieces that are missing or come twice break the stream."""
+        """Missing or repeated events raise an error."""
         for following in (2, 0, 5):
             splitter = events.EventSplitter(None)
             list(splitter.feed(stream(0, 1)))
@@ -58,10 +58,10 @@
                 list(splitter.feed(stream(following, 1)))
 
     def test_good_events_before_a_gap(self) -> None:
-        """One read brought a good event and, after it, one too far on.
+        """An event before a gap in the same read is yielded.
 
-        The good one was lost: it counted as passed on when the gap was
-        found, and the stream was resumed after it.
+        It was lost: it counted as forwarded when the gap was found, and the
+        stream was resumed after it.
         """
         splitter = events.EventSplitter(None)
         found = []
@@ -71,15 +71,17 @@
         self.assertEqual(([0], 0), (found, splitter.last_id))
 
     def test_resumed(self) -> None:
-        """A resumed stream goes on right after the last event."""
+        """A resumed stream must continue with the next event."""
         splitter = events.EventSplitter(7)
-        self.assertEqual([8], [one.id for one in splitter.feed(stream(8, 1))])
+        self.assertEqual(
+            [8], [event.id for event in splitter.feed(stream(8, 1))]
+        )
         other = events.EventSplitter(7)
         with testtools.ExpectedException(events.StreamBrokenError):
             list(other.feed(stream(7, 1)))
 
     def test_other_line_ends(self) -> None:
-        """Events may end their lines in two ways."""
+        """Lines may end with LF or CRLF."""
         splitter = events.EventSplitter(None)
         found = splitter.feed(b'id: 0\r\ndata: a\r\n\r\n')
-        self.assertEqual([0], [one.id for one in found])
+        self.assertEqual([0], [event.id for event in found])
--- a/tests/direct/test_leaving.py
+++ b/tests/direct/test_leaving.py
@@ -1,4 +1,4 @@
-"""Tests of an entry that was told to end, as its callers see it."""
+"""Tests of a draining entry, as its callers see it."""
 
 from __future__ import annotations
 
@@ -21,13 +21,13 @@
 from clementinepass.http import limits
 from tests.direct import path_harness
 
-#: A node whose entry has two seconds from SIGTERM to SIGKILL; routes of these
-#: tests allow ten.
+#: An entry with two seconds from SIGTERM to SIGKILL; routes of these tests allow
+#: ten seconds.
 SHORT_GRACE_NODE = msgspec.structs.replace(
     path_harness.NODE,
     duties=msgspec.structs.replace(path_harness.DUTIES, grace=2),
 )
-#: The same with five minutes.
+#: An entry with five minutes from SIGTERM to SIGKILL.
 LONG_GRACE_NODE = msgspec.structs.replace(
     path_harness.NODE,
     duties=msgspec.structs.replace(path_harness.DUTIES, grace=300),
@@ -35,15 +35,15 @@
 
 
 class NoPeers:
-    """The other entries, of which none is there."""
+    """A gossip stub without other entries."""
 
     def __init__(self) -> None:
         self.phase = members.Phase.READY
-        #: The phases that were told.
+        #: The phases that were announced.
         self.announced_phases: list[members.Phase] = []
 
     def speak(self) -> None:
-        """Note what would be told."""
+        """Record the announced phase."""
         self.announced_phases.append(self.phase)
 
 
@@ -51,12 +51,12 @@
     harness: path_harness.PathHarness,
     peers: NoPeers | None = None,
 ) -> asyncio.Task[None]:
-    """Send SIGTERM; return what ends the entry."""
+    """Send SIGTERM; return the task that drains the entry."""
     drainer = leaving.Drainer(
         harness.front,
-        harness.path,
+        harness.request_handler,
         typing.cast('typing.Any', peers or NoPeers()),
-        harness.departure,
+        harness.drain_state,
     )
 
     async def drain_and_close() -> None:
@@ -66,27 +66,27 @@
     task = asyncio.create_task(drain_and_close())
     await asyncio.sleep(0)
     signal.raise_signal(signal.SIGTERM)
-    while harness.departure.plan is None:
+    while harness.drain_state.plan is None:
         await asyncio.sleep(0)
     return task
 
 
 class LateRequestTest(testtools.TestCase):
-    """All entries were replaced in turn, and callers' answers broke off.
+    """Requests that arrive at a draining entry.
 
-    Callers reached entries that were leaving: by a list that they had kept, on
-    an open connection, or since each entry named itself when all others left,
-    too. They began to read an answer, and the entry ended before the endpoint
-    did. Cause: an entry took whatever came until its last seconds, and never
-    held the time that a request may take against the time that it had left.
+    When all entries were replaced in turn, answers were cut off. Callers reached
+    draining entries by a cached list, on an open connection, or as each entry
+    listed itself while all others drained, too. The entries accepted requests
+    until their last seconds, without comparing the time that a request may take
+    with the time that they had left.
     """
 
     def test_stream_that_outlives_the_entry(self) -> None:
-        """A stream that may last longer is refused, and never ran."""
+        """A stream that may outlast the entry is refused without a run."""
 
         async def scenario(harness: path_harness.PathHarness) -> None:
-            for one in harness.endpoints:
-                one.going.clear()
+            for endpoint in harness.endpoints:
+                endpoint.going.clear()
             drained = await send_sigterm(harness)
             answer = await harness.send('/stream/a')
             self.assertEqual(503, answer.status)
@@ -96,35 +96,34 @@
         path_harness.run(scenario, local_node=SHORT_GRACE_NODE)
 
     def test_short_request_is_served(self) -> None:
-        """What ends in time is taken, and told to use the connection no more.
+        """A request that ends in time is served.
 
-        The entry waits for it, though no list names it any more.
+        The entry waits for it even after the last list that names it expired.
         """
 
         async def scenario(harness: path_harness.PathHarness) -> None:
             drained = await send_sigterm(harness)
-            for one in harness.endpoints:
-                one.going.clear()
+            for endpoint in harness.endpoints:
+                endpoint.going.clear()
             answering = asyncio.create_task(harness.send('/plain/brief/a'))
             while not harness.received_requests:
                 await asyncio.sleep(0)
-            for one in harness.endpoints:
-                one.going.set()
+            for endpoint in harness.endpoints:
+                endpoint.going.set()
             self.assertEqual(200, (await answering).status)
             await drained
 
         path_harness.run(scenario, local_node=SHORT_GRACE_NODE)
 
     def test_final_answer_before_the_end(self) -> None:
-        """A request that came before SIGTERM has no answer at the end.
+        """An unanswered request gets its final answer before the shutdown.
 
-        It was cut off, so its caller knew nothing; now it is told that the
-        request may have run.
+        It was cut off, and its caller could not tell whether it had run.
         """
 
         async def scenario(harness: path_harness.PathHarness) -> None:
-            for one in harness.endpoints:
-                one.going.clear()
+            for endpoint in harness.endpoints:
+                endpoint.going.clear()
             answering = asyncio.create_task(harness.send('/plain/a'))
             while not harness.received_requests:
                 await asyncio.sleep(0)
@@ -135,16 +134,16 @@
         path_harness.run(scenario, local_node=SHORT_GRACE_NODE)
 
     def test_ends_early(self) -> None:
-        """An entry with nothing in progress ends long before its last second.
+        """An idle entry ends long before its grace period does.
 
-        All entries stayed for nine tenths of the grace, whatever they had to
-        do, so that none was left when they were stopped one after the other.
+        All entries stayed for nine tenths of the grace period, even if idle, so
+        that no entry was ready when they were stopped one after another.
         """
 
         async def scenario(harness: path_harness.PathHarness) -> None:
             drained = await send_sigterm(harness)
             await drained
-            plan = harness.departure.plan
+            plan = harness.drain_state.plan
             assert plan is not None
             now = asyncio.get_running_loop().time()
             self.assertLess(now, plan.last_answer_at)
@@ -152,20 +151,20 @@
         path_harness.run(scenario, local_node=LONG_GRACE_NODE)
 
     def test_held_up_at_the_end(self) -> None:
-        """The process is held up when the time of all that it has is over.
+        """Final answers are sent even if the process is delayed at their time.
 
-        It cut its callers off, as the end came before the answers that were
-        due just before it.
+        The process was delayed until its end, and cut off its callers before
+        it sent the answers that were due just before.
         """
 
         async def scenario(harness: path_harness.PathHarness) -> None:
-            for one in harness.endpoints:
-                one.going.clear()
+            for endpoint in harness.endpoints:
+                endpoint.going.clear()
             answering = asyncio.create_task(harness.send('/plain/a'))
             while not harness.received_requests:
                 await asyncio.sleep(0)
             drained = await send_sigterm(harness)
-            plan = harness.departure.plan
+            plan = harness.drain_state.plan
             assert plan is not None
             loop = asyncio.get_running_loop()
             loop.call_at(plan.last_answer_at - 0.05, time.sleep, 0.6)
@@ -175,17 +174,15 @@
         path_harness.run(scenario, local_node=SHORT_GRACE_NODE)
 
     def test_pipelined_behind_a_slow_one(self) -> None:
-        """Two requests came on one connection before SIGTERM.
+        """A pipelined request is answered before the connection closes.
 
-        The first answer told the caller to use the connection no more, and the
-        connection ended with the second request read and never answered: each
-        answer of an entry that leaves was taken for the last, whatever waited
-        behind it.
+        The first answer of a draining entry closed the connection, though a
+        second request had been read before SIGTERM.
         """
 
         async def scenario(harness: path_harness.PathHarness) -> None:
-            for one in harness.endpoints:
-                one.going.clear()
+            for endpoint in harness.endpoints:
+                endpoint.going.clear()
             reader, writer = await asyncio.open_connection(
                 path_harness.HOST,
                 harness.port,
@@ -197,8 +194,8 @@
             while not harness.received_requests:
                 await asyncio.sleep(0)
             drained = await send_sigterm(harness)
-            for one in harness.endpoints:
-                one.going.set()
+            for endpoint in harness.endpoints:
+                endpoint.going.set()
             answers = await reader.read()
             writer.close()
             self.assertEqual(2, answers.count(b'HTTP/1.1 '))
@@ -209,10 +206,10 @@
 
 
 class DrainAnnouncementTest(testtools.TestCase):
-    """What others and callers are told by an entry that leaves."""
+    """What a draining entry announces to other entries and to callers."""
 
     def test_others_and_callers(self) -> None:
-        """Others hear of it at once, and each answer ends its connection."""
+        """The drain is announced at once, and each answer closes its connection."""
 
         async def scenario(harness: path_harness.PathHarness) -> None:
             peers = NoPeers()
@@ -231,7 +228,7 @@
         path_harness.run(scenario, local_node=SHORT_GRACE_NODE)
 
     def test_when_to_come_back(self) -> None:
-        """At once where another is ready; later where none is."""
+        """The retry delay is shorter if another entry is ready."""
 
         async def scenario(harness: path_harness.PathHarness) -> None:
             drained = await send_sigterm(harness)
@@ -239,8 +236,8 @@
             harness.ready_peers = 1
             beside = await harness.send('/stream/a')
             waits = [
-                float(one.headers.get(b'retry-after') or b'-1')
-                for one in (beside, alone)
+                float(answer.headers.get(b'retry-after') or b'-1')
+                for answer in (beside, alone)
             ]
             self.assertEqual(sorted(waits), waits)
             self.assertLess(waits[0], waits[1])
@@ -252,11 +249,14 @@
     def request_counts(
         self, harness: path_harness.PathHarness
     ) -> tuple[int, int]:
-        """Return the requests taken and refused since SIGTERM."""
-        return harness.departure.accepted_count, harness.departure.refused_count
+        """Return the requests accepted and refused since SIGTERM."""
+        return (
+            harness.drain_state.accepted_count,
+            harness.drain_state.refused_count,
+        )
 
     def test_answered_before_it(self) -> None:
-        """A request that was answered before SIGTERM ends nothing again."""
+        """A request that was answered before SIGTERM does not disturb the drain."""
 
         async def scenario(harness: path_harness.PathHarness) -> None:
             self.assertEqual(200, (await harness.send('/plain/a')).status)
@@ -266,10 +266,10 @@
 
 
 class ListTtlTest(testtools.TestCase):
-    """For how long callers keep a list, and what that means for the end."""
+    """How long callers may keep a list, and the effect on the drain."""
 
     def setUp(self) -> None:
-        """Know nothing yet."""
+        """Create an empty cluster state and a drain state."""
         super().setUp()
         self.cluster = cluster_state.ClusterState(path_harness.NODE)
         self.drain_state = departure.DrainState(path_harness.NODE, self.cluster)
@@ -287,17 +287,17 @@
         )
 
     def test_by_the_routes(self) -> None:
-        """Long requests make short lists."""
+        """Longer route timeouts make the lists expire sooner."""
         self.configure(1, 6)
         short = self.drain_state.list_ttl_seconds(0)
         self.configure(2, 1)
         self.assertLess(short, self.drain_state.list_ttl_seconds(0))
 
     def test_lists_told_before(self) -> None:
-        """An entry told callers long lists, and ended early.
+        """The drain outlasts lists that were sent under older routes.
 
-        By its newest routes lists are short, and by these alone it reckoned
-        when nobody names it any more.
+        An entry ended too early: it computed the expiry of lists by its newest
+        routes alone, though it had sent longer-lived lists before.
         """
         self.configure(1, 1)
         ttl_seconds = self.drain_state.list_ttl_seconds(100)
@@ -306,7 +306,7 @@
         self.assertGreaterEqual(plan.lists_expire_at, 100 + 3 * ttl_seconds)
 
     def test_before_the_first_configuration(self) -> None:
-        """Any request may be long while no route is known."""
+        """Before a configuration is known, lists expire as for long requests."""
         unknown = self.drain_state.list_ttl_seconds(0)
         self.configure(1, 6)
         self.assertLessEqual(unknown, self.drain_state.list_ttl_seconds(0))
--- a/tests/direct/test_path.py
+++ b/tests/direct/test_path.py
@@ -1,4 +1,4 @@
-"""Tests of the path of a request, with endpoints that fail in each way."""
+"""Tests of serving requests with endpoints that fail in different ways."""
 
 from __future__ import annotations
 
@@ -12,10 +12,12 @@
 from tests.direct import path_harness
 
 Fault = direct_endpoint.Fault
-EVENTS = b''.join(b'id: %d\ndata: %d\n\n' % (one, one) for one in range(3))
+EVENTS = b''.join(
+    b'id: %d\ndata: %d\n\n' % (number, number) for number in range(3)
+)
 HOST = path_harness.HOST
 
-#: Targets, what goes wrong, the status for the caller, how often it ran.
+#: Target, faults of the endpoints, status for the caller, number of runs.
 OUTCOMES = (
     ('/stream/a', (), 200, 1),
     ('/stream/a', (Fault.FULL,), 200, 1),
@@ -45,10 +47,10 @@
 
 
 class OutcomeTest(testtools.TestCase):
-    """Each outcome gets the status that is true of it."""
+    """The status that callers get for faults of endpoints."""
 
     def test_table(self) -> None:
-        """Nothing runs twice that must not; 503 means that it never ran."""
+        """No request runs more often than allowed; 503 means that it never ran."""
         for target, faults, status, runs in OUTCOMES:
             story = (target, faults)
 
@@ -59,7 +61,7 @@
                 status: int = status,
                 runs: int = runs,
             ) -> None:
-                harness.fail_first(*faults)
+                harness.set_shared_faults(*faults)
                 answer = await harness.send(target)
                 self.assertEqual(
                     (status, runs),
@@ -74,11 +76,11 @@
                 raise AssertionError(story) from error
 
     def test_answer_is_the_endpoints(self) -> None:
-        """Status, body and stamp come through; an own answer has no stamp."""
+        """An endpoint's stamp is forwarded; answers of the entry have none."""
 
         async def scenario(harness: path_harness.PathHarness) -> None:
             for fault, stamped in ((None, True), (Fault.LOST, False)):
-                harness.fail_first(*([fault] if fault else []))
+                harness.set_shared_faults(*([fault] if fault else []))
                 used = await channel.Channel.connect(HOST, harness.port, 5)
                 used.send(path_harness.request('/once/a'))
                 head = await used.answer_head()
@@ -90,31 +92,37 @@
         path_harness.run(scenario)
 
     def test_stamp_of_the_first(self) -> None:
-        """A stream that is resumed keeps the head of its first endpoint."""
+        """A resumed stream keeps the head of its first endpoint."""
 
         async def scenario(harness: path_harness.PathHarness) -> None:
-            harness.fail_first(Fault.CUT)
+            harness.set_shared_faults(Fault.CUT)
             used = await channel.Channel.connect(HOST, harness.port, 5)
             used.send(path_harness.request('/stream/a'))
             head = await used.answer_head()
-            first = next(one for one in harness.endpoints if one.ran)
+            first = next(
+                endpoint for endpoint in harness.endpoints if endpoint.ran
+            )
             self.assertEqual(
                 b'stamp-%b' % first.id.encode(),
                 head.headers.get(b'x-server-stamp'),
             )
             while await used.read():
                 """Read to the end."""
-            second = next(one for one in harness.endpoints if one is not first)
+            second = next(
+                endpoint
+                for endpoint in harness.endpoints
+                if endpoint is not first
+            )
             resumed = second.ran[0].headers
             self.assertEqual(b'0', resumed.get(b'last-event-id'))
 
         path_harness.run(scenario)
 
     def test_broken_stream_does_not_look_whole(self) -> None:
-        """A stream that can't be resumed ends without its last chunk."""
+        """A stream that can't be resumed ends without the final chunk."""
 
         async def scenario(harness: path_harness.PathHarness) -> None:
-            harness.fail_first(Fault.CUT, Fault.CUT)
+            harness.set_shared_faults(Fault.CUT, Fault.CUT)
             with testtools.ExpectedException(channel.ChannelBrokenError):
                 await harness.send('/stream/once/a')
 
@@ -122,10 +130,10 @@
 
 
 class RefusalTest(testtools.TestCase):
-    """What can't be served is refused at once, and nothing is sent on."""
+    """Requests that can't be served are refused without any attempt."""
 
     def test_table(self) -> None:
-        """Bad ids, deadlines, hosts, routes and keys."""
+        """Invalid ids, timeouts, hosts, routes and keys are refused."""
         table = (
             ('/plain/a', {'X_Attempt_Id': ''}, 400),
             ('/plain/a', {'X_Attempt_Id': 'a' * 300}, 400),
@@ -152,7 +160,7 @@
         path_harness.run(scenario)
 
     def test_starting(self) -> None:
-        """An entry that knows no configuration says so, not 404."""
+        """An entry without a configuration answers 503 instead of 404."""
 
         async def scenario(harness: path_harness.PathHarness) -> None:
             harness.cluster.routing = None
@@ -161,7 +169,7 @@
         path_harness.run(scenario)
 
     def test_no_endpoint(self) -> None:
-        """Without weights, or with all leaving, nothing is sent."""
+        """No attempt is made if all endpoints drain or lack weights."""
 
         async def scenario(harness: path_harness.PathHarness) -> None:
             harness.list_endpoint(
@@ -179,10 +187,10 @@
 
 
 class ServiceTest(testtools.TestCase):
-    """Routes that lead nowhere."""
+    """Routes to services without endpoints."""
 
     def test_unknown_service(self) -> None:
-        """A route to a service that the configuration lacks is refused."""
+        """A request for a service missing in the configuration is refused."""
 
         async def scenario(harness: path_harness.PathHarness) -> None:
             backends = (routing.Backend('nobody', 1),)
@@ -195,13 +203,14 @@
 
 
 class RestartTest(testtools.TestCase):
-    """An endpoint crashes and starts again under its id and address."""
+    """An endpoint crashes and restarts under its id."""
 
     def test_connections_of_the_start_before(self) -> None:
-        """A request that runs once at most came after such a return.
+        """A restarted endpoint gets no request on its old connections.
 
-        It went out on a connection to the process before, which stood still
-        behind a cut, and its caller was told that it may have run.
+        A request that must not run twice was sent on a connection to the
+        previous process, which was unreachable, and its caller got the answer
+        that it may have run.
         """
 
         async def scenario(harness: path_harness.PathHarness) -> None:
@@ -218,39 +227,39 @@
         path_harness.run(scenario, 1)
 
     def test_requests_that_end_there(self) -> None:
-        """A stream of the start before ends after the new one is known.
+        """A stream of the previous start ends after the restart is known.
 
-        Its connection isn't kept, and it isn't counted at the new start.
+        Its connection is not reused, and it is not counted for the new start.
         """
 
         async def scenario(harness: path_harness.PathHarness) -> None:
-            (one,) = harness.endpoints
-            harness.list_endpoint(one, started_ms=1)
-            one.going.clear()
+            (endpoint,) = harness.endpoints
+            harness.list_endpoint(endpoint, started_ms=1)
+            endpoint.going.clear()
             answering = asyncio.create_task(harness.send('/stream/a'))
-            while not one.ran:
+            while not endpoint.ran:
                 await asyncio.sleep(0.01)
-            before = harness.cluster.endpoints.get(one.id)
-            harness.list_endpoint(one, started_ms=2, heartbeat=0)
-            after = harness.cluster.endpoints.get(one.id)
+            before = harness.cluster.endpoints.get(endpoint.id)
+            harness.list_endpoint(endpoint, started_ms=2, heartbeat=0)
+            after = harness.cluster.endpoints.get(endpoint.id)
             assert before is not None
             assert after is not None
             self.assertEqual((1, 0), (before.in_flight, after.in_flight))
-            one.going.set()
+            endpoint.going.set()
             found = await answering
             self.assertEqual((200, EVENTS), (found.status, found.body))
             self.assertEqual((0, 0), (before.in_flight, after.in_flight))
             await harness.send('/plain/a')
-            self.assertEqual(1, len(harness.idle_connections(one.id)))
+            self.assertEqual(1, len(harness.idle_connections(endpoint.id)))
 
         path_harness.run(scenario, 1)
 
 
 class HandedOnTest(testtools.TestCase):
-    """What an endpoint gets of a request."""
+    """What an endpoint receives of a request."""
 
     def test_headers(self) -> None:
-        """The key stays here; team, instance and time are set here."""
+        """The key is removed; team, instance and timeout are set."""
 
         async def scenario(harness: path_harness.PathHarness) -> None:
             await harness.send(
@@ -282,7 +291,7 @@
         path_harness.run(scenario)
 
     def test_route_timeout_bounds_the_deadline(self) -> None:
-        """An endpoint gets no more time than the route allows."""
+        """The timeout sent to an endpoint is at most that of the route."""
 
         async def scenario(harness: path_harness.PathHarness) -> None:
             await harness.send('/plain/a', X_Deadline_Ms='60000')
@@ -296,25 +305,24 @@
 
 
 class ConfigurationTest(testtools.TestCase):
-    """A request keeps what was in force when it came."""
+    """A request keeps the configuration under which it was admitted."""
 
     def test_changes_under_a_stream(self) -> None:
-        """A stream was cut off when its route was dropped.
+        """A stream completes though its route and its key are removed.
 
-        Its route and its key went with new configurations while it was under
-        way; it was allowed when it came, so it ends whole.
+        It was cut off when a new configuration dropped the route.
         """
 
         async def scenario(harness: path_harness.PathHarness) -> None:
-            for one in harness.endpoints:
-                one.going.clear()
+            for endpoint in harness.endpoints:
+                endpoint.going.clear()
             answering = asyncio.create_task(harness.send('/stream/a'))
             while not harness.executed_requests:
                 await asyncio.sleep(0)
             harness.configure(2, path_harness.ROUTES[2:])
             harness.configure(3, ())
-            for one in harness.endpoints:
-                one.going.set()
+            for endpoint in harness.endpoints:
+                endpoint.going.set()
             answer = await answering
             self.assertEqual(200, answer.status)
             self.assertEqual(3, answer.body.count(b'data:'))
@@ -323,7 +331,7 @@
         path_harness.run(scenario)
 
     def test_route_added_later(self) -> None:
-        """Callers of a new route were refused, as if there were none."""
+        """A new route is served as soon as its configuration is in force."""
 
         async def scenario(harness: path_harness.PathHarness) -> None:
             self.assertEqual(404, (await harness.send('/new/a')).status)
@@ -335,18 +343,18 @@
         path_harness.run(scenario)
 
     def test_changes_before_a_repeat(self) -> None:
-        """A resumed stream goes on, too, though its route is gone."""
+        """A stream is resumed even if its route was removed meanwhile."""
 
         async def scenario(harness: path_harness.PathHarness) -> None:
-            harness.fail_first(Fault.CUT)
-            for one in harness.endpoints:
-                one.going.clear()
+            harness.set_shared_faults(Fault.CUT)
+            for endpoint in harness.endpoints:
+                endpoint.going.clear()
             answering = asyncio.create_task(harness.send('/stream/a'))
             while not harness.executed_requests:
                 await asyncio.sleep(0)
             harness.configure(2, ())
-            for one in harness.endpoints:
-                one.going.set()
+            for endpoint in harness.endpoints:
+                endpoint.going.set()
             self.assertEqual(3, (await answering).body.count(b'data:'))
             self.assertEqual(2, len(harness.executed_requests))
 
@@ -354,35 +362,35 @@
 
 
 class TimeTest(testtools.TestCase):
-    """Deadlines, and callers that leave."""
+    """Deadlines, and callers that disconnect."""
 
     def test_timeout(self) -> None:
-        """A request that ran has its final answer when its time is over."""
+        """A request that ran gets its final answer at the deadline."""
 
         async def scenario(harness: path_harness.PathHarness) -> None:
-            harness.fail_first(Fault.MUTE)
+            harness.set_shared_faults(Fault.MUTE)
             self.assertEqual(504, (await harness.send('/short/a')).status)
-            while not any(one.left for one in harness.endpoints):
+            while not any(endpoint.left for endpoint in harness.endpoints):
                 await asyncio.sleep(0)
 
         path_harness.run(scenario)
 
     def test_caller_left(self) -> None:
-        """An endpoint hears of it when the caller closes its connection.
+        """The attempt is aborted when the caller closes its connection.
 
-        Endpoints worked on for callers that had gone, since the end of their
-        connections was only seen when the next event was written.
+        Endpoints continued to work for callers that had disconnected, as the
+        end of a connection was noticed only when the next event was written.
         """
 
         async def scenario(harness: path_harness.PathHarness) -> None:
-            for one in harness.endpoints:
-                one.going.clear()
+            for endpoint in harness.endpoints:
+                endpoint.going.clear()
             used = await channel.Channel.connect(HOST, harness.port, 5)
             used.send(path_harness.request('/stream/a'))
             while not harness.executed_requests:
                 await asyncio.sleep(0)
             used.abort()
-            while not any(one.left for one in harness.endpoints):
+            while not any(endpoint.left for endpoint in harness.endpoints):
                 await asyncio.sleep(0)
             self.assertEqual(1, len(harness.received_requests))
 
@@ -390,17 +398,18 @@
 
 
 class RepeatedDeadlineTest(testtools.TestCase):
-    """A repeat is told what is left, not what there was."""
+    """A retry is sent with the remaining time."""
 
     def test_time_is_used_up(self) -> None:
-        """An endpoint worked on for a caller that had given up.
+        """The second attempt gets only the time that the first one left.
 
-        The first one said nothing for half of the second that the caller
-        waits for, and the second one was told the same time once more.
+        The first endpoint was silent for half of the caller's timeout of one
+        second. The second was sent the full timeout and worked for a caller that
+        had disconnected.
         """
 
         async def scenario(harness: path_harness.PathHarness) -> None:
-            harness.fail_first(Fault.MUTE)
+            harness.set_shared_faults(Fault.MUTE)
             await harness.send('/plain/a', X_Deadline_Ms='1000')
             first, second = sorted(
                 int(request.headers.get(b'x-deadline-ms') or 0)
@@ -414,13 +423,13 @@
 
 
 class LeavingEndpointTest(testtools.TestCase):
-    """An endpoint that leaves gets nothing more."""
+    """A draining endpoint gets no more requests."""
 
     def test_leaves_while_a_connection_is_made(self) -> None:
-        """A request reached an endpoint after it had said that it leaves.
+        """An endpoint that starts to drain during connection setup is skipped.
 
-        It was chosen before that, and the connection took half a second,
-        since its first packet was lost.
+        A request reached a draining endpoint: the endpoint was selected before,
+        and connecting took half a second as the first packet was lost.
         """
 
         async def scenario(harness: path_harness.PathHarness) -> None:
@@ -450,19 +459,19 @@
 
 
 class LoadingTest(testtools.TestCase):
-    """All engines take up a version at once.
+    """All engines load a version at once.
 
-    For a second no engine could be used, and each request was told to come
-    back after two: it came back when the engines were full.
+    For a second no engine was usable, and each request was refused with a retry
+    after two seconds. The retries arrived when the engines were full.
     """
 
     def test_waits_for_an_engine(self) -> None:
-        """A request waits for an engine that says that it loads."""
+        """A request waits for an engine that is loading."""
 
         async def scenario(harness: path_harness.PathHarness) -> None:
-            for one in harness.endpoints:
+            for endpoint in harness.endpoints:
                 harness.list_endpoint(
-                    one,
+                    endpoint,
                     heartbeat=98,
                     weights=endpoints.Weights(2, 0, 0),
                 )
@@ -480,12 +489,12 @@
         path_harness.run(scenario)
 
     def test_not_for_ever(self) -> None:
-        """It is refused when none is there after all; it never ran."""
+        """A request is refused without a run if the engines keep loading."""
 
         async def scenario(harness: path_harness.PathHarness) -> None:
-            for one in harness.endpoints:
+            for endpoint in harness.endpoints:
                 harness.list_endpoint(
-                    one,
+                    endpoint,
                     heartbeat=98,
                     weights=endpoints.Weights(2, 0, 0),
                 )
@@ -496,10 +505,10 @@
 
 
 class VersionTest(testtools.TestCase):
-    """Requests begin on a version only while it may be used."""
+    """Requests start on a version only while it may be used."""
 
     def test_only_the_newest_after_the_bound(self) -> None:
-        """After the bound, engines with older weights get nothing."""
+        """After the bound, engines with older weights get no requests."""
 
         async def scenario(harness: path_harness.PathHarness) -> None:
             now = asyncio.get_running_loop().time()
@@ -518,37 +527,38 @@
         path_harness.run(scenario)
 
     def test_given_up_before_the_bound(self) -> None:
-        """A request waited too long in the queue of an old engine.
+        """A request that has not started is abandoned before the bound.
 
-        It was sent 1.2 seconds before the bound, the queue took longer than
-        estimated, and its first token was made on the old weights after it.
+        A request was sent to an engine with old weights 1.2 seconds before the
+        bound. Its queue took longer than estimated, and the first token was
+        produced on the old weights after the bound.
         """
 
         async def scenario(harness: path_harness.PathHarness) -> None:
             now = asyncio.get_running_loop().time()
-            harness.fail_first(Fault.MUTE, Fault.MUTE)
+            harness.set_shared_faults(Fault.MUTE, Fault.MUTE)
             harness.cluster.named(
                 'm', 2, now - path_harness.DUTIES.version + 0.9
             )
             answer = await harness.send('/stream/a')
             self.assertEqual(502, answer.status)
-            while not any(one.left for one in harness.endpoints):
+            while not any(endpoint.left for endpoint in harness.endpoints):
                 await asyncio.sleep(0)
 
         path_harness.run(scenario)
 
     def test_resumed_is_given_up_before_the_bound(self) -> None:
-        """A stream that was sent on began on old weights after their bound.
+        """A resumed stream that has not started is abandoned, too.
 
-        Its first engine crashed shortly before the bound. The second one had
-        old weights, too, and a queue; it began there after the bound, since
-        the time to begin only held for what the caller had no event of yet.
+        The first engine crashed shortly before the bound. The second also had
+        old weights, and a queue. The stream started there after the bound, as
+        the start deadline applied only until the caller had an event.
         """
 
         async def scenario(harness: path_harness.PathHarness) -> None:
             loop = asyncio.get_running_loop()
             now = loop.time()
-            harness.fail_first(Fault.CUT, Fault.MUTE)
+            harness.set_shared_faults(Fault.CUT, Fault.MUTE)
             harness.cluster.named(
                 'm', 2, now - path_harness.DUTIES.version + 0.9
             )
@@ -560,10 +570,11 @@
         path_harness.run(scenario)
 
     def test_wait_before_the_bound(self) -> None:
-        """Requests were sent to a queue in which the bound passed.
+        """No request is queued where the bound would pass while it waits.
 
-        They were sent to engines with old weights before the bound, where 25
-        others waited, and were given up there, or began after it.
+        Requests were sent to engines with old weights behind 25 waiting
+        requests shortly before the bound, and were abandoned there or started
+        after it.
         """
 
         async def scenario(harness: path_harness.PathHarness) -> None:
@@ -581,11 +592,11 @@
         path_harness.run(scenario)
 
     def test_wait_of_a_repeat_before_the_bound(self) -> None:
-        """What a crashed engine ran was sent on to such a queue."""
+        """A stream of a crashed engine is not resumed in such a queue."""
 
         async def scenario(harness: path_harness.PathHarness) -> None:
             now = asyncio.get_running_loop().time()
-            harness.fail_first(Fault.CUT)
+            harness.set_shared_faults(Fault.CUT)
             harness.cluster.named(
                 'm', 2, now - path_harness.DUTIES.version + 0.9
             )
--- a/tests/direct/test_start.py
+++ b/tests/direct/test_start.py
@@ -1,4 +1,4 @@
-"""Tests of many processes that start at the same moment."""
+"""Tests of many processes that start at once."""
 
 from __future__ import annotations
 
@@ -8,27 +8,27 @@
 
 from standins import machines, weights_origin
 
-#: Entries that start together; one of them is the seed of the others.
+#: Number of entries that start together; one of them is the others' seed.
 ENTRY_COUNT = 12
-#: Processes that read the list of endpoints from the store at most: the seed,
-#: and one that nobody had told in time. Each asks twice, for the end first.
+#: Maximum number of processes that read the list of endpoints from the store:
+#: the seed, and one that received no records in time. Each reads twice, first to
+#: find the end of the list.
 MAX_READERS = 2
 CALLS_PER_READER = 2
-#: Seconds until all are ready.
+#: Seconds within which all entries are ready.
 READY_SECONDS = 2
 
 
 class StartTest(testtools.TestCase):
-    """All processes of a system were killed and start again."""
+    """All processes of a system restart at once."""
 
     def test_few_read_the_store(self) -> None:
-        """Entries of far regions were ready after four seconds.
+        """Few entries read the list of endpoints; the others copy it from them.
 
-        All processes of a system of 300 were killed. Each read the whole list
-        of endpoints from the store, twice, and those of a region share one
-        link to the store: it was full for seconds, and half of the requests
-        were refused meanwhile. What one of them reads the others can have
-        from it.
+        After a restart of a system of 300 processes, entries of remote regions
+        were ready only after four seconds. Each process read the whole list from
+        the store twice, over one link per region. The link was full for seconds,
+        and half of the requests were refused meanwhile.
         """
 
         async def scenario() -> None:
--- a/tests/observability/test_causes.py
+++ b/tests/observability/test_causes.py
@@ -80,14 +80,14 @@
     """Return a play in which endpoints fail, one after the other."""
 
     async def play(world: World) -> None:
-        world.fail_first(*faults)
+        world.set_shared_faults(*faults)
         await asked(world, target, **headers)
 
     return play
 
 
 async def answered(world: World) -> None:
-    world.fail_first(Fault.CUT)
+    world.set_shared_faults(Fault.CUT)
     await asked(world, '/stream/a')
 
 
@@ -146,12 +146,12 @@
     """The entry gives what it has in progress a final answer in time."""
     hold(world)
     await connected(world, '/stream/a')
-    world.path.finish_by(asyncio.get_running_loop().time())
+    world.request_handler.finish_by(asyncio.get_running_loop().time())
     await asyncio.sleep(0.01)
 
 
 async def leaving(world: World) -> None:
-    world.departure.start(asyncio.get_running_loop().time())
+    world.drain_state.start(asyncio.get_running_loop().time())
     await asked(world, '/stream/a')
 
 
@@ -275,7 +275,7 @@
 
 
 async def own_fault(world: World) -> None:
-    world.path._sender = FaultySender()
+    world.request_handler._sender = FaultySender()
     await asked(world, '/plain/a')
 
 
@@ -351,7 +351,7 @@
     (
         failing('/stream/once/a', Fault.GAP),
         Cause.ENDPOINT_SPOILT,
-        'event 2 follows event 0',
+        '2 is not the event after 0',
     ),
     (failing('/once/a', Fault.ERROR), Cause.ENDPOINT_FAILED, 'with 500'),
     (
