--- a/clementinepass/direct/departure.py
+++ b/clementinepass/direct/departure.py
@@ -55,9 +55,9 @@
         """
         configuration = self._cluster.routing
         timeouts = () if configuration is None else configuration.timeouts
-        duties = self._local_node.duties
-        acceptance_seconds = decisions.accepting_seconds(duties.grace, timeouts)
-        return decisions.list_policy(acceptance_seconds, duties.longest_offer)
+        limits = self._local_node.duties
+        acceptance_seconds = decisions.accepting_seconds(limits.grace, timeouts)
+        return decisions.list_policy(acceptance_seconds, limits.longest_offer)
 
     def list_ttl_seconds(self, now: float) -> float:
         """Return how long callers may keep a list that they receive now."""
--- a/clementinepass/direct/path.py
+++ b/clementinepass/direct/path.py
@@ -291,11 +291,11 @@
     def _retry_budget(self, service: str) -> window_budget.WindowBudget:
         budget = self._retry_budgets_by_service.get(service)
         if budget is None:
-            duties = self._local_node.duties
+            limits = self._local_node.duties
             budget = window_budget.WindowBudget(
-                duties.budget_share,
-                duties.budget_surplus,
-                duties.budget_window,
+                limits.budget_share,
+                limits.budget_surplus,
+                limits.budget_window,
             )
             self._retry_budgets_by_service[service] = budget
         return budget
--- a/tests/direct/test_endpoint_loads.py
+++ b/tests/direct/test_endpoint_loads.py
@@ -65,7 +65,7 @@
         """Return the requests at the engine."""
         return self.cluster.loads.total(self.engine, NOW + after)
 
-    def test_goes_before_counts(self) -> None:
+    def test_report_replaces_counts(self) -> None:
         """A report replaces the counts of other entries, which may be old."""
         self.assertEqual(9, self.total())
         self.cluster.heard_load(HOST, load(3, 2), NOW)
@@ -73,7 +73,7 @@
         self.assertEqual(5, self.total())
         self.assertEqual(2, self.cluster.loads.unstarted(self.engine, NOW))
 
-    def test_sent_since(self) -> None:
+    def test_sent_since_report(self) -> None:
         """Requests sent since the last report are added until the next."""
         self.cluster.heard_load(HOST, load(3, 0), NOW)
         for after in (0.05, 0.09):
@@ -83,20 +83,20 @@
         self.cluster.heard_load(HOST, load(4, 0), NOW + 0.2)
         self.assertEqual(4, self.total())
 
-    def test_sent_meanwhile(self) -> None:
+    def test_sent_shortly_before_report(self) -> None:
         """A request sent shortly before a report arrives is added to it."""
         self.engine.reported_load.record_sent(NOW)
         self.cluster.heard_load(HOST, load(3, 0), NOW + 0.01)
 
         self.assertEqual(4, self.total())
 
-    def test_agent_silent(self) -> None:
+    def test_report_of_killed_agent(self) -> None:
         """The report of a killed agent expires."""
         self.cluster.heard_load(HOST, load(0, 0), NOW)
         self.assertEqual(0, self.total(after=0.9))
         self.assertEqual(9, self.total(after=1.1))
 
-    def test_some_hear_it(self) -> None:
+    def test_expired_report_is_lower_bound(self) -> None:
         """An expired report remains a lower bound for a while.
 
         On a full link reports reached some entries only, which then announced no
@@ -107,7 +107,7 @@
         self.assertEqual(13, self.total(after=1.1))
         self.assertEqual(0, self.total(after=5.1))
 
-    def test_start_before(self) -> None:
+    def test_report_of_previous_start(self) -> None:
         """A late report of the engine's previous start is ignored."""
         self.cluster.listed(listing(started=5)._replace(heartbeat=2))
         (self.engine,) = self.cluster.endpoints
@@ -115,7 +115,7 @@
 
         self.assertEqual(0, self.engine.reported_load.total)
 
-    def test_told_to_others(self) -> None:
+    def test_announced_counts(self) -> None:
         """Entries announce only counts that no agent reports."""
         self.engine.in_flight = 2
         self.assertEqual({'i-1': 2}, self.cluster.in_flight_by_endpoint(NOW))
@@ -126,7 +126,7 @@
             {'i-1': 2}, self.cluster.in_flight_by_endpoint(NOW + 1.1)
         )
 
-    def test_gone_from_the_list(self) -> None:
+    def test_shared_address(self) -> None:
         """Two endpoints may list one address until the first is removed."""
         other = listing()._replace(id='i-2', service='t')
         self.cluster.endpoints.apply_listing(other)
@@ -184,19 +184,19 @@
         ips = self.subscribing.due(NOW + after)
         return {int(ip.rpartition('.')[2]) for ip in ips}
 
-    def test_usable_engines(self) -> None:
+    def test_engines_of_other_domains(self) -> None:
         """Of other domains, only engines with weights are subscribed to."""
-        far = {number for number in self.due_engines() if number >= 10}
+        remote = {number for number in self.due_engines() if number >= 10}
 
-        self.assertEqual(7, len(far))
-        self.assertEqual({1}, {number % 2 for number in far})
+        self.assertEqual(7, len(remote))
+        self.assertEqual({1}, {number % 2 for number in remote})
 
-    def test_near_engines_without_weights(self) -> None:
+    def test_engines_of_local_domain(self) -> None:
         """Agents of new engines in the local domain are subscribed to at once."""
-        near = {number for number in self.due_engines() if number < 10}
-        self.assertEqual(set(range(10)), near)
+        local = {number for number in self.due_engines() if number < 10}
+        self.assertEqual(set(range(10)), local)
 
-    def test_renewed(self) -> None:
+    def test_renewal(self) -> None:
         """A subscription is renewed each second; a new one is due at once."""
         first = self.due_engines()
         self.assertEqual(set(), self.due_engines(after=0.9))
--- a/tests/direct/test_endpoints.py
+++ b/tests/direct/test_endpoints.py
@@ -52,7 +52,7 @@
             for endpoint in self.endpoint_table.usable_for_service('pool', now)
         ]
 
-    def test_replaced_at_its_address(self) -> None:
+    def test_replaced_at_address(self) -> None:
         """The newest record at an address replaces older ones.
 
         After a power loss the list named the previous endpoints as well. Each
@@ -64,14 +64,14 @@
         self.endpoint_table.apply_listing(listing(id='i-0', record_offset=3))
         self.assertEqual(['i-2'], self.usable_ids())
 
-    def test_address_named_by_another_service(self) -> None:
+    def test_address_in_another_service(self) -> None:
         """A wrong record does not replace an endpoint of another service."""
         self.endpoint_table.apply_listing(
             listing(id='i-2', service='other', record_offset=9)
         )
         self.assertEqual(['i-1'], self.usable_ids())
 
-    def test_newer_word_at_an_address(self) -> None:
+    def test_newest_record_at_address(self) -> None:
         """The last record at an address counts, also without a start time."""
         self.endpoint_table.apply_listing(listing(id='i-2', record_offset=9))
         self.endpoint_table.apply_listing(
@@ -79,7 +79,7 @@
         )
         self.assertEqual(['i-1'], self.usable_ids())
 
-    def test_replacement_refuted(self) -> None:
+    def test_replacement_misdirected(self) -> None:
         """A misdirected endpoint replaces no other at its address."""
         self.endpoint_table.apply_listing(listing(id='i-2', record_offset=9))
         replacement = self.endpoint_table.get('i-2')
@@ -95,7 +95,7 @@
         )
         self.assertEqual({'i-1', 'i-2'}, set(self.usable_ids()))
 
-    def test_replacement_gone(self) -> None:
+    def test_replacement_removed(self) -> None:
         """An endpoint is usable again if its replacement is removed."""
         self.endpoint_table.apply_listing(listing(id='i-2', record_offset=9))
         self.endpoint_table.mark_removed('i-2', 5, 0)
@@ -122,7 +122,7 @@
         endpoint.active_streams = 1
         self.assertFalse(endpoint.is_stalled(12))
 
-    def test_old_word(self) -> None:
+    def test_late_heartbeat(self) -> None:
         """A late record from before the drain is ignored.
 
         Requests were sent to an endpoint four seconds after it announced its
@@ -134,7 +134,7 @@
         )
         self.assertEqual([], self.usable_ids())
 
-    def test_leaving_overtaken(self) -> None:
+    def test_late_drain_record(self) -> None:
         """A drain counts even if its record arrives after a later heartbeat.
 
         A request was sent to an endpoint 2.3 seconds after the store had the
@@ -151,7 +151,7 @@
         self.endpoint_table.apply_listing(listing(heartbeat=9))
         self.assertEqual([], self.usable_ids())
 
-    def test_leaving_is_final(self) -> None:
+    def test_drain_is_final(self) -> None:
         """A draining endpoint never becomes usable again while it runs.
 
         Without a start time, a restart cannot be distinguished from a late
@@ -161,7 +161,7 @@
         self.endpoint_table.apply_listing(listing(heartbeat=8))
         self.assertEqual([], self.usable_ids())
 
-    def test_lapsed_while_the_store_was_away(self) -> None:
+    def test_record_expired_during_outage(self) -> None:
         """Endpoints whose records expired in an outage remain usable.
 
         All endpoints vanished from the list when the store came back. Requests
@@ -174,12 +174,12 @@
         self.endpoint_table.apply_listing(listing(heartbeat=1))
         self.assertEqual(['i-1'], self.usable_ids(12))
 
-    def test_gone_at_once(self) -> None:
+    def test_removed_without_grace(self) -> None:
         """An endpoint that is removed without an outage is unusable at once."""
         self.endpoint_table.mark_removed('i-1', now=10, grace=0)
         self.assertEqual([], self.usable_ids(10))
 
-    def test_forgotten(self) -> None:
+    def test_kept_while_in_flight(self) -> None:
         """A removed endpoint is kept while it has a request in flight."""
         endpoint = self.endpoint_table.get('i-1')
         assert endpoint is not None
@@ -190,7 +190,7 @@
         self.assertEqual([endpoint], self.endpoint_table.remove_expired(20))
         self.assertIsNone(self.endpoint_table.get('i-1'))
 
-    def test_layers(self) -> None:
+    def test_has_weights(self) -> None:
         """Only complete weights, of the version or a newer one, are usable."""
         table = (
             (endpoints.Weights(0, 0, 0), 0, False),
@@ -231,7 +231,7 @@
         assert endpoint is not None
         return endpoint.weights
 
-    def test_back_after_leaving(self) -> None:
+    def test_usable_after_drain(self) -> None:
         """An endpoint that drained is usable after its restart.
 
         It was never used again: its heartbeat numbers restarted, so that its
@@ -248,7 +248,7 @@
         )
         self.assertEqual(['i-1'], self.usable_ids())
 
-    def test_late_word_of_the_start_before(self) -> None:
+    def test_late_record_of_previous_start(self) -> None:
         """A late record of the previous start is ignored.
 
         Its heartbeat number is higher. It was applied, and the endpoint seemed
@@ -274,7 +274,7 @@
         )
         self.assertEqual([], self.usable_ids(10))
 
-    def test_nothing_is_kept(self) -> None:
+    def test_state_of_previous_start_is_dropped(self) -> None:
         """All that was known of the previous start is dropped.
 
         The previous start was misdirected, its streams had stalled and requests
@@ -314,7 +314,7 @@
         self.endpoint_table.mark_removed('i-1', now=10, grace=0)
         self.assertEqual(1, len(self.endpoint_table.remove_expired(20)))
 
-    def test_untold_start(self) -> None:
+    def test_unknown_start(self) -> None:
         """Records without a start time are ordered by their heartbeat."""
         self.assertFalse(
             self.endpoint_table.apply_listing(listing(heartbeat=49))
@@ -328,16 +328,16 @@
             (1000, 8), (endpoint.listing.started_ms, endpoint.listing.slots)
         )
 
-    def test_any_words_in_any_order(self) -> None:
+    def test_random_records(self) -> None:
         """In any order of records, starts never go back and drains are final.
 
         The records are of three starts, some in another service, mixed with
         removals and malformed records.
         """
         for seed in range(300):
-            self.play(random.Random(seed), seed)
+            self.apply_random_records(random.Random(seed), seed)
 
-    def play(self, rng: random.Random, seed: int) -> None:
+    def apply_random_records(self, rng: random.Random, seed: int) -> None:
         """Apply random records and check the table after each."""
         known = endpoints.Endpoints()
         newest = 0
--- a/tests/direct/test_events.py
+++ b/tests/direct/test_events.py
@@ -17,11 +17,11 @@
     )
 
 
-class SplitterTest(testtools.TestCase):
+class EventSplitterTest(testtools.TestCase):
     """Only complete events are yielded, each once and in order."""
 
     @given(st.integers(1, 20), st.lists(st.integers(1, 30), max_size=40))
-    def test_any_cuts(self, count: int, cuts: list[int]) -> None:
+    def test_any_split(self, count: int, cuts: list[int]) -> None:
         """The events do not depend on how the bytes are split."""
         payload = stream(0, count)
         splitter = events.EventSplitter(None)
@@ -37,7 +37,7 @@
         self.assertEqual(count - 1, splitter.last_id)
         self.assertFalse(splitter.has_partial_event)
 
-    def test_crash_in_an_event(self) -> None:
+    def test_crash_within_event(self) -> None:
         """An incomplete event of a crashed endpoint is not forwarded.
 
         Half of an event was forwarded before the stream was resumed, so that the
@@ -49,7 +49,7 @@
         self.assertTrue(splitter.has_partial_event)
         self.assertEqual(1, splitter.last_id)
 
-    def test_gap_and_repeat(self) -> None:
+    def test_missing_and_repeated_events(self) -> None:
         """Missing or repeated events raise an error."""
         for following in (2, 0, 5):
             splitter = events.EventSplitter(None)
@@ -57,7 +57,7 @@
             with testtools.ExpectedException(events.StreamBrokenError):
                 list(splitter.feed(stream(following, 1)))
 
-    def test_good_events_before_a_gap(self) -> None:
+    def test_event_before_gap(self) -> None:
         """An event before a gap in the same read is yielded.
 
         It was lost: it counted as forwarded when the gap was found, and the
@@ -80,7 +80,7 @@
         with testtools.ExpectedException(events.StreamBrokenError):
             list(other.feed(stream(7, 1)))
 
-    def test_other_line_ends(self) -> None:
+    def test_line_endings(self) -> None:
         """Lines may end with LF or CRLF."""
         splitter = events.EventSplitter(None)
         found = splitter.feed(b'id: 0\r\ndata: a\r\n\r\n')
--- a/tests/direct/test_leaving.py
+++ b/tests/direct/test_leaving.py
@@ -81,7 +81,7 @@
     with the time that they had left.
     """
 
-    def test_stream_that_outlives_the_entry(self) -> None:
+    def test_stream_that_may_outlast_the_entry(self) -> None:
         """A stream that may outlast the entry is refused without a run."""
 
         async def scenario(harness: path_harness.PathHarness) -> None:
@@ -115,7 +115,7 @@
 
         path_harness.run(scenario, local_node=SHORT_GRACE_NODE)
 
-    def test_final_answer_before_the_end(self) -> None:
+    def test_final_answer_before_shutdown(self) -> None:
         """An unanswered request gets its final answer before the shutdown.
 
         It was cut off, and its caller could not tell whether it had run.
@@ -133,7 +133,7 @@
 
         path_harness.run(scenario, local_node=SHORT_GRACE_NODE)
 
-    def test_ends_early(self) -> None:
+    def test_idle_entry_ends_early(self) -> None:
         """An idle entry ends long before its grace period does.
 
         All entries stayed for nine tenths of the grace period, even if idle, so
@@ -150,7 +150,7 @@
 
         path_harness.run(scenario, local_node=LONG_GRACE_NODE)
 
-    def test_held_up_at_the_end(self) -> None:
+    def test_process_delayed_at_the_end(self) -> None:
         """Final answers are sent even if the process is delayed at their time.
 
         The process was delayed until its end, and cut off its callers before
@@ -173,7 +173,7 @@
 
         path_harness.run(scenario, local_node=SHORT_GRACE_NODE)
 
-    def test_pipelined_behind_a_slow_one(self) -> None:
+    def test_pipelined_request(self) -> None:
         """A pipelined request is answered before the connection closes.
 
         The first answer of a draining entry closed the connection, though a
@@ -208,7 +208,7 @@
 class DrainAnnouncementTest(testtools.TestCase):
     """What a draining entry announces to other entries and to callers."""
 
-    def test_others_and_callers(self) -> None:
+    def test_peers_and_callers(self) -> None:
         """The drain is announced at once, and each answer closes its connection."""
 
         async def scenario(harness: path_harness.PathHarness) -> None:
@@ -227,7 +227,7 @@
 
         path_harness.run(scenario, local_node=SHORT_GRACE_NODE)
 
-    def test_when_to_come_back(self) -> None:
+    def test_retry_after(self) -> None:
         """The retry delay is shorter if another entry is ready."""
 
         async def scenario(harness: path_harness.PathHarness) -> None:
@@ -255,7 +255,7 @@
             harness.drain_state.refused_count,
         )
 
-    def test_answered_before_it(self) -> None:
+    def test_answered_before_sigterm(self) -> None:
         """A request that was answered before SIGTERM does not disturb the drain."""
 
         async def scenario(harness: path_harness.PathHarness) -> None:
@@ -286,14 +286,14 @@
             ),
         )
 
-    def test_by_the_routes(self) -> None:
+    def test_ttl_by_route_timeouts(self) -> None:
         """Longer route timeouts make the lists expire sooner."""
         self.configure(1, 6)
         short = self.drain_state.list_ttl_seconds(0)
         self.configure(2, 1)
         self.assertLess(short, self.drain_state.list_ttl_seconds(0))
 
-    def test_lists_told_before(self) -> None:
+    def test_lists_sent_before(self) -> None:
         """The drain outlasts lists that were sent under older routes.
 
         An entry ended too early: it computed the expiry of lists by its newest
@@ -305,7 +305,7 @@
         plan = self.drain_state.start(100)
         self.assertGreaterEqual(plan.lists_expire_at, 100 + 3 * ttl_seconds)
 
-    def test_before_the_first_configuration(self) -> None:
+    def test_without_configuration(self) -> None:
         """Before a configuration is known, lists expire as for long requests."""
         unknown = self.drain_state.list_ttl_seconds(0)
         self.configure(1, 6)
--- a/tests/direct/test_path.py
+++ b/tests/direct/test_path.py
@@ -46,10 +46,10 @@
 )
 
 
-class OutcomeTest(testtools.TestCase):
+class FaultOutcomeTest(testtools.TestCase):
     """The status that callers get for faults of endpoints."""
 
-    def test_table(self) -> None:
+    def test_status_and_runs(self) -> None:
         """No request runs more often than allowed; 503 means that it never ran."""
         for target, faults, status, runs in OUTCOMES:
             story = (target, faults)
@@ -75,7 +75,7 @@
             except Exception as error:
                 raise AssertionError(story) from error
 
-    def test_answer_is_the_endpoints(self) -> None:
+    def test_stamp_only_of_endpoints(self) -> None:
         """An endpoint's stamp is forwarded; answers of the entry have none."""
 
         async def scenario(harness: path_harness.PathHarness) -> None:
@@ -91,7 +91,7 @@
 
         path_harness.run(scenario)
 
-    def test_stamp_of_the_first(self) -> None:
+    def test_resumed_stream_keeps_first_head(self) -> None:
         """A resumed stream keeps the head of its first endpoint."""
 
         async def scenario(harness: path_harness.PathHarness) -> None:
@@ -118,7 +118,7 @@
 
         path_harness.run(scenario)
 
-    def test_broken_stream_does_not_look_whole(self) -> None:
+    def test_broken_stream_has_no_last_chunk(self) -> None:
         """A stream that can't be resumed ends without the final chunk."""
 
         async def scenario(harness: path_harness.PathHarness) -> None:
@@ -132,7 +132,7 @@
 class RefusalTest(testtools.TestCase):
     """Requests that can't be served are refused without any attempt."""
 
-    def test_table(self) -> None:
+    def test_invalid_requests(self) -> None:
         """Invalid ids, timeouts, hosts, routes and keys are refused."""
         table = (
             ('/plain/a', {'X_Attempt_Id': ''}, 400),
@@ -159,7 +159,7 @@
 
         path_harness.run(scenario)
 
-    def test_starting(self) -> None:
+    def test_without_configuration(self) -> None:
         """An entry without a configuration answers 503 instead of 404."""
 
         async def scenario(harness: path_harness.PathHarness) -> None:
@@ -168,7 +168,7 @@
 
         path_harness.run(scenario)
 
-    def test_no_endpoint(self) -> None:
+    def test_no_usable_endpoint(self) -> None:
         """No attempt is made if all endpoints drain or lack weights."""
 
         async def scenario(harness: path_harness.PathHarness) -> None:
@@ -205,7 +205,7 @@
 class RestartTest(testtools.TestCase):
     """An endpoint crashes and restarts under its id."""
 
-    def test_connections_of_the_start_before(self) -> None:
+    def test_old_connections_are_not_reused(self) -> None:
         """A restarted endpoint gets no request on its old connections.
 
         A request that must not run twice was sent on a connection to the
@@ -226,7 +226,7 @@
 
         path_harness.run(scenario, 1)
 
-    def test_requests_that_end_there(self) -> None:
+    def test_stream_of_previous_start(self) -> None:
         """A stream of the previous start ends after the restart is known.
 
         Its connection is not reused, and it is not counted for the new start.
@@ -255,7 +255,7 @@
         path_harness.run(scenario, 1)
 
 
-class HandedOnTest(testtools.TestCase):
+class ForwardedRequestTest(testtools.TestCase):
     """What an endpoint receives of a request."""
 
     def test_headers(self) -> None:
@@ -307,7 +307,7 @@
 class ConfigurationTest(testtools.TestCase):
     """A request keeps the configuration under which it was admitted."""
 
-    def test_changes_under_a_stream(self) -> None:
+    def test_route_removed_during_stream(self) -> None:
         """A stream completes though its route and its key are removed.
 
         It was cut off when a new configuration dropped the route.
@@ -342,7 +342,7 @@
 
         path_harness.run(scenario)
 
-    def test_changes_before_a_repeat(self) -> None:
+    def test_route_removed_before_retry(self) -> None:
         """A stream is resumed even if its route was removed meanwhile."""
 
         async def scenario(harness: path_harness.PathHarness) -> None:
@@ -361,7 +361,7 @@
         path_harness.run(scenario)
 
 
-class TimeTest(testtools.TestCase):
+class DeadlineTest(testtools.TestCase):
     """Deadlines, and callers that disconnect."""
 
     def test_timeout(self) -> None:
@@ -375,7 +375,7 @@
 
         path_harness.run(scenario)
 
-    def test_caller_left(self) -> None:
+    def test_caller_disconnects(self) -> None:
         """The attempt is aborted when the caller closes its connection.
 
         Endpoints continued to work for callers that had disconnected, as the
@@ -397,10 +397,10 @@
         path_harness.run(scenario)
 
 
-class RepeatedDeadlineTest(testtools.TestCase):
+class RetryDeadlineTest(testtools.TestCase):
     """A retry is sent with the remaining time."""
 
-    def test_time_is_used_up(self) -> None:
+    def test_retry_gets_remaining_time(self) -> None:
         """The second attempt gets only the time that the first one left.
 
         The first endpoint was silent for half of the caller's timeout of one
@@ -422,10 +422,10 @@
         path_harness.run(scenario)
 
 
-class LeavingEndpointTest(testtools.TestCase):
+class DrainingEndpointTest(testtools.TestCase):
     """A draining endpoint gets no more requests."""
 
-    def test_leaves_while_a_connection_is_made(self) -> None:
+    def test_drains_during_connection_setup(self) -> None:
         """An endpoint that starts to drain during connection setup is skipped.
 
         A request reached a draining endpoint: the endpoint was selected before,
@@ -488,7 +488,7 @@
 
         path_harness.run(scenario)
 
-    def test_not_for_ever(self) -> None:
+    def test_wait_is_limited(self) -> None:
         """A request is refused without a run if the engines keep loading."""
 
         async def scenario(harness: path_harness.PathHarness) -> None:
@@ -507,7 +507,7 @@
 class VersionTest(testtools.TestCase):
     """Requests start on a version only while it may be used."""
 
-    def test_only_the_newest_after_the_bound(self) -> None:
+    def test_only_newest_version_after_bound(self) -> None:
         """After the bound, engines with older weights get no requests."""
 
         async def scenario(harness: path_harness.PathHarness) -> None:
@@ -526,7 +526,7 @@
 
         path_harness.run(scenario)
 
-    def test_given_up_before_the_bound(self) -> None:
+    def test_abandoned_before_bound(self) -> None:
         """A request that has not started is abandoned before the bound.
 
         A request was sent to an engine with old weights 1.2 seconds before the
@@ -547,7 +547,7 @@
 
         path_harness.run(scenario)
 
-    def test_resumed_is_given_up_before_the_bound(self) -> None:
+    def test_resumed_stream_abandoned_before_bound(self) -> None:
         """A resumed stream that has not started is abandoned, too.
 
         The first engine crashed shortly before the bound. The second also had
@@ -569,7 +569,7 @@
 
         path_harness.run(scenario)
 
-    def test_wait_before_the_bound(self) -> None:
+    def test_not_queued_beyond_bound(self) -> None:
         """No request is queued where the bound would pass while it waits.
 
         Requests were sent to engines with old weights behind 25 waiting
@@ -591,7 +591,7 @@
 
         path_harness.run(scenario)
 
-    def test_wait_of_a_repeat_before_the_bound(self) -> None:
+    def test_retry_not_queued_beyond_bound(self) -> None:
         """A stream of a crashed engine is not resumed in such a queue."""
 
         async def scenario(harness: path_harness.PathHarness) -> None:
--- a/tests/direct/test_start.py
+++ b/tests/direct/test_start.py
@@ -22,7 +22,7 @@
 class StartTest(testtools.TestCase):
     """All processes of a system restart at once."""
 
-    def test_few_read_the_store(self) -> None:
+    def test_few_entries_read_the_store(self) -> None:
         """Few entries read the list of endpoints; the others copy it from them.
 
         After a restart of a system of 300 processes, entries of remote regions
