--- a/clementinepass/direct/attempt.py
+++ b/clementinepass/direct/attempt.py
@@ -117,7 +117,7 @@
         endpoint: endpoints.Endpoint,
         attempt: outcome.Attempt,
     ) -> serving.AttemptResult:
-        connections = self._pool(admitted, endpoint)
+        connections = self._get_pool(admitted, endpoint)
         admitted.start_deadline = self._start_deadline(admitted, endpoint)
         is_repeatable = admitted.route.is_repeatable
         try:
@@ -146,7 +146,7 @@
             return serving.AttemptResult.BROKEN
         except BaseException:
             # The caller has disconnected or the deadline has passed. Without
-            # the abort the endpoint would continue to work for nobody.
+            # the abort the endpoint would continue to work on the request.
             connection.abort()
             raise
         finally:
@@ -362,7 +362,7 @@
             endpoint.is_misdirected = True
         self._log.log_misdirected(admitted, endpoint, decoded_head.instance)
 
-    def _pool(
+    def _get_pool(
         self,
         admitted: serving.AdmittedRequest,
         endpoint: endpoints.Endpoint,
--- a/clementinepass/direct/endpoints.py
+++ b/clementinepass/direct/endpoints.py
@@ -82,8 +82,8 @@
     record_offset: int = 0
 
     @property
-    def host(self) -> str:
-        """Return the IP address."""
+    def ip(self) -> str:
+        """Return the IP address of the endpoint."""
         return self.address.rpartition(':')[0]
 
     @property
@@ -223,10 +223,10 @@
         """Tell whether the endpoint sends nothing on its active streams.
 
         If an instance freezes for four seconds, its requests are abandoned one
-        by one after more than a second each, and three must fail before the
-        endpoint is ejected. Until then it looks like the emptiest endpoint and
-        attracts more requests. Requests that have not started prove nothing, as
-        they may wait behind those of other entries.
+        by one after more than a second each. Until three of them are, it looks
+        like the emptiest endpoint and attracts more requests. Requests that
+        have not started prove nothing, as they may wait behind those of other
+        entries.
         """
         is_silent = now - self.last_received_at > _STALLED_SECONDS
         return is_silent and self.active_streams >= _MIN_STALLED_STREAMS
@@ -247,12 +247,12 @@
 class Endpoints:
     """All endpoints that an entry knows, by id and by service."""
 
-    __slots__ = ('_by_host', '_by_id', '_by_service')
+    __slots__ = ('_by_ip', '_by_id', '_by_service')
 
     def __init__(self) -> None:
         self._by_id: dict[str, Endpoint] = {}
         #: Endpoints by IP address and id; an address may be reassigned.
-        self._by_host: dict[str, dict[str, Endpoint]] = {}
+        self._by_ip: dict[str, dict[str, Endpoint]] = {}
         self._by_service: dict[str, dict[str, Endpoint]] = {}
 
     def __iter__(self) -> Iterator[Endpoint]:
@@ -265,7 +265,7 @@
 
     def at_ip(self, ip: str) -> list[Endpoint]:
         """Return the endpoints that list themselves at an IP address."""
-        return list(self._by_host.get(ip, {}).values())
+        return list(self._by_ip.get(ip, {}).values())
 
     def apply_listing(self, listing: Listing) -> bool:
         """Apply an endpoint's record; return whether it changed anything."""
@@ -391,19 +391,19 @@
         listing = endpoint.listing
         del self._by_id[listing.id]
         del self._by_service[listing.service][listing.id]
-        at_host = self._by_host[listing.host]
-        del at_host[listing.id]
-        for other in at_host.values():
+        at_ip_address = self._by_ip[listing.ip]
+        del at_ip_address[listing.id]
+        for other in at_ip_address.values():
             if other.replaced_by is endpoint:
                 other.replaced_by = None
-        if not at_host:
-            del self._by_host[listing.host]
+        if not at_ip_address:
+            del self._by_ip[listing.ip]
 
     def _add(self, endpoint: Endpoint) -> None:
         listing = endpoint.listing
         self._by_id[listing.id] = endpoint
         self._by_service.setdefault(listing.service, {})[listing.id] = endpoint
-        self._by_host.setdefault(listing.host, {})[listing.id] = endpoint
+        self._by_ip.setdefault(listing.ip, {})[listing.id] = endpoint
         self._resolve_address(endpoint)
 
     def _resolve_address(self, endpoint: Endpoint) -> None:
@@ -419,7 +419,7 @@
         """
         listing = endpoint.listing
         endpoint.replaced_by = None
-        for other in self._by_host[listing.host].values():
+        for other in self._by_ip[listing.ip].values():
             if other is endpoint or listing.has_moved_from(other.listing):
                 continue
             if other.listing.record_offset < listing.record_offset:
--- a/clementinepass/direct/path.py
+++ b/clementinepass/direct/path.py
@@ -377,7 +377,7 @@
     """Return the seconds left in which a retry is useful.
 
     A caller abandons a stream without a first event long before its deadline.
-    An endpoint that receives a retry after that works for nobody.
+    A retry that reaches an endpoint after that is wasted work.
     """
     remaining = admitted.deadline - now
     is_stream = admitted.route.kind is routing.RouteKind.STREAM
--- a/tests/direct/test_day.py
+++ b/tests/direct/test_day.py
@@ -17,7 +17,7 @@
         calm = day.Day(3, 1, heavy=False)
         asyncio.run(calm.play())
         self.assertEqual([], calm.broken())
-        kinds = {told.kind for told in calm.callers.told}
+        kinds = {outcome.kind for outcome in calm.callers.told}
         self.assertLessEqual(kinds, {'in aim', 'late'})
 
     def test_restarts(self) -> None:
@@ -30,10 +30,10 @@
         restarts = day.Day(6, 1, heavy=False, restarts=True)
         asyncio.run(restarts.play())
         self.assertEqual([], restarts.broken())
-        one = restarts.engines[0]
-        self.assertEqual([(1, True)] * day.RESTARTS, one.orders)
-        self.assertEqual(1, one.version)
-        kinds = {told.kind for told in restarts.callers.told}
+        engine = restarts.engines[0]
+        self.assertEqual([(1, True)] * day.RESTARTS, engine.orders)
+        self.assertEqual(1, engine.version)
+        kinds = {outcome.kind for outcome in restarts.callers.told}
         self.assertLessEqual(kinds, {'in aim', 'late'})
 
     def test_heavy(self) -> None:
@@ -50,4 +50,6 @@
             line for line in heavy.broken() if not line.startswith('VERSION')
         ]
         self.assertEqual([], broken)
-        self.assertIn('in aim', {told.kind for told in heavy.callers.told})
+        self.assertIn(
+            'in aim', {outcome.kind for outcome in heavy.callers.told}
+        )
--- a/tests/direct/test_endpoint_loads.py
+++ b/tests/direct/test_endpoint_loads.py
@@ -198,7 +198,7 @@
 
     def test_renewal(self) -> None:
         """A subscription is renewed each second; a new one is due at once."""
-        first = self.due_engines()
+        first_due = self.due_engines()
         self.assertEqual(set(), self.due_engines(after=0.9))
         self.cluster.listed(
             listing()._replace(
@@ -208,4 +208,4 @@
             )
         )
         self.assertEqual({99}, self.due_engines(after=0.9))
-        self.assertEqual(first, self.due_engines(after=1.5) - {99})
+        self.assertEqual(first_due, self.due_engines(after=1.5) - {99})
--- a/tests/direct/test_endpoints.py
+++ b/tests/direct/test_endpoints.py
@@ -258,12 +258,12 @@
         self.endpoint_table.apply_listing(
             listing(started_ms=2000, heartbeat=1, weights=empty)
         )
-        for late in (
+        for late_record in (
             listing(started_ms=1000, heartbeat=99),
             listing(started_ms=1000, heartbeat=99, draining=True),
             listing(started_ms=1000, heartbeat=99, address='10.0.0.9:80'),
         ):
-            self.assertFalse(self.endpoint_table.apply_listing(late))
+            self.assertFalse(self.endpoint_table.apply_listing(late_record))
             self.assertEqual(empty, self.loaded_weights())
             self.assertEqual(['i-1'], self.usable_ids())
         self.endpoint_table.mark_removed('i-1', now=10, grace=0)
@@ -339,11 +339,11 @@
 
     def apply_random_records(self, rng: random.Random, seed: int) -> None:
         """Apply random records and check the table after each."""
-        known = endpoints.Endpoints()
-        newest = 0
-        left: set[int] = set()
+        table = endpoints.Endpoints()
+        newest_start = 0
+        drained_starts: set[int] = set()
         for now in range(60):
-            word = listing(
+            record = listing(
                 started_ms=rng.randrange(1, 4),
                 heartbeat=rng.randrange(1, 30),
                 draining=rng.random() < 0.1,
@@ -352,30 +352,32 @@
             )
             event = rng.random()
             if event < 0.1:
-                known.mark_removed('i-1', now, grace=0)
+                table.mark_removed('i-1', now, grace=0)
             elif event < 0.2:
-                known.mark_unreadable('i-1')
+                table.mark_unreadable('i-1')
             elif event < 0.25:
-                known.remove_expired(now)
-                if known.get('i-1') is None:
-                    newest, left = 0, set()
-            elif known.apply_listing(word):
-                self.assertGreaterEqual(word.started_ms, newest, seed)
-                newest = word.started_ms
-            endpoint = known.get('i-1')
+                table.remove_expired(now)
+                if table.get('i-1') is None:
+                    newest_start, drained_starts = 0, set()
+            elif table.apply_listing(record):
+                self.assertGreaterEqual(record.started_ms, newest_start, seed)
+                newest_start = record.started_ms
+            endpoint = table.get('i-1')
             if endpoint is None:
                 continue
             if endpoint.listing.draining:
-                left.add(endpoint.listing.started_ms)
-            self.assertEqual(newest, endpoint.listing.started_ms, seed)
-            if newest in left:
+                drained_starts.add(endpoint.listing.started_ms)
+            self.assertEqual(newest_start, endpoint.listing.started_ms, seed)
+            if newest_start in drained_starts:
                 self.assertFalse(endpoint.is_usable(now), seed)
-            served = [
+            usable_ids = [
                 usable.listing.id
                 for service in ('pool', 'other')
-                for usable in known.usable_for_service(service, now)
+                for usable in table.usable_for_service(service, now)
             ]
-            self.assertEqual(int(endpoint.is_usable(now)), len(served), seed)
+            self.assertEqual(
+                int(endpoint.is_usable(now)), len(usable_ids), seed
+            )
 
     def test_unreadable(self) -> None:
         """An endpoint with a malformed record is unusable until the next one.
--- a/tests/direct/test_events.py
+++ b/tests/direct/test_events.py
@@ -25,14 +25,14 @@
         """The events do not depend on how the bytes are split."""
         payload = stream(0, count)
         splitter = events.EventSplitter(None)
-        found = []
+        found_events = []
         for cut in cuts:
-            found.extend(splitter.feed(payload[:cut]))
+            found_events.extend(splitter.feed(payload[:cut]))
             payload = payload[cut:]
-        found.extend(splitter.feed(payload))
+        found_events.extend(splitter.feed(payload))
         self.assertEqual(
             stream(0, count),
-            b''.join(event.payload for event in found),
+            b''.join(event.payload for event in found_events),
         )
         self.assertEqual(count - 1, splitter.last_id)
         self.assertFalse(splitter.has_partial_event)
--- a/tests/direct/test_leaving.py
+++ b/tests/direct/test_leaving.py
@@ -87,11 +87,11 @@
         async def scenario(harness: path_harness.PathHarness) -> None:
             for endpoint in harness.endpoints:
                 endpoint.going.clear()
-            drained = await send_sigterm(harness)
+            drain_task = await send_sigterm(harness)
             answer = await harness.send('/stream/a')
             self.assertEqual(503, answer.status)
             self.assertEqual([], harness.received_requests)
-            await drained
+            await drain_task
 
         path_harness.run(scenario, local_node=SHORT_GRACE_NODE)
 
@@ -102,16 +102,16 @@
         """
 
         async def scenario(harness: path_harness.PathHarness) -> None:
-            drained = await send_sigterm(harness)
+            drain_task = await send_sigterm(harness)
             for endpoint in harness.endpoints:
                 endpoint.going.clear()
-            answering = asyncio.create_task(harness.send('/plain/brief/a'))
+            pending_answer = asyncio.create_task(harness.send('/plain/brief/a'))
             while not harness.received_requests:
                 await asyncio.sleep(0)
             for endpoint in harness.endpoints:
                 endpoint.going.set()
-            self.assertEqual(200, (await answering).status)
-            await drained
+            self.assertEqual(200, (await pending_answer).status)
+            await drain_task
 
         path_harness.run(scenario, local_node=SHORT_GRACE_NODE)
 
@@ -124,12 +124,12 @@
         async def scenario(harness: path_harness.PathHarness) -> None:
             for endpoint in harness.endpoints:
                 endpoint.going.clear()
-            answering = asyncio.create_task(harness.send('/plain/a'))
+            pending_answer = asyncio.create_task(harness.send('/plain/a'))
             while not harness.received_requests:
                 await asyncio.sleep(0)
-            drained = await send_sigterm(harness)
-            self.assertEqual(504, (await answering).status)
-            await drained
+            drain_task = await send_sigterm(harness)
+            self.assertEqual(504, (await pending_answer).status)
+            await drain_task
 
         path_harness.run(scenario, local_node=SHORT_GRACE_NODE)
 
@@ -141,8 +141,8 @@
         """
 
         async def scenario(harness: path_harness.PathHarness) -> None:
-            drained = await send_sigterm(harness)
-            await drained
+            drain_task = await send_sigterm(harness)
+            await drain_task
             plan = harness.drain_state.plan
             assert plan is not None
             now = asyncio.get_running_loop().time()
@@ -160,16 +160,16 @@
         async def scenario(harness: path_harness.PathHarness) -> None:
             for endpoint in harness.endpoints:
                 endpoint.going.clear()
-            answering = asyncio.create_task(harness.send('/plain/a'))
+            pending_answer = asyncio.create_task(harness.send('/plain/a'))
             while not harness.received_requests:
                 await asyncio.sleep(0)
-            drained = await send_sigterm(harness)
+            drain_task = await send_sigterm(harness)
             plan = harness.drain_state.plan
             assert plan is not None
             loop = asyncio.get_running_loop()
             loop.call_at(plan.last_answer_at - 0.05, time.sleep, 0.6)
-            self.assertEqual(504, (await answering).status)
-            await drained
+            self.assertEqual(504, (await pending_answer).status)
+            await drain_task
 
         path_harness.run(scenario, local_node=SHORT_GRACE_NODE)
 
@@ -193,14 +193,14 @@
             )
             while not harness.received_requests:
                 await asyncio.sleep(0)
-            drained = await send_sigterm(harness)
+            drain_task = await send_sigterm(harness)
             for endpoint in harness.endpoints:
                 endpoint.going.set()
             answers = await reader.read()
             writer.close()
             self.assertEqual(2, answers.count(b'HTTP/1.1 '))
             self.assertEqual(1, answers.count(b'Connection: close'))
-            await drained
+            await drain_task
 
         path_harness.run(scenario, local_node=SHORT_GRACE_NODE)
 
@@ -213,11 +213,11 @@
 
         async def scenario(harness: path_harness.PathHarness) -> None:
             peers = NoPeers()
-            drained = await send_sigterm(harness, peers)
+            drain_task = await send_sigterm(harness, peers)
             self.assertEqual([members.Phase.LEAVING], peers.announced_phases)
             answer = await harness.send('/plain/brief/a')
             self.assertEqual(b'close', answer.headers.get(b'connection'))
-            await drained
+            await drain_task
             self.assertRaises(
                 OSError,
                 socket.create_connection,
@@ -231,7 +231,7 @@
         """The retry delay is shorter if another entry is ready."""
 
         async def scenario(harness: path_harness.PathHarness) -> None:
-            drained = await send_sigterm(harness)
+            drain_task = await send_sigterm(harness)
             alone = await harness.send('/stream/a')
             harness.ready_peers = 1
             beside = await harness.send('/stream/a')
@@ -242,7 +242,7 @@
             self.assertEqual(sorted(waits), waits)
             self.assertLess(waits[0], waits[1])
             self.assertEqual((0, 2), self.request_counts(harness))
-            await drained
+            await drain_task
 
         path_harness.run(scenario, local_node=SHORT_GRACE_NODE)
 
--- a/tests/direct/test_path.py
+++ b/tests/direct/test_path.py
@@ -52,7 +52,7 @@
     def test_status_and_runs(self) -> None:
         """No request runs more often than allowed; 503 means that it never ran."""
         for target, faults, status, runs in OUTCOMES:
-            story = (target, faults)
+            case = (target, faults)
 
             async def scenario(
                 harness: path_harness.PathHarness,
@@ -73,21 +73,23 @@
             try:
                 path_harness.run(scenario)
             except Exception as error:
-                raise AssertionError(story) from error
+                raise AssertionError(case) from error
 
     def test_stamp_only_of_endpoints(self) -> None:
         """An endpoint's stamp is forwarded; answers of the entry have none."""
 
         async def scenario(harness: path_harness.PathHarness) -> None:
-            for fault, stamped in ((None, True), (Fault.LOST, False)):
+            for fault, has_stamp in ((None, True), (Fault.LOST, False)):
                 harness.set_shared_faults(*([fault] if fault else []))
-                used = await channel.Channel.connect(HOST, harness.port, 5)
-                used.send(path_harness.request('/once/a'))
-                head = await used.answer_head()
+                connection = await channel.Channel.connect(
+                    HOST, harness.port, 5
+                )
+                connection.send(path_harness.request('/once/a'))
+                head = await connection.answer_head()
                 stamp = head.headers.get(b'x-server-stamp')
-                self.assertEqual(stamped, stamp is not None)
+                self.assertEqual(has_stamp, stamp is not None)
                 self.assertEqual(b'r-1', head.headers.get(b'x-attempt-id'))
-                used.abort()
+                connection.abort()
 
         path_harness.run(scenario)
 
@@ -96,9 +98,9 @@
 
         async def scenario(harness: path_harness.PathHarness) -> None:
             harness.set_shared_faults(Fault.CUT)
-            used = await channel.Channel.connect(HOST, harness.port, 5)
-            used.send(path_harness.request('/stream/a'))
-            head = await used.answer_head()
+            connection = await channel.Channel.connect(HOST, harness.port, 5)
+            connection.send(path_harness.request('/stream/a'))
+            head = await connection.answer_head()
             first = next(
                 endpoint for endpoint in harness.endpoints if endpoint.ran
             )
@@ -106,15 +108,15 @@
                 b'stamp-%b' % first.id.encode(),
                 head.headers.get(b'x-server-stamp'),
             )
-            while await used.read():
+            while await connection.read():
                 """Read to the end."""
             second = next(
                 endpoint
                 for endpoint in harness.endpoints
                 if endpoint is not first
             )
-            resumed = second.ran[0].headers
-            self.assertEqual(b'0', resumed.get(b'last-event-id'))
+            resumed_headers = second.ran[0].headers
+            self.assertEqual(b'0', resumed_headers.get(b'last-event-id'))
 
         path_harness.run(scenario)
 
@@ -220,8 +222,8 @@
             before.faults = [Fault.MUTE]
             async with direct_endpoint.DirectEndpoint(before.id) as after:
                 harness.list_endpoint(after, started_ms=2, heartbeat=0)
-                found = await harness.send('/once/a', X_Deadline_Ms='900')
-                self.assertEqual(200, found.status)
+                answer = await harness.send('/once/a', X_Deadline_Ms='900')
+                self.assertEqual(200, answer.status)
                 self.assertEqual((1, 1), (len(before.ran), len(after.ran)))
 
         path_harness.run(scenario, 1)
@@ -236,7 +238,7 @@
             (endpoint,) = harness.endpoints
             harness.list_endpoint(endpoint, started_ms=1)
             endpoint.going.clear()
-            answering = asyncio.create_task(harness.send('/stream/a'))
+            pending_answer = asyncio.create_task(harness.send('/stream/a'))
             while not endpoint.ran:
                 await asyncio.sleep(0.01)
             before = harness.cluster.endpoints.get(endpoint.id)
@@ -246,8 +248,8 @@
             assert after is not None
             self.assertEqual((1, 0), (before.in_flight, after.in_flight))
             endpoint.going.set()
-            found = await answering
-            self.assertEqual((200, EVENTS), (found.status, found.body))
+            answer = await pending_answer
+            self.assertEqual((200, EVENTS), (answer.status, answer.body))
             self.assertEqual((0, 0), (before.in_flight, after.in_flight))
             await harness.send('/plain/a')
             self.assertEqual(1, len(harness.idle_connections(endpoint.id)))
@@ -284,9 +286,9 @@
                 self.assertIsNone(headers.get(name), name)
             self.assertEqual(b'kept', headers.get(b'x-other'))
             self.assertEqual(b'm', headers.get(b'x-model'))
-            left = int(headers.get(b'x-deadline-ms') or 0)
-            self.assertLessEqual(left, 9000)
-            self.assertGreater(left, 0)
+            timeout_ms = int(headers.get(b'x-deadline-ms') or 0)
+            self.assertLessEqual(timeout_ms, 9000)
+            self.assertGreater(timeout_ms, 0)
 
         path_harness.run(scenario)
 
@@ -295,11 +297,11 @@
 
         async def scenario(harness: path_harness.PathHarness) -> None:
             await harness.send('/plain/a', X_Deadline_Ms='60000')
-            left = (
+            timeout_ms = (
                 harness.executed_requests[0].headers.get(b'x-deadline-ms')
                 or b'0'
             )
-            self.assertLessEqual(int(left), 10000)
+            self.assertLessEqual(int(timeout_ms), 10000)
 
         path_harness.run(scenario)
 
@@ -316,14 +318,14 @@
         async def scenario(harness: path_harness.PathHarness) -> None:
             for endpoint in harness.endpoints:
                 endpoint.going.clear()
-            answering = asyncio.create_task(harness.send('/stream/a'))
+            pending_answer = asyncio.create_task(harness.send('/stream/a'))
             while not harness.executed_requests:
                 await asyncio.sleep(0)
             harness.configure(2, path_harness.ROUTES[2:])
             harness.configure(3, ())
             for endpoint in harness.endpoints:
                 endpoint.going.set()
-            answer = await answering
+            answer = await pending_answer
             self.assertEqual(200, answer.status)
             self.assertEqual(3, answer.body.count(b'data:'))
             self.assertEqual(404, (await harness.send('/stream/a')).status)
@@ -349,13 +351,13 @@
             harness.set_shared_faults(Fault.CUT)
             for endpoint in harness.endpoints:
                 endpoint.going.clear()
-            answering = asyncio.create_task(harness.send('/stream/a'))
+            pending_answer = asyncio.create_task(harness.send('/stream/a'))
             while not harness.executed_requests:
                 await asyncio.sleep(0)
             harness.configure(2, ())
             for endpoint in harness.endpoints:
                 endpoint.going.set()
-            self.assertEqual(3, (await answering).body.count(b'data:'))
+            self.assertEqual(3, (await pending_answer).body.count(b'data:'))
             self.assertEqual(2, len(harness.executed_requests))
 
         path_harness.run(scenario)
@@ -385,11 +387,11 @@
         async def scenario(harness: path_harness.PathHarness) -> None:
             for endpoint in harness.endpoints:
                 endpoint.going.clear()
-            used = await channel.Channel.connect(HOST, harness.port, 5)
-            used.send(path_harness.request('/stream/a'))
+            connection = await channel.Channel.connect(HOST, harness.port, 5)
+            connection.send(path_harness.request('/stream/a'))
             while not harness.executed_requests:
                 await asyncio.sleep(0)
-            used.abort()
+            connection.abort()
             while not any(endpoint.left for endpoint in harness.endpoints):
                 await asyncio.sleep(0)
             self.assertEqual(1, len(harness.received_requests))
@@ -440,19 +442,19 @@
             take = pool.Pool.take
 
             async def slow(peers: pool.Pool, **limits: float) -> object:
-                used = await take(peers, **limits)
+                connection = await take(peers, **limits)
                 if limits:  # The caller's own connections have none.
                     await connected.wait()
-                return used
+                return connection
 
-            self.patch(pool.Pool, 'take', slow)
-            answering = asyncio.create_task(harness.send('/once/a'))
+            self.patch(pool.Pool, 'take', take_slowly)
+            pending_answer = asyncio.create_task(harness.send('/once/a'))
             now = asyncio.get_running_loop().time
             while not harness.cluster.in_flight_by_endpoint(now()):
                 await asyncio.sleep(0)
             harness.list_endpoint(first, draining=True)
             connected.set()
-            self.assertEqual(503, (await answering).status)
+            self.assertEqual(503, (await pending_answer).status)
             self.assertEqual([], harness.received_requests)
 
         path_harness.run(scenario)
@@ -475,7 +477,7 @@
                     heartbeat=98,
                     weights=endpoints.Weights(2, 0, 0),
                 )
-            answering = asyncio.create_task(harness.send('/plain/a'))
+            pending_answer = asyncio.create_task(harness.send('/plain/a'))
             while not harness.front.busy():
                 await asyncio.sleep(0)
             self.assertEqual([], harness.received_requests)
@@ -484,7 +486,7 @@
                 heartbeat=99,
                 weights=endpoints.Weights(2, 0, 2),
             )
-            self.assertEqual(200, (await answering).status)
+            self.assertEqual(200, (await pending_answer).status)
 
         path_harness.run(scenario)
 
