--- a/clementinepass/direct/agent.py
+++ b/clementinepass/direct/agent.py
@@ -62,7 +62,7 @@
     store: records.Store
     engine: weights.Engine
     origin: Callable[[str], weights.Source]
-    readers: intake.Readers
+    readers: intake.Decoders
 
 
 class Agent:
@@ -84,7 +84,7 @@
         self._rng = rng
         self.cluster = cluster_state.ClusterState(local_node)
         record_intake = intake.Intake(self.cluster, boundary.readers)
-        self._followers = record_intake.followers(boundary.store, rng)
+        self._followers = record_intake.create_followers(boundary.store, rng)
         self._neighbours = neighbours.Neighbours(
             local_node,
             self.cluster,
@@ -155,7 +155,7 @@
     def pieces_of(self, model: str, version: int) -> pieces.Pieces | None:
         """Return the pieces of a version that are here or being fetched."""
         now = asyncio.get_running_loop().time()
-        self.cluster.named(model, version, now)
+        self.cluster.add_desired_version(model, version, now)
         return self._loader.pieces_of(model, version)
 
     def has_loaded(self, version: int) -> bool:
@@ -218,10 +218,10 @@
             elif loop.time() - no_entry_since >= _NO_ENTRY_SECONDS:
                 await self._read_store()
                 no_entry_since = loop.time()
-            self.cluster.forget(loop.time())
+            self.cluster.remove_expired(loop.time())
             pause = _MEMBERSHIP_POLL_SECONDS
-            if self.peers.is_new:
-                pause = min(self.peers.ask(), pause)
+            if self.peers.is_bootstrapping:
+                pause = min(self.peers.poll_seeds(), pause)
             await asyncio.sleep(pause)
 
     async def _announce_congestion(self) -> None:
@@ -235,9 +235,9 @@
         store = self._boundary.store
         try:
             for topic, follower in self._followers.items():
-                follower.take(await store.newest(topic))
+                follower.apply(await store.newest(topic))
             page = await store.newest(records.Topic.ENTRIES)
-            self.peers.met(page.ips)
+            self.peers.contact(page.ips)
         except errors.ClementinepassError as error:
             logger.info('store not read: {}', error)
 
@@ -350,10 +350,12 @@
         """
         now = asyncio.get_running_loop().time()
         engine_weights = self._version_selector.engine_weights
-        time_left = self.cluster.seconds_left(engine.model, version) or 0
+        time_left = (
+            self.cluster.seconds_until_required(engine.model, version) or 0
+        )
         if engine_weights is None:
             return time_left
-        deadline = self.cluster.begin_bound(engine, engine_weights.version)
+        deadline = self.cluster.version_bound(engine, engine_weights.version)
         return max(min(time_left, deadline - now), 0)
 
     def _is_turn_to_load(self, engine: routing.Engine, version: int) -> bool:
--- a/clementinepass/direct/announcer.py
+++ b/clementinepass/direct/announcer.py
@@ -97,13 +97,13 @@
         now = asyncio.get_running_loop().time()
         due = self._peers.subscribers.due(now)
         if due:
-            load = heartbeats.Load(active, queued, self._started)
-            self._peers.report(due, load)
+            load = heartbeats.EngineLoad(active, queued, self._started)
+            self._peers.send_load(due, load)
 
     def _schedule_announcements(self) -> None:
         if self._weights is None:
             return
-        announcement = heartbeats.Held(
+        announcement = heartbeats.EngineStatus(
             self._local_node.endpoint,
             self._weights.version,
             self._weights.first,
@@ -111,13 +111,13 @@
             self._congestion_sent_at is not None,
             self._started,
         )
-        self._peers.held = (announcement,)
+        self._peers.engine_statuses = (announcement,)
         loop = asyncio.get_running_loop()
         for repetition in range(_REPETITIONS):
             loop.call_later(repetition * _REPETITION_SECONDS, self._announce)
 
     def _announce(self) -> None:
         now = asyncio.get_running_loop().time()
-        self._peers.tell(
+        self._peers.send_to(
             [member.ip for member in self._peers.members.alive(now)]
         )
--- a/clementinepass/direct/attempt.py
+++ b/clementinepass/direct/attempt.py
@@ -121,14 +121,16 @@
         admitted.start_deadline = self._start_deadline(admitted, endpoint)
         is_repeatable = admitted.route.is_repeatable
         try:
-            connection = await connections.take(
-                longest_idle=math.inf if is_repeatable else _MAX_IDLE_SECONDS,
+            connection = await connections.acquire(
+                max_idle_seconds=math.inf
+                if is_repeatable
+                else _MAX_IDLE_SECONDS,
                 seconds=_CONNECT_TIMEOUT_SECONDS,
             )
         except channel.ChannelBrokenError as error:
             attempt.refused()
             now = asyncio.get_running_loop().time()
-            self._cluster.failed(endpoint, now)
+            self._cluster.record_failure(endpoint, now)
             self._log.log_attempt_failed(admitted, endpoint, error)
             return serving.AttemptResult.NOT_RUN
         admitted.channel = connection
@@ -150,7 +152,7 @@
             connection.abort()
             raise
         finally:
-            connections.give_back(connection)
+            connections.release(connection)
             if not self._has_pool(endpoint):
                 # The endpoint has restarted: its old connections are useless.
                 connections.close()
@@ -178,13 +180,13 @@
         attempt.sent()
         connection.send(payload)
         async with _silence_timeout(admitted, connection):
-            head = await connection.answer_head()
+            head = await connection.read_head()
             decoded_head = self._dialect.decode_head(admitted.call, head)
             if decoded_head.verdict is calls.Verdict.OTHER_REQUEST:
                 logger.bind(request=admitted.call.id).warning(
                     'passed over the answer to another request',
                 )
-                head = await connection.next_answer()
+                head = await connection.skip_to_next_answer()
                 decoded_head = self._dialect.decode_head(admitted.call, head)
         if decoded_head.verdict is calls.Verdict.MISDIRECTED:
             attempt.refused()
@@ -251,7 +253,7 @@
                 status, decoded_head.pairs, body
             )
             return serving.AttemptResult.FAILED
-        if admitted.reply.begun:
+        if admitted.reply.is_started:
             raise channel.ChannelBrokenError(
                 'a plain answer came instead of a stream', peer=connection.peer
             )
@@ -270,17 +272,17 @@
     ) -> serving.AttemptResult:
         """Forward complete events as they arrive."""
         reply = admitted.reply
-        endpoint.last_received_at = connection.heard
+        endpoint.last_received_at = connection.last_received_at
         while True:
             async with _silence_timeout(admitted, connection):
                 part = await connection.read()
-            endpoint.last_received_at = connection.heard
+            endpoint.last_received_at = connection.last_received_at
             if not part:
                 break
             for event in admitted.splitter.feed(part):
                 self._start_reply(admitted, decoded_head, status)
                 reply.write(event.payload)
-            await reply.writable()
+            await reply.wait_writable()
         if admitted.splitter.has_partial_event:
             raise events.StreamBrokenError(
                 'the stream ended in the middle of an event'
@@ -307,8 +309,8 @@
         after their bound.
         """
         admitted.start_deadline = math.inf
-        if not admitted.reply.begun:
-            admitted.reply.begin(status, decoded_head.pairs)
+        if not admitted.reply.is_started:
+            admitted.reply.start(status, decoded_head.pairs)
             admitted.first_event_at = asyncio.get_running_loop().time()
 
     def _start_deadline(
@@ -325,7 +327,7 @@
         engine = admitted.service.engine
         if engine is None:
             return math.inf
-        return self._cluster.begin_by(engine, endpoint.weights.version)
+        return self._cluster.start_deadline(engine, endpoint.weights.version)
 
     def _attempt_parameters(
         self,
@@ -395,14 +397,14 @@
         now = asyncio.get_running_loop().time()
         if result is serving.AttemptResult.ANSWERED:
             answered_at = admitted.first_event_at or now
-            seconds = answered_at - admitted.call.request.received
+            seconds = answered_at - admitted.call.request.received_at
             self._cluster.ejector.observe(endpoint.listing.id, seconds, now)
         elif (
             result is not serving.AttemptResult.NOT_RUN
             and not endpoint.is_loading
         ):
             # An engine that loads new weights cuts off running requests.
-            self._cluster.failed(endpoint, now)
+            self._cluster.record_failure(endpoint, now)
 
 
 def _urgency(admitted: serving.AdmittedRequest) -> int:
@@ -430,7 +432,7 @@
     route = admitted.route
     if not route.is_repeatable or admitted.run_count >= route.max_runs:
         return math.inf
-    if admitted.reply.begun:
+    if admitted.reply.is_started:
         return now + route.max_event_gap + _EVENT_GAP_GRACE_SECONDS
     if route.kind is routing.RouteKind.STREAM:
         return now + route.latency_target + _FIRST_EVENT_GRACE_SECONDS
--- a/clementinepass/direct/gauges.py
+++ b/clementinepass/direct/gauges.py
@@ -74,6 +74,6 @@
         self._endpoints.set({}, usable)
         self._members.set({}, len(self._peers.members.alive(now)))
         for topic, topic_follower in self._followers.items():
-            if topic_follower.contact:
-                age = round(now - topic_follower.contact, 3)
+            if topic_follower.last_contact:
+                age = round(now - topic_follower.last_contact, 3)
                 self._store_answer_age.set({'topic': topic.value}, age)
--- a/clementinepass/direct/gossip.py
+++ b/clementinepass/direct/gossip.py
@@ -1,4 +1,4 @@
-"""Send and take heartbeats, and hand records to peers that know less."""
+"""Exchange heartbeats with peers, and serve them records of the store."""
 
 from __future__ import annotations
 
@@ -31,154 +31,172 @@
     from clementinepass.direct import cluster_state, follower, node
     from clementinepass.http import messages
 
-#: Seconds between heartbeats. Counts of requests at endpoints are as old as
-#: this when others place by them; each costs some 150 bytes a peer.
+#: Seconds between heartbeats. Request counts are this old when other entries
+#: select endpoints by them. A heartbeat costs some 150 bytes per peer.
 _HEARTBEAT_SECONDS = 0.4
-#: Of so many heartbeats one carries all members and versions. New members are
-#: heard of within two seconds, and most heartbeats stay short.
-_WHOLE_EACH = 5
-#: Seconds since a member was heard of in which its word is passed on. An older
-#: one would keep nobody from being taken for gone.
+#: One of this many heartbeats is full: it carries all members and versions.
+#: New members become known within two seconds, and most heartbeats stay short.
+_HEARTBEATS_PER_FULL = 5
+#: Seconds since a member was last seen within which its digest is passed on.
+#: An older digest would be too late to show that the member is alive.
 _FRESH_SECONDS = 1.0
-#: Members that are asked, for each heartbeat that tells of them, who they are.
-_MOST_ASKED = 2
+#: Unknown members that are asked to introduce themselves, per heartbeat that
+#: lists them.
+_MAX_INTRODUCTIONS = 2
 _NOT_FOUND = 404
 
 
 class Peers:
-    """The other processes: who they are, and what they say.
+    """Exchanges state with the other processes.
 
-    :param own: who this process is.
-    :param known: the state of the cluster.
-    :param others: answers peers' requests that aren't for records.
+    :param local_node: the local node.
+    :param followers: the followers of the store's topics.
+    :param cluster: the state of the cluster, updated from heartbeats.
+    :param fallback_handler: answers peers' requests that are not for records.
     """
 
     def __init__(
         self,
-        own: node.Node,
+        local_node: node.Node,
         followers: dict[records.Topic, follower.Follower],
-        known: cluster_state.ClusterState,
+        cluster: cluster_state.ClusterState,
         rng: random.Random,
-        others: connection.Handler | None = None,
+        fallback_handler: connection.Handler | None = None,
     ) -> None:
-        self._own = own
+        self._local_node = local_node
         self._followers = followers
-        self._cluster = known
+        self._cluster = cluster
         self._rng = rng
-        self._others = others
+        self._fallback_handler = fallback_handler
         self._boot = time.time_ns()
         self._sequence = 0
         self._transport: asyncio.DatagramTransport | None = None
         self._front = front.Front(self._serve)
         self._record_server = record_server.RecordServer(followers)
-        self._bootstrap = bootstrap.Bootstrap(self._whole_message, self._send)
-        self._polling = start_reading.SeedPolling(own.ip, own.seeds, rng)
-        self._catching_up = catching_up.CatchingUp(own, followers, known)
-        #: The entries.
-        self.members = members.Members(own.ip)
-        #: Who reads the store, and when reads end, by topic.
-        self.turns_by_topic = {
-            topic: turns.Turns(own, self.members)
+        self._bootstrap = bootstrap.Bootstrap(
+            self._compose_full_message, self._send
+        )
+        self._polling = start_reading.SeedPolling(
+            local_node.ip, local_node.seeds, rng
+        )
+        self._catching_up = catching_up.PeerCatchUp(
+            local_node, followers, cluster
+        )
+        #: The other entries.
+        self.members = members.Members(local_node.ip)
+        #: The schedule of reads of the store, by topic.
+        self.read_turns_by_topic = {
+            topic: turns.ReadTurns(local_node, self.members)
             for topic in (records.Topic.OPERATOR, records.Topic.ENDPOINTS)
         }
-        #: Who uses the engine beside this process.
+        #: The entries that subscribe to the load of this agent's engine.
         self.subscribers = subscribers.Subscribers()
-        #: What this process says of itself.
+        #: The state that this process announces.
         self.phase = members.Phase.STARTING
-        #: What an agent read of its engine.
-        self.held: tuple[heartbeats.Held, ...] = ()
+        #: The state of this agent's engine, as it announces it.
+        self.engine_statuses: tuple[heartbeats.EngineStatus, ...] = ()
 
     async def listen(self) -> None:
-        """Listen on the system's own ports."""
+        """Listen for heartbeats and for peers' requests."""
         loop = asyncio.get_running_loop()
         opened = await loop.create_datagram_endpoint(
             lambda: _Datagrams(self),
-            local_addr=(self._own.ip, self._own.first_port),
+            local_addr=(self._local_node.ip, self._local_node.first_port),
         )
         self._transport = opened[0]
-        await self._front.listen(self._own.ip, self._own.first_port)
+        await self._front.listen(
+            self._local_node.ip, self._local_node.first_port
+        )
 
     @property
-    def is_new(self) -> bool:
-        """Tell whether this process doesn't know yet what is in the store."""
-        return not all(one.started for one in self._followers.values())
+    def is_bootstrapping(self) -> bool:
+        """Return whether some topic of the store has not been read yet."""
+        return not all(
+            topic_follower.is_initialized
+            for topic_follower in self._followers.values()
+        )
 
     async def run(self) -> None:
-        """Speak for ever."""
+        """Send heartbeats until cancelled."""
         while True:
-            self.speak()
-            is_new = self.is_new
+            self.send_heartbeat()
+            is_starting = self.is_bootstrapping
             seconds = (
-                self._polling.next_pause() if is_new else _HEARTBEAT_SECONDS
+                self._polling.next_pause()
+                if is_starting
+                else _HEARTBEAT_SECONDS
             )
             await asyncio.sleep(seconds * self._rng.uniform(0.9, 1.1))
 
-    def ask(self) -> float:
-        """Ask seeds what there is; return the seconds until the next time."""
-        self.tell(self._polling.next_seeds())
+    def poll_seeds(self) -> float:
+        """Send heartbeats to the seeds that are due.
+
+        :returns: the seconds until the next poll.
+        """
+        self.send_to(self._polling.next_seeds())
         return self._polling.next_pause()
 
-    def speak(self, *, whole: bool = False) -> None:
-        """Send one heartbeat to some of the others.
+    def send_heartbeat(self, *, full: bool = False) -> None:
+        """Send one heartbeat to a selection of peers.
 
-        :param whole: whether to send all that there is to tell, also to the
-            agents near.
+        :param full: whether to send a full heartbeat, and to the agents of the
+            local failure domain, too.
         """
         self._sequence += 1
-        is_whole = whole or self._sequence % _WHOLE_EACH == 1
-        ips = self._targets(whole=is_whole)
-        if whole:
-            ips.extend(ip for ip in self._near_agents() if ip not in ips)
+        is_full = full or self._sequence % _HEARTBEATS_PER_FULL == 1
+        ips = self._targets(full=is_full)
+        if full:
+            ips.extend(ip for ip in self._nearby_agents() if ip not in ips)
         payload = wire_heartbeats.write_heartbeat(
-            self._own_heartbeat(whole=is_whole),
+            self._compose_heartbeat(full=is_full),
         )
         for ip in ips:
             self._send(payload, ip)
 
-    def tell(self, ips: list[str]) -> None:
-        """Send one heartbeat to given processes."""
+    def send_to(self, ips: list[str]) -> None:
+        """Send one heartbeat to the processes at some IP addresses."""
         payload = wire_heartbeats.write_heartbeat(
-            self._own_heartbeat(whole=False)
+            self._compose_heartbeat(full=False)
         )
         for ip in ips:
             self._send(payload, ip)
 
     def subscribe(self, ips: Iterable[str]) -> None:
-        """Ask agents to be told of their engines' load for a while."""
+        """Subscribe to the load of the engines of some agents for a while."""
         payload = wire_heartbeats.write_heartbeat(
-            self._own_heartbeat(whole=False, wants_load=True),
+            self._compose_heartbeat(full=False, wants_load=True),
         )
         for ip in ips:
             self._send(payload, ip)
 
-    def report(self, ips: list[str], load: heartbeats.Load) -> None:
-        """Tell entries the load of the engine beside this agent."""
+    def send_load(self, ips: list[str], load: heartbeats.EngineLoad) -> None:
+        """Send the load of this agent's engine to some entries."""
         payload = wire_heartbeats.write_heartbeat(
             heartbeats.Heartbeat(load=load),
         )
         for ip in ips:
             self._send(payload, ip)
 
-    def met(self, ips: Iterable[str]) -> None:
-        """Speak to processes that were found in the store."""
-        self.tell([ip for ip in ips if ip != self._own.ip])
+    def contact(self, ips: Iterable[str]) -> None:
+        """Send a heartbeat to processes found in the store."""
+        self.send_to([ip for ip in ips if ip != self._local_node.ip])
 
-    def own_member(self) -> members.Member | None:
-        """Return what this entry says of itself; ``None`` for an agent."""
-        if not self._own.callers:
+    def local_member(self) -> members.Member | None:
+        """Return the member that this entry announces; ``None`` if an agent."""
+        if not self._local_node.callers:
             return None
         return members.Member(
-            self._own.ip,
+            self._local_node.ip,
             self._boot,
             self._sequence,
             self.phase,
-            self._own.callers,
-            self._own.domain,
-            self._own.region,
+            self._local_node.callers,
+            self._local_node.domain,
+            self._local_node.region,
         )
 
-    def heard(self, payload: bytes, ip: str) -> None:
-        """Take a heartbeat."""
+    def receive(self, payload: bytes, ip: str) -> None:
+        """Handle a datagram from a peer."""
         try:
             heartbeat = wire_heartbeats.read_heartbeat(payload, ip)
         except errors.MalformedMessageError as error:
@@ -186,80 +204,87 @@
             return
         now = asyncio.get_running_loop().time()
         if heartbeat.load is not None:
-            self._cluster.heard_load(ip, heartbeat.load, now)
+            self._cluster.update_engine_load(ip, heartbeat.load, now)
             return
         senders = () if heartbeat.sender is None else (heartbeat.sender,)
-        changed = self.members.heard((*senders, *heartbeat.members), now)
-        by_digest, unknown = self.members.heard_digests(heartbeat.digests, now)
+        changed = self.members.update((*senders, *heartbeat.members), now)
+        by_digest, unknown = self.members.update_from_digests(
+            heartbeat.digests, now
+        )
         for member in (*changed, *by_digest):
             logger.bind(peer=member.ip, phase=member.phase.value).info(
                 'member changed',
             )
-        self._introduce(heartbeat, ip, unknown)
-        self._learn(heartbeat, ip, now)
+        self._exchange_introductions(heartbeat, ip, unknown)
+        self._apply_heartbeat(heartbeat, ip, now)
 
-    def _introduce(
+    def _exchange_introductions(
         self,
         heartbeat: heartbeats.Heartbeat,
         ip: str,
         unknown: list[str],
     ) -> None:
-        """Say who this is where it's asked, and ask members not known yet.
+        """Answer a request for an introduction, and request some in turn.
 
-        Such a message tells of nobody else: whoever gets it would ask on.
+        Introductions list no other members: their receivers would request
+        introductions from those again.
         """
-        if heartbeat.asks:
-            self._send(self._introduction(asks=False), ip)
-        for each in unknown[:_MOST_ASKED]:
-            self._send(self._introduction(asks=True), each)
+        if heartbeat.wants_introduction:
+            self._send(self._introduction(wants_reply=False), ip)
+        for unknown_ip in unknown[:_MAX_INTRODUCTIONS]:
+            self._send(self._introduction(wants_reply=True), unknown_ip)
 
-    def _introduction(self, *, asks: bool) -> bytes:
+    def _introduction(self, *, wants_reply: bool) -> bytes:
         return wire_heartbeats.write_heartbeat(
             heartbeats.Heartbeat(
-                sender=self.own_member(),
-                asks=asks,
+                sender=self.local_member(),
+                wants_introduction=wants_reply,
                 operator_offset=self._offset(records.Topic.OPERATOR),
                 endpoints_offset=self._offset(records.Topic.ENDPOINTS),
             ),
         )
 
-    def _learn(
+    def _apply_heartbeat(
         self, heartbeat: heartbeats.Heartbeat, ip: str, now: float
     ) -> None:
         if heartbeat.wants_load:
-            self.subscribers.renewed(ip, now)
+            self.subscribers.renew(ip, now)
         if heartbeat.sender is not None:
             self._cluster.loads.update_peer_counts(
                 ip,
                 heartbeat.in_flight_by_endpoint,
                 now,
             )
-            self._learn_turns(heartbeat, ip, now)
-        for named in heartbeat.versions:
-            self._cluster.named(
-                named.model,
-                named.version,
-                now - named.age,
-                guessed=named.guessed,
+            self._update_read_turns(heartbeat, ip, now)
+        for desired in heartbeat.desired_versions:
+            self._cluster.add_desired_version(
+                desired.model,
+                desired.version,
+                now - desired.age,
+                guessed=desired.guessed,
             )
-        for held in heartbeat.held:
-            self._cluster.heard_held(held, now)
-        self._catching_up.heard(heartbeat, ip, now)
-        self._bootstrap.heard(heartbeat, ip, now, offsets=self._offsets)
+        for status in heartbeat.engine_statuses:
+            self._cluster.update_engine_status(status, now)
+        self._catching_up.handle_heartbeat(heartbeat, ip, now)
+        self._bootstrap.handle_heartbeat(
+            heartbeat, ip, now, offsets=self._offsets
+        )
 
-    def _learn_turns(
+    def _update_read_turns(
         self, heartbeat: heartbeats.Heartbeat, ip: str, now: float
     ) -> None:
         pairs = (
-            (records.Topic.OPERATOR, heartbeat.operator_ends),
-            (records.Topic.ENDPOINTS, heartbeat.endpoints_ends),
+            (records.Topic.OPERATOR, heartbeat.operator_read_ends_in),
+            (records.Topic.ENDPOINTS, heartbeat.endpoints_read_ends_in),
         )
         sender = heartbeat.sender
-        is_near = sender is not None and sender.region == self._own.region
+        is_same_region = (
+            sender is not None and sender.region == self._local_node.region
+        )
         for topic, seconds in pairs:
-            self.turns_by_topic[topic].heard(ip, seconds, now)
-            if is_near and seconds and topic in self._followers:
-                self._followers[topic].reader_heard(now)
+            self.read_turns_by_topic[topic].update(ip, seconds, now)
+            if is_same_region and seconds and topic in self._followers:
+                self._followers[topic].record_reader_contact(now)
 
     async def _serve(
         self,
@@ -267,17 +292,17 @@
         reply: replies.Reply,
     ) -> None:
         """Answer a peer's request."""
-        if self._record_server.serves(request):
-            self._record_server.serve(request, reply)
-        elif self._others is None:
+        if self._record_server.handles(request):
+            self._record_server.handle(request, reply)
+        elif self._fallback_handler is None:
             reply.send(_NOT_FOUND, [], b'')
         else:
-            await self._others(request, reply)
+            await self._fallback_handler(request, reply)
 
-    def _own_heartbeat(
+    def _compose_heartbeat(
         self,
         *,
-        whole: bool,
+        full: bool,
         wants_load: bool = False,
     ) -> heartbeats.Heartbeat:
         now = asyncio.get_running_loop().time()
@@ -285,26 +310,34 @@
         is_small = len(alive) <= dissemination.MAX_BROADCAST_MEMBERS
         drawn = dissemination.choose_digests(
             len(alive),
-            self.members.heard_within(now, _FRESH_SECONDS),
+            self.members.seen_within(now, _FRESH_SECONDS),
             self._rng,
         )
         return heartbeats.Heartbeat(
-            sender=self.own_member(),
-            members=tuple(alive) if whole and is_small else (),
+            sender=self.local_member(),
+            members=tuple(alive) if full and is_small else (),
             digests=tuple(
-                members.Digest(one.ip, one.boot, one.heartbeat, one.phase)
-                for one in drawn
+                members.Digest(
+                    member.ip, member.boot, member.heartbeat, member.phase
+                )
+                for member in drawn
             ),
             in_flight_by_endpoint=self._cluster.in_flight_by_endpoint(now),
             operator_offset=self._offset(records.Topic.OPERATOR),
             endpoints_offset=self._offset(records.Topic.ENDPOINTS),
-            configuration=self._cluster.configuration,
-            operator_ends=self._ends_in(records.Topic.OPERATOR, now),
-            endpoints_ends=self._ends_in(records.Topic.ENDPOINTS, now),
-            versions=(
-                self._cluster.versions(now) if whole or wants_load else ()
+            configuration_version=self._cluster.configuration_version,
+            operator_read_ends_in=self._read_ends_in(
+                records.Topic.OPERATOR, now
+            ),
+            endpoints_read_ends_in=self._read_ends_in(
+                records.Topic.ENDPOINTS, now
             ),
-            held=self.held,
+            desired_versions=(
+                self._cluster.desired_versions(now)
+                if full or wants_load
+                else ()
+            ),
+            engine_statuses=self.engine_statuses,
             wants_load=wants_load,
         )
 
@@ -315,75 +348,80 @@
             self._offset(records.Topic.ENDPOINTS),
         )
 
-    def _whole_message(self) -> bytes:
-        return wire_heartbeats.write_heartbeat(self._own_heartbeat(whole=True))
+    def _compose_full_message(self) -> bytes:
+        return wire_heartbeats.write_heartbeat(
+            self._compose_heartbeat(full=True)
+        )
 
     def _offset(self, topic: records.Topic) -> int:
-        own = self._followers.get(topic)
-        return 0 if own is None else own.known.next_offset
-
-    def _ends_in(self, topic: records.Topic, now: float) -> float:
-        own = self._followers.get(topic)
-        return 0 if own is None else own.ends_in(now)
-
-    def _targets(self, *, whole: bool) -> list[str]:
-        """Return whom this heartbeat goes to."""
-        near, far = self.members.addresses(self._own.domain)
-        others: set[str] = set()
-        if self.is_new:
-            others.update(self._polling.next_seeds())
-        elif whole or not (near or far):
-            others.update(self._own.seeds, self._near_agents())
-        far.extend(others.difference(near, far))
+        topic_follower = self._followers.get(topic)
+        return 0 if topic_follower is None else topic_follower.state.next_offset
+
+    def _read_ends_in(self, topic: records.Topic, now: float) -> float:
+        topic_follower = self._followers.get(topic)
+        return 0 if topic_follower is None else topic_follower.read_ends_in(now)
+
+    def _targets(self, *, full: bool) -> list[str]:
+        """Return the IP addresses that a heartbeat goes to."""
+        near, far = self.members.split_by_domain(self._local_node.domain)
+        extra: set[str] = set()
+        if self.is_bootstrapping:
+            extra.update(self._polling.next_seeds())
+        elif full or not (near or far):
+            extra.update(self._local_node.seeds, self._nearby_agents())
+        far.extend(extra.difference(near, far))
         drawn = dissemination.choose_targets(near, far, self._rng)
-        return [*drawn, *self._relying().difference(drawn)]
+        return [*drawn, *self._dependents().difference(drawn)]
 
-    def tell_relying(self) -> None:
-        """Speak at once to those that are told of the store from here."""
-        self.tell(list(self._relying()))
-        if not self.is_new:
+    def update_dependents(self) -> None:
+        """Send a heartbeat at once to the entries that rely on this one."""
+        self.send_to(list(self._dependents()))
+        if not self.is_bootstrapping:
             now = asyncio.get_running_loop().time()
-            self._bootstrap.tell_waiting(now)
+            self._bootstrap.reply_to_waiting(now)
 
-    def _relying(self) -> set[str]:
-        """Return the entries that rely on this one for what the store has.
+    def _dependents(self) -> set[str]:
+        """Return the entries that get the store's records from this one.
 
-        They are told with each heartbeat, however many there are: one that
-        hears of no reader reads the store itself.
+        Each heartbeat goes to all of them, however many there are: an entry
+        that sees no reader of its region reads the store itself.
         """
-        if not any(one.is_reading for one in self._followers.values()):
+        if not any(
+            topic_follower.is_reading
+            for topic_follower in self._followers.values()
+        ):
             return set()
         now = asyncio.get_running_loop().time()
         return {
-            one.ip
-            for one in self.members.alive(now)
-            if one.region == self._own.region
+            member.ip
+            for member in self.members.alive(now)
+            if member.region == self._local_node.region
         }
 
-    def _near_agents(self) -> list[str]:
-        """Return agents of the own failure domain.
+    def _nearby_agents(self) -> list[str]:
+        """Return the agents of the local failure domain; none for an agent.
 
-        An agent learns from them which entries there are, and tells all of
-        them when its engine has new weights.
+        Heartbeats tell an agent which entries there are; it announces new
+        weights of its engine to all of them.
         """
-        if not self._own.callers:
+        if not self._local_node.callers:
             return []
         return [
             endpoint.listing.address.rpartition(':')[0]
             for endpoint in self._cluster.endpoints
-            if endpoint.listing.domain == self._own.domain
+            if endpoint.listing.domain == self._local_node.domain
             and endpoint.unusable_at is None
         ]
 
     def _send(self, payload: bytes, ip: str) -> None:
-        if self._transport is None or ip == self._own.ip:
+        if self._transport is None or ip == self._local_node.ip:
             return
         with contextlib.suppress(OSError):
-            self._transport.sendto(payload, (ip, self._own.first_port))
+            self._transport.sendto(payload, (ip, self._local_node.first_port))
 
 
 class _Datagrams(asyncio.DatagramProtocol):
-    """Hand datagrams on."""
+    """Passes received datagrams to :class:`Peers`."""
 
     def __init__(self, peers: Peers) -> None:
         self._peers = peers
@@ -393,8 +431,8 @@
         payload: bytes,
         address: tuple[str | typing.Any, int],
     ) -> None:
-        """Take one datagram."""
-        self._peers.heard(payload, str(address[0]))
+        """Handle one datagram."""
+        self._peers.receive(payload, str(address[0]))
 
     def error_received(self, error: Exception) -> None:
-        """Pass over a peer that isn't there; its silence says it."""
+        """Ignore an unreachable peer; its silence shows that it is gone."""
--- a/clementinepass/direct/leaving.py
+++ b/clementinepass/direct/leaving.py
@@ -65,17 +65,17 @@
         loop.add_signal_handler(signal.SIGINT, self._stop_requested.set)
         await self._stop_requested.wait()
         plan = self._drain_state.start(loop.time())
-        self._peers.phase = members.Phase.LEAVING
-        self._peers.speak()
-        self._front.leaving = True
+        self._peers.phase = members.Phase.DRAINING
+        self._peers.send_heartbeat()
+        self._front.is_draining = True
         self._request_handler.finish_by(plan.last_answer_at)
         logger.bind(
             connections=len(self._front.connections),
-            open=self._front.busy(),
+            open=self._front.busy_count(),
             lists_end=round(plan.lists_expire_at - plan.started_at, 3),
             last=round(plan.last_answer_at - plan.started_at, 3),
         ).info('leaving')
-        while not plan.may_end(loop.time(), self._front.busy()):
+        while not plan.may_end(loop.time(), self._front.busy_count()):
             await asyncio.sleep(_POLL_SECONDS)
         self._front.stop_listening()
         for _ in range(_FINAL_POLLS):
@@ -84,7 +84,7 @@
             await asyncio.sleep(_POLL_SECONDS)
         logger.bind(
             seconds=round(loop.time() - plan.started_at, 3),
-            open=self._front.busy(),
+            open=self._front.busy_count(),
             taken=self._drain_state.accepted_count,
             refused=self._drain_state.refused_count,
         ).info('stopped')
--- a/clementinepass/direct/peer_source.py
+++ b/clementinepass/direct/peer_source.py
@@ -35,8 +35,8 @@
 
     @property
     def last_received_at(self) -> float:
-        """Return the monotonic seconds at which its last byte arrived."""
-        return self._pool.heard
+        """Return when the agent last sent a byte, in monotonic seconds."""
+        return self._pool.last_received_at
 
     async def manifest(
         self,
@@ -106,9 +106,9 @@
             == b'1',
         )
 
-    def _decode(self, found: bytes, kind: typing.Any) -> typing.Any:
+    def _decode(self, body: bytes, body_type: typing.Any) -> typing.Any:
         try:
-            return msgspec.json.decode(found, type=kind)
+            return msgspec.json.decode(body, type=body_type)
         except msgspec.MsgspecError as error:
             raise errors.MalformedMessageError(
                 str(error),
@@ -120,7 +120,7 @@
         response = await self._request(target, seconds)
         return response.body if response.status == _OK else None
 
-    async def _request(self, target: str, seconds: float) -> pool.Fetched:
+    async def _request(self, target: str, seconds: float) -> pool.Answer:
         request = messages.request_bytes(
             b'GET',
             target.encode(),
--- a/clementinepass/direct/request_log.py
+++ b/clementinepass/direct/request_log.py
@@ -266,7 +266,7 @@
     def log_answered(self, admitted: serving.AdmittedRequest) -> None:
         """Log a request that was answered completely."""
         self._endings.inc({'ending': 'answered'})
-        received = admitted.call.request.received
+        received = admitted.call.request.received_at
         seconds = _now() - received
         labels = {'route': admitted.route.kind.value}
         self._request_seconds.observe(labels, seconds)
@@ -344,9 +344,9 @@
         logger.bind(
             request=admitted.call.id,
             since=round(seconds_draining, 3),
-            connected_for=round(request.received - request.connected, 3),
+            connected_for=round(request.received_at - request.connected_at, 3),
             number=request.number,
-            left=round(admitted.deadline - request.received, 3),
+            left=round(admitted.deadline - request.received_at, 3),
         ).info('taken while leaving')
 
 
@@ -362,16 +362,16 @@
     The fields distinguish a caller that timed out from one that left on its
     own, and show whether the entry or the endpoint was silent.
     """
-    received = admitted.call.request.received
+    received = admitted.call.request.received_at
     first_at = admitted.first_event_at
-    last_written_at = admitted.reply.written_at
+    last_written_at = admitted.reply.last_written_at
     event_wait = None
     if admitted.route.kind is routing.RouteKind.STREAM:
         event_wait = calls.max_event_wait(admitted.route)
     return {
         'seconds': round(now - received, 3),
         'left': round(admitted.deadline - now, 3),
-        'events': admitted.reply.pieces,
+        'events': admitted.reply.written_chunks,
         'first': None if first_at is None else round(first_at - received, 3),
         'waited': round(now - (last_written_at or received), 3),
         'patience': event_wait,
@@ -399,7 +399,7 @@
     is_silent = failure is serving.AttemptFailure.SILENT
     if (
         is_silent
-        and not admitted.reply.begun
+        and not admitted.reply.is_started
         and _now() >= admitted.start_deadline
     ):
         return serving.AttemptFailure.WEIGHTS_TOO_OLD
--- a/clementinepass/direct/selection.py
+++ b/clementinepass/direct/selection.py
@@ -64,12 +64,14 @@
         seconds, though an engine is available after half a second.
         """
         loop = asyncio.get_running_loop()
-        wait_deadline = admitted.call.request.received + _LOADING_WAIT_SECONDS
+        wait_deadline = (
+            admitted.call.request.received_at + _LOADING_WAIT_SECONDS
+        )
         endpoint = self.select(admitted)
         while endpoint is None and loop.time() < wait_deadline:
             if self._cluster.candidates(admitted.service, loop.time()):
                 break
-            if not self._cluster.loading(admitted.service, loop.time()):
+            if not self._cluster.is_loading(admitted.service, loop.time()):
                 break
             await asyncio.sleep(_POLL_SECONDS)
             endpoint = self.select(admitted)
@@ -194,7 +196,7 @@
     ) -> float:
         if engine is None:
             return math.inf
-        start_deadline = self._cluster.begin_by(
+        start_deadline = self._cluster.start_deadline(
             engine, endpoint.weights.version
         )
         return start_deadline - now
@@ -218,7 +220,7 @@
             slots=choice.slots,
             prompt_tokens=admitted.call.prompt_tokens,
             latency_target=admitted.route.latency_target,
-            elapsed_seconds=now - admitted.call.request.received,
+            elapsed_seconds=now - admitted.call.request.received_at,
         )
         return first_event.meets_target(pending_request, service_rate)
 
--- a/clementinepass/direct/uplink.py
+++ b/clementinepass/direct/uplink.py
@@ -65,7 +65,7 @@
         :param headers: headers that describe the pieces here.
         """
         async with self._lock:
-            reply.begin(_OK, headers)
+            reply.start(_OK, headers)
             for start in range(0, len(piece), _PART_BYTES):
                 part = piece[start : start + _PART_BYTES]
                 reply.write(part)
--- a/tests/direct/path_harness.py
+++ b/tests/direct/path_harness.py
@@ -129,7 +129,7 @@
         keys: tuple[bytes, ...] = (b'key',),
     ) -> None:
         """Put a configuration in force."""
-        self.cluster.configured(
+        self.cluster.apply_configuration(
             routing.Routing(
                 version,
                 routes,
@@ -155,7 +155,7 @@
             heartbeat=len(endpoint.came),
             weights=endpoints.Weights(1, 0, 2),
         )
-        self.cluster.listed(listing._replace(**changes))
+        self.cluster.update_listing(listing._replace(**changes))
 
     def idle_connections(self, endpoint_id: str) -> list[channel.Channel]:
         """Return the idle connections to an endpoint."""
@@ -173,7 +173,7 @@
         target: str,
         body: bytes = b'body',
         **headers: str,
-    ) -> pool.Fetched:
+    ) -> pool.Answer:
         """Send a request as a caller and return the complete answer."""
         assert self._callers is not None
         return await pool.fetch(
--- a/tests/direct/test_endpoint_loads.py
+++ b/tests/direct/test_endpoint_loads.py
@@ -45,9 +45,9 @@
     return routing.Routing(1, (), (service,), None, limits.Bounds())
 
 
-def load(active: int, queued: int, started: int = 0) -> heartbeats.Load:
+def load(active: int, queued: int, started: int = 0) -> heartbeats.EngineLoad:
     """Return an agent's load report."""
-    return heartbeats.Load(active, queued, started)
+    return heartbeats.EngineLoad(active, queued, started)
 
 
 class ReportedLoadTest(testtools.TestCase):
@@ -56,8 +56,8 @@
     def setUp(self) -> None:
         """List an engine with the count of another entry's requests."""
         super().setUp()
-        self.cluster = cluster_state.ClusterState(test_cluster_state.OWN)
-        self.cluster.listed(listing())
+        self.cluster = cluster_state.ClusterState(test_cluster_state.LOCAL_NODE)
+        self.cluster.update_listing(listing())
         self.cluster.loads.update_peer_counts('10.0.0.8', {'i-1': 9}, NOW)
         (self.engine,) = self.cluster.endpoints
 
@@ -68,31 +68,31 @@
     def test_report_replaces_counts(self) -> None:
         """A report replaces the counts of other entries, which may be old."""
         self.assertEqual(9, self.total())
-        self.cluster.heard_load(HOST, load(3, 2), NOW)
+        self.cluster.update_engine_load(HOST, load(3, 2), NOW)
 
         self.assertEqual(5, self.total())
         self.assertEqual(2, self.cluster.loads.unstarted(self.engine, NOW))
 
     def test_sent_since_report(self) -> None:
         """Requests sent since the last report are added until the next."""
-        self.cluster.heard_load(HOST, load(3, 0), NOW)
+        self.cluster.update_engine_load(HOST, load(3, 0), NOW)
         for after in (0.05, 0.09):
             self.engine.reported_load.record_sent(NOW + after)
         self.assertEqual(5, self.total())
 
-        self.cluster.heard_load(HOST, load(4, 0), NOW + 0.2)
+        self.cluster.update_engine_load(HOST, load(4, 0), NOW + 0.2)
         self.assertEqual(4, self.total())
 
     def test_sent_shortly_before_report(self) -> None:
         """A request sent shortly before a report arrives is added to it."""
         self.engine.reported_load.record_sent(NOW)
-        self.cluster.heard_load(HOST, load(3, 0), NOW + 0.01)
+        self.cluster.update_engine_load(HOST, load(3, 0), NOW + 0.01)
 
         self.assertEqual(4, self.total())
 
     def test_report_of_killed_agent(self) -> None:
         """The report of a killed agent expires."""
-        self.cluster.heard_load(HOST, load(0, 0), NOW)
+        self.cluster.update_engine_load(HOST, load(0, 0), NOW)
         self.assertEqual(0, self.total(after=0.9))
         self.assertEqual(9, self.total(after=1.1))
 
@@ -103,15 +103,15 @@
         counts. To the others the engine looked empty and attracted requests.
         """
         self.cluster.loads.update_peer_counts('10.0.0.8', {}, NOW)
-        self.cluster.heard_load(HOST, load(8, 5), NOW)
+        self.cluster.update_engine_load(HOST, load(8, 5), NOW)
         self.assertEqual(13, self.total(after=1.1))
         self.assertEqual(0, self.total(after=5.1))
 
     def test_report_of_previous_start(self) -> None:
         """A late report of the engine's previous start is ignored."""
-        self.cluster.listed(listing(started=5)._replace(heartbeat=2))
+        self.cluster.update_listing(listing(started=5)._replace(heartbeat=2))
         (self.engine,) = self.cluster.endpoints
-        self.cluster.heard_load(HOST, load(8, 8, started=4), NOW)
+        self.cluster.update_engine_load(HOST, load(8, 8, started=4), NOW)
 
         self.assertEqual(0, self.engine.reported_load.total)
 
@@ -120,7 +120,7 @@
         self.engine.in_flight = 2
         self.assertEqual({'i-1': 2}, self.cluster.in_flight_by_endpoint(NOW))
 
-        self.cluster.heard_load(HOST, load(2, 0), NOW)
+        self.cluster.update_engine_load(HOST, load(2, 0), NOW)
         self.assertEqual({}, self.cluster.in_flight_by_endpoint(NOW))
         self.assertEqual(
             {'i-1': 2}, self.cluster.in_flight_by_endpoint(NOW + 1.1)
@@ -144,9 +144,9 @@
     def test_lease(self) -> None:
         """A killed entry gets no reports after its lease."""
         agent_subscribers = subscribers.Subscribers()
-        agent_subscribers.renewed('10.0.0.1', NOW)
-        agent_subscribers.renewed('10.0.0.2', NOW)
-        agent_subscribers.renewed('10.0.0.2', NOW + 2)
+        agent_subscribers.renew('10.0.0.1', NOW)
+        agent_subscribers.renew('10.0.0.2', NOW)
+        agent_subscribers.renew('10.0.0.2', NOW + 2)
 
         self.assertEqual(
             ['10.0.0.1', '10.0.0.2'], agent_subscribers.due(NOW + 3)
@@ -163,11 +163,11 @@
     def setUp(self) -> None:
         """List engines of two domains, every second one without weights."""
         super().setUp()
-        self.cluster = cluster_state.ClusterState(test_cluster_state.OWN)
+        self.cluster = cluster_state.ClusterState(test_cluster_state.LOCAL_NODE)
         self.cluster.routing = routing_of_engines()
         for number in range(30):
             weights = endpoints.Weights(number % 2, 0, 4 * (number % 2))
-            self.cluster.listed(
+            self.cluster.update_listing(
                 listing()._replace(
                     id=f'i-{number}',
                     address=f'10.2.0.{number}:80',
@@ -175,8 +175,8 @@
                     weights=weights,
                 )
             )
-        self.subscribing = subscribing.Subscribing(
-            test_cluster_state.OWN, self.cluster, lambda ips: None
+        self.subscribing = subscribing.LoadSubscriptions(
+            test_cluster_state.LOCAL_NODE, self.cluster, lambda ips: None
         )
 
     def due_engines(self, after: float = 0) -> set[int]:
@@ -200,7 +200,7 @@
         """A subscription is renewed each second; a new one is due at once."""
         first_due = self.due_engines()
         self.assertEqual(set(), self.due_engines(after=0.9))
-        self.cluster.listed(
+        self.cluster.update_listing(
             listing()._replace(
                 id='i-99',
                 address='10.2.0.99:80',
--- a/tests/direct/test_leaving.py
+++ b/tests/direct/test_leaving.py
@@ -42,7 +42,7 @@
         #: The phases that were announced.
         self.announced_phases: list[members.Phase] = []
 
-    def speak(self) -> None:
+    def send_heartbeat(self) -> None:
         """Record the announced phase."""
         self.announced_phases.append(self.phase)
 
@@ -214,7 +214,7 @@
         async def scenario(harness: path_harness.PathHarness) -> None:
             peers = NoPeers()
             drain_task = await send_sigterm(harness, peers)
-            self.assertEqual([members.Phase.LEAVING], peers.announced_phases)
+            self.assertEqual([members.Phase.DRAINING], peers.announced_phases)
             answer = await harness.send('/plain/brief/a')
             self.assertEqual(b'close', answer.headers.get(b'connection'))
             await drain_task
@@ -276,7 +276,7 @@
 
     def configure(self, version: int, timeout: float) -> None:
         """Put a configuration with one route in force."""
-        self.cluster.configured(
+        self.cluster.apply_configuration(
             routing.Routing(
                 version,
                 [path_harness.route('s', timeout=timeout)],
--- a/tests/direct/test_path.py
+++ b/tests/direct/test_path.py
@@ -85,7 +85,7 @@
                     HOST, harness.port, 5
                 )
                 connection.send(path_harness.request('/once/a'))
-                head = await connection.answer_head()
+                head = await connection.read_head()
                 stamp = head.headers.get(b'x-server-stamp')
                 self.assertEqual(has_stamp, stamp is not None)
                 self.assertEqual(b'r-1', head.headers.get(b'x-attempt-id'))
@@ -100,7 +100,7 @@
             harness.set_shared_faults(Fault.CUT)
             connection = await channel.Channel.connect(HOST, harness.port, 5)
             connection.send(path_harness.request('/stream/a'))
-            head = await connection.answer_head()
+            head = await connection.read_head()
             first = next(
                 endpoint for endpoint in harness.endpoints if endpoint.ran
             )
@@ -439,15 +439,17 @@
             second = harness.endpoints[1]
             harness.list_endpoint(second, draining=True)
             connected = asyncio.Event()
-            take = pool.Pool.take
+            acquire = pool.Pool.acquire
 
-            async def slow(peers: pool.Pool, **limits: float) -> object:
-                connection = await take(peers, **limits)
+            async def acquire_slowly(
+                peers: pool.Pool, **limits: float
+            ) -> object:
+                connection = await acquire(peers, **limits)
                 if limits:  # The caller's own connections have none.
                     await connected.wait()
                 return connection
 
-            self.patch(pool.Pool, 'take', take_slowly)
+            self.patch(pool.Pool, 'acquire', acquire_slowly)
             pending_answer = asyncio.create_task(harness.send('/once/a'))
             now = asyncio.get_running_loop().time
             while not harness.cluster.in_flight_by_endpoint(now()):
@@ -478,7 +480,7 @@
                     weights=endpoints.Weights(2, 0, 0),
                 )
             pending_answer = asyncio.create_task(harness.send('/plain/a'))
-            while not harness.front.busy():
+            while not harness.front.busy_count():
                 await asyncio.sleep(0)
             self.assertEqual([], harness.received_requests)
             harness.list_endpoint(
@@ -519,7 +521,7 @@
                 heartbeat=99,
                 weights=endpoints.Weights(2, 0, 2),
             )
-            harness.cluster.named('m', 2, now - 60)
+            harness.cluster.add_desired_version('m', 2, now - 60)
             for _ in range(8):
                 await harness.send('/plain/a')
             self.assertEqual([], harness.endpoints[0].came)
@@ -539,7 +541,7 @@
         async def scenario(harness: path_harness.PathHarness) -> None:
             now = asyncio.get_running_loop().time()
             harness.set_shared_faults(Fault.MUTE, Fault.MUTE)
-            harness.cluster.named(
+            harness.cluster.add_desired_version(
                 'm', 2, now - path_harness.DUTIES.version + 0.9
             )
             answer = await harness.send('/stream/a')
@@ -561,7 +563,7 @@
             loop = asyncio.get_running_loop()
             now = loop.time()
             harness.set_shared_faults(Fault.CUT, Fault.MUTE)
-            harness.cluster.named(
+            harness.cluster.add_desired_version(
                 'm', 2, now - path_harness.DUTIES.version + 0.9
             )
             with self.assertRaises(channel.ChannelBrokenError):
@@ -581,7 +583,7 @@
 
         async def scenario(harness: path_harness.PathHarness) -> None:
             now = asyncio.get_running_loop().time()
-            harness.cluster.named(
+            harness.cluster.add_desired_version(
                 'm', 2, now - path_harness.DUTIES.version + 0.9
             )
             harness.cluster.loads.update_peer_counts(
@@ -599,7 +601,7 @@
         async def scenario(harness: path_harness.PathHarness) -> None:
             now = asyncio.get_running_loop().time()
             harness.set_shared_faults(Fault.CUT)
-            harness.cluster.named(
+            harness.cluster.add_desired_version(
                 'm', 2, now - path_harness.DUTIES.version + 0.9
             )
             harness.cluster.loads.update_peer_counts(
--- a/tests/direct/test_piece_server.py
+++ b/tests/direct/test_piece_server.py
@@ -30,7 +30,7 @@
         self._name = name
         self.is_ended = False
 
-    def begin(self, status: int, pairs: list[typing.Any]) -> None:
+    def start(self, status: int, pairs: list[typing.Any]) -> None:
         """Ignore the head."""
 
     def write(self, payload: bytes) -> None:
