--- a/clementinepass/direct/request_log.py
+++ b/clementinepass/direct/request_log.py
@@ -364,7 +364,7 @@
     """
     received = admitted.call.request.received_at
     first_at = admitted.first_event_at
-    last_written_at = admitted.reply.last_written_at
+    last_sent_at = admitted.reply.last_written_at
     event_wait = None
     if admitted.route.kind is routing.RouteKind.STREAM:
         event_wait = calls.max_event_wait(admitted.route)
@@ -373,7 +373,7 @@
         'left': round(admitted.deadline - now, 3),
         'events': admitted.reply.written_chunks,
         'first': None if first_at is None else round(first_at - received, 3),
-        'waited': round(now - (last_written_at or received), 3),
+        'waited': round(now - (last_sent_at or received), 3),
         'patience': event_wait,
         'endpoint': admitted.attempts[-1].peer if admitted.attempts else None,
         'silent': _round_or_none(admitted.silent_seconds(now)),
