--- a/clementinepass/platform/directory.py
+++ b/clementinepass/platform/directory.py
@@ -58,5 +58,5 @@
     ) -> None:
         now = asyncio.get_running_loop().time()
         addresses = entry_directory.listed_addresses(now)[:_MAX_ADDRESSES]
-        resolved = _Resolved(addresses, entry_directory.list_max_age(now))
+        resolved = _Resolved(addresses, entry_directory.list_ttl_seconds(now))
         reply.send(_OK, _JSON, msgspec.json.encode(resolved))
--- a/tests/direct/test_endpoints.py
+++ b/tests/direct/test_endpoints.py
@@ -1,4 +1,4 @@
-"""Tests of what is believed of endpoints."""
+"""Tests of the table of endpoints."""
 
 from __future__ import annotations
 
@@ -23,7 +23,7 @@
 
 
 def listing(**changes: typing.Any) -> endpoints.Listing:
-    """Return an endpoint's word, changed in some fields."""
+    """Return a record of an endpoint with some fields changed."""
     usual = endpoints.Listing(
         'i-1',
         'pool',
@@ -38,76 +38,81 @@
 
 
 class EndpointsTest(testtools.TestCase):
-    """Older words, lapses and other endpoints at an address."""
+    """Older records, expiry, and other endpoints at an address."""
 
     def setUp(self) -> None:
         super().setUp()
-        self.known = endpoints.Endpoints()
-        self.known.apply_listing(listing())
+        self.endpoint_table = endpoints.Endpoints()
+        self.endpoint_table.apply_listing(listing())
 
-    def usable(self, now: float = 0) -> list[str]:
+    def usable_ids(self, now: float = 0) -> list[str]:
         """Return the ids of those that may be used."""
         return [
-            one.listing.id for one in self.known.usable_for_service('pool', now)
+            endpoint.listing.id
+            for endpoint in self.endpoint_table.usable_for_service('pool', now)
         ]
 
-    def test_replaced_at_its_address(self) -> None:
-        """All lost their power; the list named who had been there, too.
+    def test_replaced_at_address(self) -> None:
+        """The newest record at an address replaces older ones.
 
-        Each entry sent to each of those once, and was told that another is
-        there now, until it might send nothing more.
+        After a power loss the list named the previous endpoints as well. Each
+        entry sent a request to each of them and was rejected by the endpoint now
+        at the address, until it had no attempts left.
         """
-        self.known.apply_listing(listing(id='i-2', record_offset=9))
-        self.assertEqual(['i-2'], self.usable())
-        self.known.apply_listing(listing(id='i-0', record_offset=3))
-        self.assertEqual(['i-2'], self.usable())
-
-    def test_address_named_by_another_service(self) -> None:
-        """A wrong record takes no endpoint away from another service."""
-        self.known.apply_listing(
+        self.endpoint_table.apply_listing(listing(id='i-2', record_offset=9))
+        self.assertEqual(['i-2'], self.usable_ids())
+        self.endpoint_table.apply_listing(listing(id='i-0', record_offset=3))
+        self.assertEqual(['i-2'], self.usable_ids())
+
+    def test_address_in_another_service(self) -> None:
+        """A wrong record does not replace an endpoint of another service."""
+        self.endpoint_table.apply_listing(
             listing(id='i-2', service='other', record_offset=9)
         )
-        self.assertEqual(['i-1'], self.usable())
-
-    def test_newer_word_at_an_address(self) -> None:
-        """Whoever writes last is there; a word of its start isn't needed."""
-        self.known.apply_listing(listing(id='i-2', record_offset=9))
-        self.known.apply_listing(listing(heartbeat=6, record_offset=12))
-        self.assertEqual(['i-1'], self.usable())
-
-    def test_replacement_refuted(self) -> None:
-        """A record named an address that isn't its endpoint's."""
-        self.known.apply_listing(listing(id='i-2', record_offset=9))
-        replacement = self.known.get('i-2')
+        self.assertEqual(['i-1'], self.usable_ids())
+
+    def test_newest_record_at_address(self) -> None:
+        """The last record at an address counts, also without a start time."""
+        self.endpoint_table.apply_listing(listing(id='i-2', record_offset=9))
+        self.endpoint_table.apply_listing(
+            listing(heartbeat=6, record_offset=12)
+        )
+        self.assertEqual(['i-1'], self.usable_ids())
+
+    def test_replacement_misdirected(self) -> None:
+        """A misdirected endpoint replaces no other at its address."""
+        self.endpoint_table.apply_listing(listing(id='i-2', record_offset=9))
+        replacement = self.endpoint_table.get('i-2')
         assert replacement is not None
         replacement.is_misdirected = True
-        self.assertEqual(['i-1'], self.usable())
+        self.assertEqual(['i-1'], self.usable_ids())
 
     def test_replacement_moved(self) -> None:
-        """The one that replaced an endpoint started anew elsewhere."""
-        self.known.apply_listing(listing(id='i-2', record_offset=9))
-        self.known.apply_listing(
+        """An endpoint is usable again if its replacement moves elsewhere."""
+        self.endpoint_table.apply_listing(listing(id='i-2', record_offset=9))
+        self.endpoint_table.apply_listing(
             listing(id='i-2', address='10.0.0.7:80', record_offset=10)
         )
-        self.assertEqual({'i-1', 'i-2'}, set(self.usable()))
+        self.assertEqual({'i-1', 'i-2'}, set(self.usable_ids()))
 
-    def test_replacement_gone(self) -> None:
-        """The record of who replaced an endpoint is dropped."""
-        self.known.apply_listing(listing(id='i-2', record_offset=9))
-        self.known.mark_removed('i-2', 5, 0)
-        self.assertEqual(['i-1'], self.usable(6))
+    def test_replacement_removed(self) -> None:
+        """An endpoint is usable again if its replacement is removed."""
+        self.endpoint_table.apply_listing(listing(id='i-2', record_offset=9))
+        self.endpoint_table.mark_removed('i-2', 5, 0)
+        self.assertEqual(['i-1'], self.usable_ids(6))
 
     def test_stalled(self) -> None:
-        """A machine stood still for four seconds and drew a third of the load.
+        """An endpoint that sends nothing on two streams is stalled.
 
-        Its requests were given up after more than a second each, so that by
-        its count it was the emptiest. Nothing had come from it since it froze.
+        An instance froze for four seconds and attracted a third of the load. Its
+        requests were abandoned after more than a second each, so that it looked
+        like the emptiest one.
         """
-        endpoint = self.known.get('i-1')
+        endpoint = self.endpoint_table.get('i-1')
         assert endpoint is not None
         endpoint.last_received_at = 10
         endpoint.in_flight = 3
-        # Nothing has begun: all may wait behind the requests of others.
+        # No request has started: all may wait behind those of other entries.
         self.assertFalse(endpoint.is_stalled(12))
         endpoint.active_streams = 2
         self.assertFalse(endpoint.is_stalled(10.5))
@@ -117,70 +122,76 @@
         endpoint.active_streams = 1
         self.assertFalse(endpoint.is_stalled(12))
 
-    def test_old_word(self) -> None:
-        """A word from before the endpoint was leaving comes late.
+    def test_late_heartbeat(self) -> None:
+        """A late record from before the drain is ignored.
 
-        Requests went to an endpoint four seconds after it had said that it
-        was leaving: an older heartbeat had been read after that.
+        Requests were sent to an endpoint four seconds after it announced its
+        drain, as an older heartbeat was read after that.
         """
-        self.known.apply_listing(listing(draining=True, heartbeat=7))
-        self.assertFalse(self.known.apply_listing(listing(heartbeat=6)))
-        self.assertEqual([], self.usable())
+        self.endpoint_table.apply_listing(listing(draining=True, heartbeat=7))
+        self.assertFalse(
+            self.endpoint_table.apply_listing(listing(heartbeat=6))
+        )
+        self.assertEqual([], self.usable_ids())
 
-    def test_leaving_overtaken(self) -> None:
-        """An endpoint's word that it leaves comes after a later heartbeat.
+    def test_late_drain_record(self) -> None:
+        """A drain counts even if its record arrives after a later heartbeat.
 
-        A request went to an endpoint 2.3 seconds after the store had its word
-        that it was leaving. That word had been taken for an old one: its
-        number was lower than the last heartbeat's.
+        A request was sent to an endpoint 2.3 seconds after the store had the
+        record of its drain. The record was ignored, as its heartbeat number was
+        lower than the last one.
         """
-        self.known.apply_listing(listing(heartbeat=8))
+        self.endpoint_table.apply_listing(listing(heartbeat=8))
         self.assertTrue(
-            self.known.apply_listing(listing(draining=True, heartbeat=7))
+            self.endpoint_table.apply_listing(
+                listing(draining=True, heartbeat=7)
+            )
         )
-        self.assertEqual([], self.usable())
-        self.known.apply_listing(listing(heartbeat=9))
-        self.assertEqual([], self.usable())
+        self.assertEqual([], self.usable_ids())
+        self.endpoint_table.apply_listing(listing(heartbeat=9))
+        self.assertEqual([], self.usable_ids())
 
-    def test_leaving_is_final(self) -> None:
-        """An endpoint that leaves never stays, as long as it runs.
+    def test_drain_is_final(self) -> None:
+        """A draining endpoint never becomes usable again while it runs.
 
-        Where no start is told, nothing tells a new one from a late word.
+        Without a start time, a restart cannot be distinguished from a late
+        record.
         """
-        self.known.apply_listing(listing(draining=True, heartbeat=7))
-        self.known.apply_listing(listing(heartbeat=8))
-        self.assertEqual([], self.usable())
+        self.endpoint_table.apply_listing(listing(draining=True, heartbeat=7))
+        self.endpoint_table.apply_listing(listing(heartbeat=8))
+        self.assertEqual([], self.usable_ids())
 
-    def test_lapsed_while_the_store_was_away(self) -> None:
-        """All endpoints vanished from the list when the store came back.
+    def test_record_expired_during_outage(self) -> None:
+        """Endpoints whose records expired in an outage remain usable.
 
-        Every request was refused until they had listed themselves again,
-        though all of them lived.
+        All endpoints vanished from the list when the store came back. Requests
+        were refused until the endpoints had listed themselves again, though all
+        of them were alive.
         """
-        self.known.mark_removed('i-1', now=10, grace=2)
-        self.assertEqual(['i-1'], self.usable(11.9))
-        self.assertEqual([], self.usable(12))
-        self.known.apply_listing(listing(heartbeat=1))
-        self.assertEqual(['i-1'], self.usable(12))
-
-    def test_gone_at_once(self) -> None:
-        """One that the list drops in quiet times is gone."""
-        self.known.mark_removed('i-1', now=10, grace=0)
-        self.assertEqual([], self.usable(10))
-
-    def test_forgotten(self) -> None:
-        """One that is gone is kept while a request is still there."""
-        one = self.known.get('i-1')
-        assert one is not None
-        one.in_flight = 1
-        self.known.mark_removed('i-1', now=10, grace=0)
-        self.assertEqual([], self.known.remove_expired(20))
-        one.in_flight = 0
-        self.assertEqual([one], self.known.remove_expired(20))
-        self.assertIsNone(self.known.get('i-1'))
-
-    def test_layers(self) -> None:
-        """Only whole weights, of the version or a newer one, serve."""
+        self.endpoint_table.mark_removed('i-1', now=10, grace=2)
+        self.assertEqual(['i-1'], self.usable_ids(11.9))
+        self.assertEqual([], self.usable_ids(12))
+        self.endpoint_table.apply_listing(listing(heartbeat=1))
+        self.assertEqual(['i-1'], self.usable_ids(12))
+
+    def test_removed_without_grace(self) -> None:
+        """An endpoint that is removed without an outage is unusable at once."""
+        self.endpoint_table.mark_removed('i-1', now=10, grace=0)
+        self.assertEqual([], self.usable_ids(10))
+
+    def test_kept_while_in_flight(self) -> None:
+        """A removed endpoint is kept while it has a request in flight."""
+        endpoint = self.endpoint_table.get('i-1')
+        assert endpoint is not None
+        endpoint.in_flight = 1
+        self.endpoint_table.mark_removed('i-1', now=10, grace=0)
+        self.assertEqual([], self.endpoint_table.remove_expired(20))
+        endpoint.in_flight = 0
+        self.assertEqual([endpoint], self.endpoint_table.remove_expired(20))
+        self.assertIsNone(self.endpoint_table.get('i-1'))
+
+    def test_has_weights(self) -> None:
+        """Only complete weights, of the version or a newer one, are usable."""
         table = (
             (endpoints.Weights(0, 0, 0), 0, False),
             (endpoints.Weights(1, 0, 16), 0, True),
@@ -191,96 +202,105 @@
             (endpoints.Weights(2, 0, 0), 2, False),
         )
         for weights, version, expected in table:
-            one = endpoints.Endpoint(listing(weights=weights))
+            endpoint = endpoints.Endpoint(listing(weights=weights))
             self.assertEqual(
-                expected, one.has_weights(ENGINE, version), weights
+                expected, endpoint.has_weights(ENGINE, version), weights
             )
 
 
 class RestartTest(testtools.TestCase):
-    """An endpoint starts again under the id that it had."""
+    """An endpoint restarts under its id."""
 
     def setUp(self) -> None:
         super().setUp()
-        self.known = endpoints.Endpoints()
-        self.known.apply_listing(listing(started_ms=1000, heartbeat=50))
+        self.endpoint_table = endpoints.Endpoints()
+        self.endpoint_table.apply_listing(
+            listing(started_ms=1000, heartbeat=50)
+        )
 
-    def usable(self, now: float = 0) -> list[str]:
+    def usable_ids(self, now: float = 0) -> list[str]:
         """Return the ids of those that may be used."""
         return [
-            one.listing.id for one in self.known.usable_for_service('pool', now)
+            endpoint.listing.id
+            for endpoint in self.endpoint_table.usable_for_service('pool', now)
         ]
 
-    def held(self) -> endpoints.Weights:
-        """Return what the endpoint is believed to hold."""
-        one = self.known.get('i-1')
-        assert one is not None
-        return one.weights
+    def loaded_weights(self) -> endpoints.Weights:
+        """Return the weights that the endpoint is known to have loaded."""
+        endpoint = self.endpoint_table.get('i-1')
+        assert endpoint is not None
+        return endpoint.weights
 
-    def test_back_after_leaving(self) -> None:
-        """An endpoint that had left came back, and was never used again.
+    def test_usable_after_drain(self) -> None:
+        """An endpoint that drained is usable after its restart.
 
-        Its counts began anew, so its words were also taken for old ones.
+        It was never used again: its heartbeat numbers restarted, so that its
+        records were taken for old ones.
         """
-        self.known.apply_listing(
+        self.endpoint_table.apply_listing(
             listing(started_ms=1000, heartbeat=51, draining=True),
         )
-        self.assertEqual([], self.usable())
+        self.assertEqual([], self.usable_ids())
         self.assertTrue(
-            self.known.apply_listing(listing(started_ms=2000, heartbeat=1))
+            self.endpoint_table.apply_listing(
+                listing(started_ms=2000, heartbeat=1)
+            )
         )
-        self.assertEqual(['i-1'], self.usable())
+        self.assertEqual(['i-1'], self.usable_ids())
 
-    def test_late_word_of_the_start_before(self) -> None:
-        """A word of the start before comes late, with a higher count.
+    def test_late_record_of_previous_start(self) -> None:
+        """A late record of the previous start is ignored.
 
-        The endpoint was taken for leaving, or for holding what it had held.
+        Its heartbeat number is higher. It was applied, and the endpoint seemed
+        to drain or to have its former weights.
         """
         empty = endpoints.Weights(0, 0, 0)
-        self.known.apply_listing(
+        self.endpoint_table.apply_listing(
             listing(started_ms=2000, heartbeat=1, weights=empty)
         )
-        for late in (
+        for late_record in (
             listing(started_ms=1000, heartbeat=99),
             listing(started_ms=1000, heartbeat=99, draining=True),
             listing(started_ms=1000, heartbeat=99, address='10.0.0.9:80'),
         ):
-            self.assertFalse(self.known.apply_listing(late))
-            self.assertEqual(empty, self.held())
-            self.assertEqual(['i-1'], self.usable())
-        self.known.mark_removed('i-1', now=10, grace=0)
+            self.assertFalse(self.endpoint_table.apply_listing(late_record))
+            self.assertEqual(empty, self.loaded_weights())
+            self.assertEqual(['i-1'], self.usable_ids())
+        self.endpoint_table.mark_removed('i-1', now=10, grace=0)
         self.assertFalse(
-            self.known.apply_listing(listing(started_ms=1000, heartbeat=99))
+            self.endpoint_table.apply_listing(
+                listing(started_ms=1000, heartbeat=99)
+            )
         )
-        self.assertEqual([], self.usable(10))
+        self.assertEqual([], self.usable_ids(10))
 
-    def test_nothing_is_kept(self) -> None:
-        """All that was known of the start before is dropped.
+    def test_state_of_previous_start_is_dropped(self) -> None:
+        """All that was known of the previous start is dropped.
 
-        Another had answered at its address, streams of it had stalled, and
-        requests hung on connections that were gone: it was passed by, though
-        it was new and empty.
+        The previous start was misdirected, its streams had stalled and requests
+        hung on dead connections. The restarted endpoint was skipped for that,
+        though it was empty.
         """
-        before = self.known.get('i-1')
+        before = self.endpoint_table.get('i-1')
         assert before is not None
         before.is_misdirected = True
         before.in_flight = 7
         before.active_streams = 7
         before.congested_until = 99
-        self.known.apply_listing(listing(started_ms=2000, heartbeat=1))
-        after = self.known.get('i-1')
+        self.endpoint_table.apply_listing(listing(started_ms=2000, heartbeat=1))
+        after = self.endpoint_table.get('i-1')
         assert after is not None
-        self.assertEqual(['i-1'], self.usable())
+        self.assertEqual(['i-1'], self.usable_ids())
         self.assertFalse(after.is_stalled(99))
-        # What still ends there ends at the start before.
+        # Requests in flight are counted for the previous start.
         before.in_flight -= 1
         self.assertEqual((0, 6), (after.in_flight, before.in_flight))
 
     def test_another_service(self) -> None:
-        """An id came back at another service, and tidying failed for good.
+        """An endpoint that restarts in another service can be removed.
 
-        The endpoint stood in the table of its old service, and was looked
-        for in that of the new one.
+        The endpoint was in the table of its old service and was looked up in
+        that of the new one, so that the removal of expired endpoints failed.
         """
         for start in (2000, 0):
             elsewhere = listing(
@@ -289,37 +309,41 @@
                 service=f'other-{start}',
                 address='10.0.0.9:80',
             )
-            self.known.apply_listing(elsewhere)
-            self.assertEqual([], self.usable())
-        self.known.mark_removed('i-1', now=10, grace=0)
-        self.assertEqual(1, len(self.known.remove_expired(20)))
-
-    def test_untold_start(self) -> None:
-        """Writers that don't tell their start are ordered as before."""
-        self.assertFalse(self.known.apply_listing(listing(heartbeat=49)))
+            self.endpoint_table.apply_listing(elsewhere)
+            self.assertEqual([], self.usable_ids())
+        self.endpoint_table.mark_removed('i-1', now=10, grace=0)
+        self.assertEqual(1, len(self.endpoint_table.remove_expired(20)))
+
+    def test_unknown_start(self) -> None:
+        """Records without a start time are ordered by their heartbeat."""
+        self.assertFalse(
+            self.endpoint_table.apply_listing(listing(heartbeat=49))
+        )
         self.assertTrue(
-            self.known.apply_listing(listing(heartbeat=51, slots=8))
+            self.endpoint_table.apply_listing(listing(heartbeat=51, slots=8))
+        )
+        endpoint = self.endpoint_table.get('i-1')
+        assert endpoint is not None
+        self.assertEqual(
+            (1000, 8), (endpoint.listing.started_ms, endpoint.listing.slots)
         )
-        one = self.known.get('i-1')
-        assert one is not None
-        self.assertEqual((1000, 8), (one.listing.started_ms, one.listing.slots))
 
-    def test_any_words_in_any_order(self) -> None:
-        """Whatever comes when: starts don't go back, and leaving is final.
+    def test_random_records(self) -> None:
+        """In any order of records, starts never go back and drains are final.
 
-        Words of three starts, some of them from elsewhere, with the list
-        dropping the endpoint and malformed records in between.
+        The records are of three starts, some in another service, mixed with
+        removals and malformed records.
         """
         for seed in range(300):
-            self.play(random.Random(seed), seed)
+            self.apply_random_records(random.Random(seed), seed)
 
-    def play(self, rng: random.Random, seed: int) -> None:
-        """Take words and check what is believed after each."""
-        known = endpoints.Endpoints()
-        newest = 0
-        left: set[int] = set()
+    def apply_random_records(self, rng: random.Random, seed: int) -> None:
+        """Apply random records and check the table after each."""
+        table = endpoints.Endpoints()
+        newest_start = 0
+        drained_starts: set[int] = set()
         for now in range(60):
-            word = listing(
+            record = listing(
                 started_ms=rng.randrange(1, 4),
                 heartbeat=rng.randrange(1, 30),
                 draining=rng.random() < 0.1,
@@ -328,44 +352,49 @@
             )
             event = rng.random()
             if event < 0.1:
-                known.mark_removed('i-1', now, grace=0)
+                table.mark_removed('i-1', now, grace=0)
             elif event < 0.2:
-                known.mark_unreadable('i-1')
+                table.mark_unreadable('i-1')
             elif event < 0.25:
-                known.remove_expired(now)
-                if known.get('i-1') is None:
-                    newest, left = 0, set()
-            elif known.apply_listing(word):
-                self.assertGreaterEqual(word.started_ms, newest, seed)
-                newest = word.started_ms
-            one = known.get('i-1')
-            if one is None:
+                table.remove_expired(now)
+                if table.get('i-1') is None:
+                    newest_start, drained_starts = 0, set()
+            elif table.apply_listing(record):
+                self.assertGreaterEqual(record.started_ms, newest_start, seed)
+                newest_start = record.started_ms
+            endpoint = table.get('i-1')
+            if endpoint is None:
                 continue
-            if one.listing.draining:
-                left.add(one.listing.started_ms)
-            self.assertEqual(newest, one.listing.started_ms, seed)
-            if newest in left:
-                self.assertFalse(one.is_usable(now), seed)
-            served = [
-                each.listing.id
+            if endpoint.listing.draining:
+                drained_starts.add(endpoint.listing.started_ms)
+            self.assertEqual(newest_start, endpoint.listing.started_ms, seed)
+            if newest_start in drained_starts:
+                self.assertFalse(endpoint.is_usable(now), seed)
+            usable_ids = [
+                usable.listing.id
                 for service in ('pool', 'other')
-                for each in known.usable_for_service(service, now)
+                for usable in table.usable_for_service(service, now)
             ]
-            self.assertEqual(int(one.is_usable(now)), len(served), seed)
+            self.assertEqual(
+                int(endpoint.is_usable(now)), len(usable_ids), seed
+            )
 
     def test_unreadable(self) -> None:
-        """A state that this version doesn't know, under a known id.
+        """An endpoint with a malformed record is unusable until the next one.
 
-        The endpoint got requests by the record before. Its next word is
-        believed again, and nothing known of it was lost.
+        An endpoint with a state unknown to this version got requests by its
+        previous record. The next valid record makes it usable again, with its
+        state kept.
         """
-        self.assertFalse(self.known.mark_unreadable('i-unknown'))
-        self.assertTrue(self.known.mark_unreadable('i-1'))
-        self.assertFalse(self.known.mark_unreadable('i-1'))
-        self.assertEqual([], self.usable())
-        one = self.known.get('i-1')
+        self.assertFalse(self.endpoint_table.mark_unreadable('i-unknown'))
+        self.assertTrue(self.endpoint_table.mark_unreadable('i-1'))
+        self.assertFalse(self.endpoint_table.mark_unreadable('i-1'))
+        self.assertEqual([], self.usable_ids())
+        endpoint = self.endpoint_table.get('i-1')
         self.assertTrue(
-            self.known.apply_listing(listing(started_ms=1000, heartbeat=51))
+            self.endpoint_table.apply_listing(
+                listing(started_ms=1000, heartbeat=51)
+            )
         )
-        self.assertEqual(['i-1'], self.usable())
-        self.assertIs(one, self.known.get('i-1'))
+        self.assertEqual(['i-1'], self.usable_ids())
+        self.assertIs(endpoint, self.endpoint_table.get('i-1'))
--- a/tests/direct/test_path.py
+++ b/tests/direct/test_path.py
@@ -1,4 +1,4 @@
-"""Tests of the path of a request, with endpoints that fail in each way."""
+"""Tests of serving requests with endpoints that fail in different ways."""
 
 from __future__ import annotations
 
@@ -9,13 +9,15 @@
 from clementinepass.direct import endpoints, routing
 from clementinepass.http import channel, pool
 from standins import direct_endpoint
-from tests.direct import path_world
+from tests.direct import path_harness
 
 Fault = direct_endpoint.Fault
-EVENTS = b''.join(b'id: %d\ndata: %d\n\n' % (one, one) for one in range(3))
-HOST = path_world.HOST
+EVENTS = b''.join(
+    b'id: %d\ndata: %d\n\n' % (number, number) for number in range(3)
+)
+HOST = path_harness.HOST
 
-#: Targets, what goes wrong, the status for the caller, how often it ran.
+#: Target, faults of the endpoints, status for the caller, number of runs.
 OUTCOMES = (
     ('/stream/a', (), 200, 1),
     ('/stream/a', (Fault.FULL,), 200, 1),
@@ -44,87 +46,96 @@
 )
 
 
-class OutcomeTest(testtools.TestCase):
-    """Each outcome gets the status that is true of it."""
+class FaultOutcomeTest(testtools.TestCase):
+    """The status that callers get for faults of endpoints."""
 
-    def test_table(self) -> None:
-        """Nothing runs twice that must not; 503 means that it never ran."""
+    def test_status_and_runs(self) -> None:
+        """No request runs more often than allowed; 503 means that it never ran."""
         for target, faults, status, runs in OUTCOMES:
-            story = (target, faults)
+            case = (target, faults)
 
-            async def play(
-                world: path_world.PathWorld,
+            async def scenario(
+                harness: path_harness.PathHarness,
                 target: str = target,
                 faults: tuple[Fault, ...] = faults,
                 status: int = status,
                 runs: int = runs,
             ) -> None:
-                world.fail_first(*faults)
-                fetched = await world.ask(target)
+                harness.set_shared_faults(*faults)
+                answer = await harness.send(target)
                 self.assertEqual(
-                    (status, runs), (fetched.status, len(world.ran))
+                    (status, runs),
+                    (answer.status, len(harness.executed_requests)),
                 )
                 if status == 200 and target.startswith('/stream'):
-                    self.assertEqual(EVENTS, fetched.body)
+                    self.assertEqual(EVENTS, answer.body)
 
             try:
-                path_world.run(play)
+                path_harness.run(scenario)
             except Exception as error:
-                raise AssertionError(story) from error
+                raise AssertionError(case) from error
 
-    def test_answer_is_the_endpoints(self) -> None:
-        """Status, body and stamp come through; an own answer has no stamp."""
+    def test_stamp_only_of_endpoints(self) -> None:
+        """An endpoint's stamp is forwarded; answers of the entry have none."""
 
-        async def play(world: path_world.PathWorld) -> None:
-            for fault, stamped in ((None, True), (Fault.LOST, False)):
-                world.fail_first(*([fault] if fault else []))
-                used = await channel.Channel.connect(HOST, world.port, 5)
-                used.send(path_world.request('/once/a'))
-                head = await used.read_head()
+        async def scenario(harness: path_harness.PathHarness) -> None:
+            for fault, has_stamp in ((None, True), (Fault.LOST, False)):
+                harness.set_shared_faults(*([fault] if fault else []))
+                connection = await channel.Channel.connect(
+                    HOST, harness.port, 5
+                )
+                connection.send(path_harness.request('/once/a'))
+                head = await connection.read_head()
                 stamp = head.headers.get(b'x-server-stamp')
-                self.assertEqual(stamped, stamp is not None)
+                self.assertEqual(has_stamp, stamp is not None)
                 self.assertEqual(b'r-1', head.headers.get(b'x-attempt-id'))
-                used.abort()
+                connection.abort()
 
-        path_world.run(play)
+        path_harness.run(scenario)
 
-    def test_stamp_of_the_first(self) -> None:
-        """A stream that is resumed keeps the head of its first endpoint."""
+    def test_resumed_stream_keeps_first_head(self) -> None:
+        """A resumed stream keeps the head of its first endpoint."""
 
-        async def play(world: path_world.PathWorld) -> None:
-            world.fail_first(Fault.CUT)
-            used = await channel.Channel.connect(HOST, world.port, 5)
-            used.send(path_world.request('/stream/a'))
-            head = await used.read_head()
-            first = next(one for one in world.endpoints if one.ran)
+        async def scenario(harness: path_harness.PathHarness) -> None:
+            harness.set_shared_faults(Fault.CUT)
+            connection = await channel.Channel.connect(HOST, harness.port, 5)
+            connection.send(path_harness.request('/stream/a'))
+            head = await connection.read_head()
+            first = next(
+                endpoint for endpoint in harness.endpoints if endpoint.ran
+            )
             self.assertEqual(
                 b'stamp-%b' % first.id.encode(),
                 head.headers.get(b'x-server-stamp'),
             )
-            while await used.read():
+            while await connection.read():
                 """Read to the end."""
-            second = next(one for one in world.endpoints if one is not first)
-            resumed = second.ran[0].headers
-            self.assertEqual(b'0', resumed.get(b'last-event-id'))
+            second = next(
+                endpoint
+                for endpoint in harness.endpoints
+                if endpoint is not first
+            )
+            resumed_headers = second.ran[0].headers
+            self.assertEqual(b'0', resumed_headers.get(b'last-event-id'))
 
-        path_world.run(play)
+        path_harness.run(scenario)
 
-    def test_broken_stream_does_not_look_whole(self) -> None:
-        """A stream that can't be resumed ends without its last chunk."""
+    def test_broken_stream_has_no_last_chunk(self) -> None:
+        """A stream that can't be resumed ends without the final chunk."""
 
-        async def play(world: path_world.PathWorld) -> None:
-            world.fail_first(Fault.CUT, Fault.CUT)
+        async def scenario(harness: path_harness.PathHarness) -> None:
+            harness.set_shared_faults(Fault.CUT, Fault.CUT)
             with testtools.ExpectedException(channel.ChannelBrokenError):
-                await world.ask('/stream/once/a')
+                await harness.send('/stream/once/a')
 
-        path_world.run(play)
+        path_harness.run(scenario)
 
 
 class RefusalTest(testtools.TestCase):
-    """What can't be served is refused at once, and nothing is sent on."""
+    """Requests that can't be served are refused without any attempt."""
 
-    def test_table(self) -> None:
-        """Bad ids, deadlines, hosts, routes and keys."""
+    def test_invalid_requests(self) -> None:
+        """Invalid ids, timeouts, hosts, routes and keys are refused."""
         table = (
             ('/plain/a', {'X_Attempt_Id': ''}, 400),
             ('/plain/a', {'X_Attempt_Id': 'a' * 300}, 400),
@@ -142,113 +153,118 @@
             ('/plain/a', {'Host': 'H:80'}, 200),
         )
 
-        async def play(world: path_world.PathWorld) -> None:
+        async def scenario(harness: path_harness.PathHarness) -> None:
             for target, headers, status in table:
-                fetched = await world.ask(target, **headers)
-                self.assertEqual(status, fetched.status, (target, headers))
-            self.assertEqual(3, len(world.came))
+                answer = await harness.send(target, **headers)
+                self.assertEqual(status, answer.status, (target, headers))
+            self.assertEqual(3, len(harness.received_requests))
 
-        path_world.run(play)
+        path_harness.run(scenario)
 
-    def test_starting(self) -> None:
-        """An entry that knows no configuration says so, not 404."""
+    def test_without_configuration(self) -> None:
+        """An entry without a configuration answers 503 instead of 404."""
 
-        async def play(world: path_world.PathWorld) -> None:
-            world.cluster.routing = None
-            self.assertEqual(503, (await world.ask('/plain/a')).status)
+        async def scenario(harness: path_harness.PathHarness) -> None:
+            harness.cluster.routing = None
+            self.assertEqual(503, (await harness.send('/plain/a')).status)
 
-        path_world.run(play)
+        path_harness.run(scenario)
 
-    def test_no_endpoint(self) -> None:
-        """Without weights, or with all leaving, nothing is sent."""
+    def test_no_usable_endpoint(self) -> None:
+        """No attempt is made if all endpoints drain or lack weights."""
 
-        async def play(world: path_world.PathWorld) -> None:
-            world.listed(
-                world.endpoints[0],
+        async def scenario(harness: path_harness.PathHarness) -> None:
+            harness.list_endpoint(
+                harness.endpoints[0],
                 heartbeat=99,
                 weights=endpoints.Weights(1, 0, 1),
             )
-            world.listed(world.endpoints[1], heartbeat=99, draining=True)
-            self.assertEqual(503, (await world.ask('/plain/a')).status)
-            self.assertEqual([], world.came)
+            harness.list_endpoint(
+                harness.endpoints[1], heartbeat=99, draining=True
+            )
+            self.assertEqual(503, (await harness.send('/plain/a')).status)
+            self.assertEqual([], harness.received_requests)
 
-        path_world.run(play)
+        path_harness.run(scenario)
 
 
 class ServiceTest(testtools.TestCase):
-    """Routes that lead nowhere."""
+    """Routes to services without endpoints."""
 
     def test_unknown_service(self) -> None:
-        """A route to a service that the configuration lacks is refused."""
+        """A request for a service missing in the configuration is refused."""
 
-        async def play(world: path_world.PathWorld) -> None:
+        async def scenario(harness: path_harness.PathHarness) -> None:
             backends = (routing.Backend('nobody', 1),)
-            world.configure(2, [path_world.route('plain', backends=backends)])
-            self.assertEqual(503, (await world.ask('/plain/a')).status)
+            harness.configure(
+                2, [path_harness.route('plain', backends=backends)]
+            )
+            self.assertEqual(503, (await harness.send('/plain/a')).status)
 
-        path_world.run(play)
+        path_harness.run(scenario)
 
 
 class RestartTest(testtools.TestCase):
-    """An endpoint crashes and starts again under its id and address."""
+    """An endpoint crashes and restarts under its id."""
 
-    def test_connections_of_the_start_before(self) -> None:
-        """A request that runs once at most came after such a return.
+    def test_old_connections_are_not_reused(self) -> None:
+        """A restarted endpoint gets no request on its old connections.
 
-        It went out on a connection to the process before, which stood still
-        behind a cut, and its caller was told that it may have run.
+        A request that must not run twice was sent on a connection to the
+        previous process, which was unreachable, and its caller got the answer
+        that it may have run.
         """
 
-        async def play(world: path_world.PathWorld) -> None:
-            (before,) = world.endpoints
-            world.listed(before, started_ms=1)
-            self.assertEqual(200, (await world.ask('/once/a')).status)
+        async def scenario(harness: path_harness.PathHarness) -> None:
+            (before,) = harness.endpoints
+            harness.list_endpoint(before, started_ms=1)
+            self.assertEqual(200, (await harness.send('/once/a')).status)
             before.faults = [Fault.MUTE]
             async with direct_endpoint.DirectEndpoint(before.id) as after:
-                world.listed(after, started_ms=2, heartbeat=0)
-                found = await world.ask('/once/a', X_Deadline_Ms='900')
-                self.assertEqual(200, found.status)
+                harness.list_endpoint(after, started_ms=2, heartbeat=0)
+                answer = await harness.send('/once/a', X_Deadline_Ms='900')
+                self.assertEqual(200, answer.status)
                 self.assertEqual((1, 1), (len(before.ran), len(after.ran)))
 
-        path_world.run(play, 1)
+        path_harness.run(scenario, 1)
 
-    def test_requests_that_end_there(self) -> None:
-        """A stream of the start before ends after the new one is known.
+    def test_stream_of_previous_start(self) -> None:
+        """A stream of the previous start ends after the restart is known.
 
-        Its connection isn't kept, and it isn't counted at the new start.
+        Its connection is not reused, and it is not counted for the new start.
         """
 
-        async def play(world: path_world.PathWorld) -> None:
-            (one,) = world.endpoints
-            world.listed(one, started_ms=1)
-            one.going.clear()
-            asking = asyncio.create_task(world.ask('/stream/a'))
-            while not one.ran:
+        async def scenario(harness: path_harness.PathHarness) -> None:
+            (endpoint,) = harness.endpoints
+            harness.list_endpoint(endpoint, started_ms=1)
+            endpoint.going.clear()
+            pending_answer = asyncio.create_task(harness.send('/stream/a'))
+            while not endpoint.ran:
                 await asyncio.sleep(0.01)
-            before = world.cluster.endpoints.get(one.id)
-            world.listed(one, started_ms=2, heartbeat=0)
-            after = world.cluster.endpoints.get(one.id)
+            before = harness.cluster.endpoints.get(endpoint.id)
+            harness.list_endpoint(endpoint, started_ms=2, heartbeat=0)
+            after = harness.cluster.endpoints.get(endpoint.id)
             assert before is not None
             assert after is not None
             self.assertEqual((1, 0), (before.in_flight, after.in_flight))
-            one.going.set()
-            found = await asking
-            self.assertEqual((200, EVENTS), (found.status, found.body))
+            endpoint.going.set()
+            answer = await pending_answer
+            self.assertEqual((200, EVENTS), (answer.status, answer.body))
             self.assertEqual((0, 0), (before.in_flight, after.in_flight))
-            await world.ask('/plain/a')
-            self.assertEqual(1, len(world.kept(one.id)))
+            await harness.send('/plain/a')
+            self.assertEqual(1, len(harness.idle_connections(endpoint.id)))
 
-        path_world.run(play, 1)
+        path_harness.run(scenario, 1)
 
 
-class HandedOnTest(testtools.TestCase):
-    """What an endpoint gets of a request."""
+class ForwardedRequestTest(testtools.TestCase):
+    """What an endpoint receives of a request."""
 
     def test_headers(self) -> None:
-        """The key stays here; team, instance and time are set here."""
+        """The key is removed; team, instance and timeout are set."""
 
-        async def play(world: path_world.PathWorld) -> None:
-            await world.ask(
+        async def scenario(harness: path_harness.PathHarness) -> None:
+            await harness.send(
                 '/plain/a?b=c',
                 b'the body',
                 X_Tenant='forged',
@@ -259,7 +275,7 @@
                 X_Hop='1',
                 X_Other='kept',
             )
-            (request,) = world.ran
+            (request,) = harness.executed_requests
             headers = request.headers
             self.assertEqual(b'/plain/a?b=c', request.target)
             self.assertEqual(b'the body', request.body)
@@ -270,320 +286,329 @@
                 self.assertIsNone(headers.get(name), name)
             self.assertEqual(b'kept', headers.get(b'x-other'))
             self.assertEqual(b'm', headers.get(b'x-model'))
-            left = int(headers.get(b'x-deadline-ms') or 0)
-            self.assertLessEqual(left, 9000)
-            self.assertGreater(left, 0)
+            timeout_ms = int(headers.get(b'x-deadline-ms') or 0)
+            self.assertLessEqual(timeout_ms, 9000)
+            self.assertGreater(timeout_ms, 0)
 
-        path_world.run(play)
+        path_harness.run(scenario)
 
     def test_route_timeout_bounds_the_deadline(self) -> None:
-        """An endpoint gets no more time than the route allows."""
+        """The timeout sent to an endpoint is at most that of the route."""
 
-        async def play(world: path_world.PathWorld) -> None:
-            await world.ask('/plain/a', X_Deadline_Ms='60000')
-            left = world.ran[0].headers.get(b'x-deadline-ms') or b'0'
-            self.assertLessEqual(int(left), 10000)
+        async def scenario(harness: path_harness.PathHarness) -> None:
+            await harness.send('/plain/a', X_Deadline_Ms='60000')
+            timeout_ms = (
+                harness.executed_requests[0].headers.get(b'x-deadline-ms')
+                or b'0'
+            )
+            self.assertLessEqual(int(timeout_ms), 10000)
 
-        path_world.run(play)
+        path_harness.run(scenario)
 
 
 class ConfigurationTest(testtools.TestCase):
-    """A request keeps what was in force when it came."""
+    """A request keeps the configuration under which it was admitted."""
 
-    def test_changes_under_a_stream(self) -> None:
-        """A stream was cut off when its route was dropped.
+    def test_route_removed_during_stream(self) -> None:
+        """A stream completes though its route and its key are removed.
 
-        Its route and its key went with new configurations while it was under
-        way; it was allowed when it came, so it ends whole.
+        It was cut off when a new configuration dropped the route.
         """
 
-        async def play(world: path_world.PathWorld) -> None:
-            for one in world.endpoints:
-                one.going.clear()
-            asked = asyncio.create_task(world.ask('/stream/a'))
-            while not world.ran:
+        async def scenario(harness: path_harness.PathHarness) -> None:
+            for endpoint in harness.endpoints:
+                endpoint.going.clear()
+            pending_answer = asyncio.create_task(harness.send('/stream/a'))
+            while not harness.executed_requests:
                 await asyncio.sleep(0)
-            world.configure(2, path_world.ROUTES[2:])
-            world.configure(3, ())
-            for one in world.endpoints:
-                one.going.set()
-            fetched = await asked
-            self.assertEqual(200, fetched.status)
-            self.assertEqual(3, fetched.body.count(b'data:'))
-            self.assertEqual(404, (await world.ask('/stream/a')).status)
+            harness.configure(2, path_harness.ROUTES[2:])
+            harness.configure(3, ())
+            for endpoint in harness.endpoints:
+                endpoint.going.set()
+            answer = await pending_answer
+            self.assertEqual(200, answer.status)
+            self.assertEqual(3, answer.body.count(b'data:'))
+            self.assertEqual(404, (await harness.send('/stream/a')).status)
 
-        path_world.run(play)
+        path_harness.run(scenario)
 
     def test_route_added_later(self) -> None:
-        """Callers of a new route were refused, as if there were none."""
+        """A new route is served as soon as its configuration is in force."""
 
-        async def play(world: path_world.PathWorld) -> None:
-            self.assertEqual(404, (await world.ask('/new/a')).status)
-            routes = [*path_world.ROUTES, path_world.route('new')]
-            world.configure(2, routes)
+        async def scenario(harness: path_harness.PathHarness) -> None:
+            self.assertEqual(404, (await harness.send('/new/a')).status)
+            routes = [*path_harness.ROUTES, path_harness.route('new')]
+            harness.configure(2, routes)
             for _ in range(5):
-                self.assertEqual(200, (await world.ask('/new/a')).status)
+                self.assertEqual(200, (await harness.send('/new/a')).status)
 
-        path_world.run(play)
+        path_harness.run(scenario)
 
-    def test_changes_before_a_repeat(self) -> None:
-        """A resumed stream goes on, too, though its route is gone."""
+    def test_route_removed_before_retry(self) -> None:
+        """A stream is resumed even if its route was removed meanwhile."""
 
-        async def play(world: path_world.PathWorld) -> None:
-            world.fail_first(Fault.CUT)
-            for one in world.endpoints:
-                one.going.clear()
-            asked = asyncio.create_task(world.ask('/stream/a'))
-            while not world.ran:
+        async def scenario(harness: path_harness.PathHarness) -> None:
+            harness.set_shared_faults(Fault.CUT)
+            for endpoint in harness.endpoints:
+                endpoint.going.clear()
+            pending_answer = asyncio.create_task(harness.send('/stream/a'))
+            while not harness.executed_requests:
                 await asyncio.sleep(0)
-            world.configure(2, ())
-            for one in world.endpoints:
-                one.going.set()
-            self.assertEqual(3, (await asked).body.count(b'data:'))
-            self.assertEqual(2, len(world.ran))
+            harness.configure(2, ())
+            for endpoint in harness.endpoints:
+                endpoint.going.set()
+            self.assertEqual(3, (await pending_answer).body.count(b'data:'))
+            self.assertEqual(2, len(harness.executed_requests))
 
-        path_world.run(play)
+        path_harness.run(scenario)
 
 
-class TimeTest(testtools.TestCase):
-    """Deadlines, and callers that leave."""
+class DeadlineTest(testtools.TestCase):
+    """Deadlines, and callers that disconnect."""
 
     def test_timeout(self) -> None:
-        """A request that ran has its final answer when its time is over."""
+        """A request that ran gets its final answer at the deadline."""
 
-        async def play(world: path_world.PathWorld) -> None:
-            world.fail_first(Fault.MUTE)
-            self.assertEqual(504, (await world.ask('/short/a')).status)
-            while not any(one.left for one in world.endpoints):
+        async def scenario(harness: path_harness.PathHarness) -> None:
+            harness.set_shared_faults(Fault.MUTE)
+            self.assertEqual(504, (await harness.send('/short/a')).status)
+            while not any(endpoint.left for endpoint in harness.endpoints):
                 await asyncio.sleep(0)
 
-        path_world.run(play)
+        path_harness.run(scenario)
 
-    def test_caller_left(self) -> None:
-        """An endpoint hears of it when the caller closes its connection.
+    def test_caller_disconnects(self) -> None:
+        """The attempt is aborted when the caller closes its connection.
 
-        Endpoints worked on for callers that had gone, since the end of their
-        connections was only seen when the next event was written.
+        Endpoints continued to work for callers that had disconnected, as the
+        end of a connection was noticed only when the next event was written.
         """
 
-        async def play(world: path_world.PathWorld) -> None:
-            for one in world.endpoints:
-                one.going.clear()
-            used = await channel.Channel.connect(HOST, world.port, 5)
-            used.send(path_world.request('/stream/a'))
-            while not world.ran:
+        async def scenario(harness: path_harness.PathHarness) -> None:
+            for endpoint in harness.endpoints:
+                endpoint.going.clear()
+            connection = await channel.Channel.connect(HOST, harness.port, 5)
+            connection.send(path_harness.request('/stream/a'))
+            while not harness.executed_requests:
                 await asyncio.sleep(0)
-            used.abort()
-            while not any(one.left for one in world.endpoints):
+            connection.abort()
+            while not any(endpoint.left for endpoint in harness.endpoints):
                 await asyncio.sleep(0)
-            self.assertEqual(1, len(world.came))
+            self.assertEqual(1, len(harness.received_requests))
 
-        path_world.run(play)
+        path_harness.run(scenario)
 
 
-class RepeatedDeadlineTest(testtools.TestCase):
-    """A repeat is told what is left, not what there was."""
+class RetryDeadlineTest(testtools.TestCase):
+    """A retry is sent with the remaining time."""
 
-    def test_time_is_used_up(self) -> None:
-        """An endpoint worked on for a caller that had given up.
+    def test_retry_gets_remaining_time(self) -> None:
+        """The second attempt gets only the time that the first one left.
 
-        The first one said nothing for half of the second that the caller
-        waits for, and the second one was told the same time once more.
+        The first endpoint was silent for half of the caller's timeout of one
+        second. The second was sent the full timeout and worked for a caller that
+        had disconnected.
         """
 
-        async def play(world: path_world.PathWorld) -> None:
-            world.fail_first(Fault.MUTE)
-            await world.ask('/plain/a', X_Deadline_Ms='1000')
+        async def scenario(harness: path_harness.PathHarness) -> None:
+            harness.set_shared_faults(Fault.MUTE)
+            await harness.send('/plain/a', X_Deadline_Ms='1000')
             first, second = sorted(
                 int(request.headers.get(b'x-deadline-ms') or 0)
-                for request in world.ran
+                for request in harness.executed_requests
             )[::-1]
             self.assertLessEqual(first, 1000)
             self.assertLessEqual(second, 500)
             self.assertGreater(second, 300)
 
-        path_world.run(play)
+        path_harness.run(scenario)
 
 
-class LeavingEndpointTest(testtools.TestCase):
-    """An endpoint that leaves gets nothing more."""
+class DrainingEndpointTest(testtools.TestCase):
+    """A draining endpoint gets no more requests."""
 
-    def test_leaves_while_a_connection_is_made(self) -> None:
-        """A request reached an endpoint after it had said that it leaves.
+    def test_drains_during_connection_setup(self) -> None:
+        """An endpoint that starts to drain during connection setup is skipped.
 
-        It was chosen before that, and the connection took half a second,
-        since its first packet was lost.
+        A request reached a draining endpoint: the endpoint was selected before,
+        and connecting took half a second as the first packet was lost.
         """
 
-        async def play(world: path_world.PathWorld) -> None:
-            first = world.endpoints[0]
-            second = world.endpoints[1]
-            world.listed(second, draining=True)
+        async def scenario(harness: path_harness.PathHarness) -> None:
+            first = harness.endpoints[0]
+            second = harness.endpoints[1]
+            harness.list_endpoint(second, draining=True)
             connected = asyncio.Event()
-            take = pool.Pool.acquire
+            acquire = pool.Pool.acquire
 
-            async def slow(peers: pool.Pool, **limits: float) -> object:
-                used = await take(peers, **limits)
+            async def acquire_slowly(
+                peers: pool.Pool, **limits: float
+            ) -> object:
+                connection = await acquire(peers, **limits)
                 if limits:  # The caller's own connections have none.
                     await connected.wait()
-                return used
+                return connection
 
-            self.patch(pool.Pool, 'acquire', slow)
-            asked = asyncio.create_task(world.ask('/once/a'))
+            self.patch(pool.Pool, 'acquire', acquire_slowly)
+            pending_answer = asyncio.create_task(harness.send('/once/a'))
             now = asyncio.get_running_loop().time
-            while not world.cluster.in_flight_by_endpoint(now()):
+            while not harness.cluster.in_flight_by_endpoint(now()):
                 await asyncio.sleep(0)
-            world.listed(first, draining=True)
+            harness.list_endpoint(first, draining=True)
             connected.set()
-            self.assertEqual(503, (await asked).status)
-            self.assertEqual([], world.came)
+            self.assertEqual(503, (await pending_answer).status)
+            self.assertEqual([], harness.received_requests)
 
-        path_world.run(play)
+        path_harness.run(scenario)
 
 
 class LoadingTest(testtools.TestCase):
-    """All engines take up a version at once.
+    """All engines load a version at once.
 
-    For a second no engine could be used, and each request was told to come
-    back after two: it came back when the engines were full.
+    For a second no engine was usable, and each request was refused with a retry
+    after two seconds. The retries arrived when the engines were full.
     """
 
     def test_waits_for_an_engine(self) -> None:
-        """A request waits for an engine that says that it loads."""
+        """A request waits for an engine that is loading."""
 
-        async def play(world: path_world.PathWorld) -> None:
-            for one in world.endpoints:
-                world.listed(
-                    one,
+        async def scenario(harness: path_harness.PathHarness) -> None:
+            for endpoint in harness.endpoints:
+                harness.list_endpoint(
+                    endpoint,
                     heartbeat=98,
                     weights=endpoints.Weights(2, 0, 0),
                 )
-            asked = asyncio.create_task(world.ask('/plain/a'))
-            while not world.front.busy_count():
+            pending_answer = asyncio.create_task(harness.send('/plain/a'))
+            while not harness.front.busy_count():
                 await asyncio.sleep(0)
-            self.assertEqual([], world.came)
-            world.listed(
-                world.endpoints[0],
+            self.assertEqual([], harness.received_requests)
+            harness.list_endpoint(
+                harness.endpoints[0],
                 heartbeat=99,
                 weights=endpoints.Weights(2, 0, 2),
             )
-            self.assertEqual(200, (await asked).status)
+            self.assertEqual(200, (await pending_answer).status)
 
-        path_world.run(play)
+        path_harness.run(scenario)
 
-    def test_not_for_ever(self) -> None:
-        """It is refused when none is there after all; it never ran."""
+    def test_wait_is_limited(self) -> None:
+        """A request is refused without a run if the engines keep loading."""
 
-        async def play(world: path_world.PathWorld) -> None:
-            for one in world.endpoints:
-                world.listed(
-                    one,
+        async def scenario(harness: path_harness.PathHarness) -> None:
+            for endpoint in harness.endpoints:
+                harness.list_endpoint(
+                    endpoint,
                     heartbeat=98,
                     weights=endpoints.Weights(2, 0, 0),
                 )
-            self.assertEqual(503, (await world.ask('/plain/a')).status)
-            self.assertEqual([], world.came)
+            self.assertEqual(503, (await harness.send('/plain/a')).status)
+            self.assertEqual([], harness.received_requests)
 
-        path_world.run(play)
+        path_harness.run(scenario)
 
 
 class VersionTest(testtools.TestCase):
-    """Requests begin on a version only while it may be used."""
+    """Requests start on a version only while it may be used."""
 
-    def test_only_the_newest_after_the_bound(self) -> None:
-        """After the bound, engines with older weights get nothing."""
+    def test_only_newest_version_after_bound(self) -> None:
+        """After the bound, engines with older weights get no requests."""
 
-        async def play(world: path_world.PathWorld) -> None:
+        async def scenario(harness: path_harness.PathHarness) -> None:
             now = asyncio.get_running_loop().time()
-            world.listed(
-                world.endpoints[1],
+            harness.list_endpoint(
+                harness.endpoints[1],
                 heartbeat=99,
                 weights=endpoints.Weights(2, 0, 2),
             )
-            world.cluster.add_desired_version('m', 2, now - 60)
+            harness.cluster.add_desired_version('m', 2, now - 60)
             for _ in range(8):
-                await world.ask('/plain/a')
-            self.assertEqual([], world.endpoints[0].came)
-            expected = world.endpoints[1].ran[0].headers
+                await harness.send('/plain/a')
+            self.assertEqual([], harness.endpoints[0].came)
+            expected = harness.endpoints[1].ran[0].headers
             self.assertEqual(b'2', expected.get(b'x-expect-version'))
 
-        path_world.run(play)
+        path_harness.run(scenario)
 
-    def test_given_up_before_the_bound(self) -> None:
-        """A request waited too long in the queue of an old engine.
+    def test_abandoned_before_bound(self) -> None:
+        """A request that has not started is abandoned before the bound.
 
-        It was sent 1.2 seconds before the bound, the queue took longer than
-        estimated, and its first token was made on the old weights after it.
+        A request was sent to an engine with old weights 1.2 seconds before the
+        bound. Its queue took longer than estimated, and the first token was
+        produced on the old weights after the bound.
         """
 
-        async def play(world: path_world.PathWorld) -> None:
+        async def scenario(harness: path_harness.PathHarness) -> None:
             now = asyncio.get_running_loop().time()
-            world.fail_first(Fault.MUTE, Fault.MUTE)
-            world.cluster.add_desired_version(
-                'm', 2, now - path_world.DUTIES.version + 0.9
+            harness.set_shared_faults(Fault.MUTE, Fault.MUTE)
+            harness.cluster.add_desired_version(
+                'm', 2, now - path_harness.DUTIES.version + 0.9
             )
-            fetched = await world.ask('/stream/a')
-            self.assertEqual(502, fetched.status)
-            while not any(one.left for one in world.endpoints):
+            answer = await harness.send('/stream/a')
+            self.assertEqual(502, answer.status)
+            while not any(endpoint.left for endpoint in harness.endpoints):
                 await asyncio.sleep(0)
 
-        path_world.run(play)
+        path_harness.run(scenario)
 
-    def test_resumed_is_given_up_before_the_bound(self) -> None:
-        """A stream that was sent on began on old weights after their bound.
+    def test_resumed_stream_abandoned_before_bound(self) -> None:
+        """A resumed stream that has not started is abandoned, too.
 
-        Its first engine crashed shortly before the bound. The second one had
-        old weights, too, and a queue; it began there after the bound, since
-        the time to begin only held for what the caller had no event of yet.
+        The first engine crashed shortly before the bound. The second also had
+        old weights, and a queue. The stream started there after the bound, as
+        the start deadline applied only until the caller had an event.
         """
 
-        async def play(world: path_world.PathWorld) -> None:
+        async def scenario(harness: path_harness.PathHarness) -> None:
             loop = asyncio.get_running_loop()
             now = loop.time()
-            world.fail_first(Fault.CUT, Fault.MUTE)
-            world.cluster.add_desired_version(
-                'm', 2, now - path_world.DUTIES.version + 0.9
+            harness.set_shared_faults(Fault.CUT, Fault.MUTE)
+            harness.cluster.add_desired_version(
+                'm', 2, now - path_harness.DUTIES.version + 0.9
             )
             with self.assertRaises(channel.ChannelBrokenError):
-                await world.ask('/stream/a')
-            self.assertEqual(2, len(world.ran))
+                await harness.send('/stream/a')
+            self.assertEqual(2, len(harness.executed_requests))
             self.assertLess(loop.time() - now, 0.9)
 
-        path_world.run(play)
+        path_harness.run(scenario)
 
-    def test_wait_before_the_bound(self) -> None:
-        """Requests were sent to a queue in which the bound passed.
+    def test_not_queued_beyond_bound(self) -> None:
+        """No request is queued where the bound would pass while it waits.
 
-        They were sent to engines with old weights before the bound, where 25
-        others waited, and were given up there, or began after it.
+        Requests were sent to engines with old weights behind 25 waiting
+        requests shortly before the bound, and were abandoned there or started
+        after it.
         """
 
-        async def play(world: path_world.PathWorld) -> None:
+        async def scenario(harness: path_harness.PathHarness) -> None:
             now = asyncio.get_running_loop().time()
-            world.cluster.add_desired_version(
-                'm', 2, now - path_world.DUTIES.version + 0.9
+            harness.cluster.add_desired_version(
+                'm', 2, now - path_harness.DUTIES.version + 0.9
             )
-            world.cluster.loads.update_peer_counts(
+            harness.cluster.loads.update_peer_counts(
                 'entry-2', {'i-0': 40, 'i-1': 40}, now
             )
-            fetched = await world.ask('/stream/a')
-            self.assertEqual(503, fetched.status)
-            self.assertEqual([], world.came)
+            answer = await harness.send('/stream/a')
+            self.assertEqual(503, answer.status)
+            self.assertEqual([], harness.received_requests)
 
-        path_world.run(play)
+        path_harness.run(scenario)
 
-    def test_wait_of_a_repeat_before_the_bound(self) -> None:
-        """What a crashed engine ran was sent on to such a queue."""
+    def test_retry_not_queued_beyond_bound(self) -> None:
+        """A stream of a crashed engine is not resumed in such a queue."""
 
-        async def play(world: path_world.PathWorld) -> None:
+        async def scenario(harness: path_harness.PathHarness) -> None:
             now = asyncio.get_running_loop().time()
-            world.fail_first(Fault.CUT)
-            world.cluster.add_desired_version(
-                'm', 2, now - path_world.DUTIES.version + 0.9
+            harness.set_shared_faults(Fault.CUT)
+            harness.cluster.add_desired_version(
+                'm', 2, now - path_harness.DUTIES.version + 0.9
+            )
+            harness.cluster.loads.update_peer_counts(
+                'entry-2', {'i-1': 40}, now
             )
-            world.cluster.loads.update_peer_counts('entry-2', {'i-1': 40}, now)
             with self.assertRaises(channel.ChannelBrokenError):
-                await world.ask('/stream/a')
-            self.assertEqual([], world.endpoints[1].came)
+                await harness.send('/stream/a')
+            self.assertEqual([], harness.endpoints[1].came)
 
-        path_world.run(play)
+        path_harness.run(scenario)
--- a/tests/observability/test_causes.py
+++ b/tests/observability/test_causes.py
@@ -27,20 +27,20 @@
 )
 from clementinepass.observability import causes, stories
 from standins import direct_endpoint
-from tests.direct import path_world
+from tests.direct import path_harness
 from tests.observability import test_stories
 
 Cause = causes.Cause
 Fault = direct_endpoint.Fault
-World = path_world.PathWorld
-HOST = path_world.HOST
+World = path_harness.PathHarness
+HOST = path_harness.HOST
 #: Value of ``SO_LINGER`` with which closing a socket sends a reset.
 LINGER_RESET = struct.pack('ii', 1, 0)
 #: Together these events exceed the buffers of a connection.
 LONG_EVENT_COUNT = 32
 LONG_EVENT = b'x' * (1 << 19)
 #: A stream whose callers give up after two seconds, the minimum.
-IMPATIENT_ROUTE = path_world.route(
+IMPATIENT_ROUTE = path_harness.route(
     'stream', latency_target=0.1, max_event_gap=0.1
 )
 
@@ -52,8 +52,8 @@
 ) -> channel.Channel:
     """Send a request and return its connection once an endpoint runs it."""
     caller_channel = await channel.Channel.connect(HOST, world.port, 5)
-    caller_channel.send(path_world.request(target, **headers))
-    while not world.ran:
+    caller_channel.send(path_harness.request(target, **headers))
+    while not world.executed_requests:
         await asyncio.sleep(0)
     return caller_channel
 
@@ -69,7 +69,7 @@
 ) -> None:
     """Send a request and ignore a broken connection."""
     try:
-        await world.ask(target, **headers)
+        await world.send(target, **headers)
     except channel.ChannelBrokenError:
         """The connection of the caller ends without an answer."""
 
@@ -84,14 +84,14 @@
     """Return a play whose attempts meet the given faults in order."""
 
     async def play(world: World) -> None:
-        world.fail_first(*faults)
+        world.set_shared_faults(*faults)
         await send_ignoring_failure(world, target, **headers)
 
     return play
 
 
 async def answered(world: World) -> None:
-    world.fail_first(Fault.CUT)
+    world.set_shared_faults(Fault.CUT)
     await send_ignoring_failure(world, '/stream/a')
 
 
@@ -125,8 +125,8 @@
     block_endpoints(world)
     with socket.create_connection((HOST, world.port)) as caller:
         caller.setsockopt(socket.SOL_SOCKET, socket.SO_LINGER, LINGER_RESET)
-        caller.sendall(path_world.request('/stream/a'))
-        while not world.ran:
+        caller.sendall(path_harness.request('/stream/a'))
+        while not world.executed_requests:
             await asyncio.sleep(0)
     await wait_until_disconnected(world)
 
@@ -152,12 +152,12 @@
     """The entry gives requests in progress a final answer before it exits."""
     block_endpoints(world)
     await open_running_request(world, '/stream/a')
-    world.path.finish_by(asyncio.get_running_loop().time())
+    world.request_handler.finish_by(asyncio.get_running_loop().time())
     await asyncio.sleep(0.01)
 
 
 async def draining(world: World) -> None:
-    world.departure.start(asyncio.get_running_loop().time())
+    world.drain_state.start(asyncio.get_running_loop().time())
     await send_ignoring_failure(world, '/stream/a')
 
 
@@ -166,23 +166,23 @@
         endpoint.events, endpoint.filling = LONG_EVENT_COUNT, LONG_EVENT
     with socket.create_connection((HOST, world.port)) as caller:
         caller.setsockopt(socket.SOL_SOCKET, socket.SO_RCVBUF, 4096)
-        request = path_world.request('/stream/a', X_Deadline_Ms='1000')
+        request = path_harness.request('/stream/a', X_Deadline_Ms='1000')
         caller.sendall(request)
-        while not world.ran:
+        while not world.executed_requests:
             await asyncio.sleep(0)
         await wait_until_disconnected(world)
 
 
 async def key_withdrawn(world: World) -> None:
     await send_ignoring_failure(world, '/plain/a', X_Attempt_Id='before')
-    world.configure(2, path_world.ROUTES, keys=(b'another',))
-    world.configure(3, path_world.ROUTES, keys=(b'another',))
+    world.configure(2, path_harness.ROUTES, keys=(b'another',))
+    world.configure(3, path_harness.ROUTES, keys=(b'another',))
     await send_ignoring_failure(world, '/plain/a')
 
 
 async def route_withdrawn(world: World) -> None:
     await send_ignoring_failure(world, '/plain/a', X_Attempt_Id='before')
-    world.configure(2, [path_world.route('stream')])
+    world.configure(2, [path_harness.route('stream')])
     await send_ignoring_failure(world, '/plain/a')
 
 
@@ -193,20 +193,20 @@
 
 async def no_service(world: World) -> None:
     backends = (routing.Backend('nobody', 1),)
-    world.configure(2, [path_world.route('plain', backends=backends)])
+    world.configure(2, [path_harness.route('plain', backends=backends)])
     await send_ignoring_failure(world, '/plain/a')
 
 
 async def no_endpoint(world: World) -> None:
     for endpoint in world.endpoints:
-        world.listed(endpoint, heartbeat=99, draining=True)
+        world.list_endpoint(endpoint, heartbeat=99, draining=True)
     await send_ignoring_failure(world, '/plain/a')
 
 
 async def no_weights(world: World) -> None:
     for endpoint in world.endpoints:
         weights = endpoints.Weights(1, 0, 1)
-        world.listed(endpoint, heartbeat=99, weights=weights)
+        world.list_endpoint(endpoint, heartbeat=99, weights=weights)
     await send_ignoring_failure(world, '/plain/a')
 
 
@@ -239,12 +239,14 @@
     async with await asyncio.start_server(serve, HOST, 0) as server:
         port = server.sockets[0].getsockname()[1]
         for endpoint in world.endpoints:
-            world.listed(endpoint, heartbeat=99, address=f'{HOST}:{port}')
+            world.list_endpoint(
+                endpoint, heartbeat=99, address=f'{HOST}:{port}'
+            )
         await send_ignoring_failure(world, '/once/a')
 
 
 async def retry_budget_spent(world: World) -> None:
-    duties = path_world.DUTIES
+    duties = path_harness.DUTIES
     before = duties.budget_share, duties.budget_surplus
     duties.budget_share, duties.budget_surplus = 0, 0
     try:
@@ -256,7 +258,7 @@
 async def weights_too_old(world: World) -> None:
     now = asyncio.get_running_loop().time()
     world.cluster.add_desired_version(
-        'm', 2, now - path_world.DUTIES.version + 0.9
+        'm', 2, now - path_harness.DUTIES.version + 0.9
     )
     await failing_endpoints('/stream/a', Fault.MUTE, Fault.MUTE)(world)
 
@@ -264,11 +266,11 @@
 async def engine_loading(world: World) -> None:
     block_endpoints(world)
     task = asyncio.create_task(send_ignoring_failure(world, '/stream/once/a'))
-    while not world.ran:
+    while not world.executed_requests:
         await asyncio.sleep(0)
     for endpoint in world.endpoints:
         weights = endpoints.Weights(2, 0, 0)
-        world.listed(endpoint, heartbeat=99, weights=weights)
+        world.list_endpoint(endpoint, heartbeat=99, weights=weights)
         await endpoint.__aexit__()
     await task
 
@@ -285,7 +287,7 @@
 
 
 async def internal_error(world: World) -> None:
-    world.path._sender = FaultySender()
+    world.request_handler._sender = FaultySender()
     await send_ignoring_failure(world, '/plain/a')
 
 
@@ -360,12 +362,12 @@
     (
         failing_endpoints('/once/a', Fault.UNSTAMPED),
         Cause.ENDPOINT_MALFORMED,
-        'no answer to this request',
+        'not a valid answer to this request',
     ),
     (
         failing_endpoints('/stream/once/a', Fault.GAP),
         Cause.ENDPOINT_MALFORMED,
-        '2 follows on 0',
+        '2 is not the event after 0',
     ),
     (
         failing_endpoints('/once/a', Fault.ERROR),
@@ -410,7 +412,7 @@
 
     handle = logger.add(take, level='INFO', format='{message}')
     try:
-        path_world.run(play)
+        path_harness.run(play)
     finally:
         logger.remove(handle)
     return payload
@@ -644,7 +646,7 @@
                 caller_channel.abort()
             late = await pool.fetch(
                 pool.Pool(HOST, world.port),
-                path_world.request('/plain/a'),
+                path_harness.request('/plain/a'),
                 5,
             )
             self.assertEqual(200, late.status)
