--- a/clementinepass/direct/bootstrap.py
+++ b/clementinepass/direct/bootstrap.py
@@ -1,4 +1,4 @@
-"""Send the state known here to processes that have just started."""
+"""Send the local state to processes that have just started."""
 
 from __future__ import annotations
 
@@ -11,7 +11,8 @@
 
 #: Seconds for which one composed message is reused for all requesters.
 _MESSAGE_LIFETIME_SECONDS = 0.1
-#: Most processes remembered that sent a heartbeat before all was known here.
+#: Most processes remembered that sent a heartbeat before this process had read
+#: both topics.
 _MAX_WAITING = 4096
 
 
@@ -47,14 +48,14 @@
         *,
         offsets: tuple[int, int],
     ) -> None:
-        """Answer a process that has not read a topic that is known here.
+        """Answer a process that lacks a topic that this process has read.
 
         The answer is sent at once: regular heartbeats go to a changing
         selection of peers, and when all processes start together the seeds
         are the first to have read the store.
 
         :param offsets: the next offsets of the operator's records and of the
-            endpoints' records here.
+            endpoints' records in this process; 0 for a topic not read yet.
         """
         peer_offsets = heartbeat.operator_offset, heartbeat.endpoints_offset
         pairs = list(zip(peer_offsets, offsets, strict=True))
--- a/clementinepass/direct/catching_up.py
+++ b/clementinepass/direct/catching_up.py
@@ -88,13 +88,16 @@
             ),
             records.Topic.ENDPOINTS: _FETCH_DELAY_SECONDS,
         }
-        #: The highest offset that a peer announced, and since when this
-        #: process has been behind it.
+        #: The highest offset that a peer announced.
         self._peer_offset_by_topic: dict[records.Topic, int] = {}
+        #: Monotonic seconds since when this process has been behind a peer, or
+        #: at which it last started a fetch.
         self._behind_since_by_topic: dict[records.Topic, float] = {}
-        #: When the first heartbeat came; ``None`` before that.
+        #: Monotonic seconds at which a heartbeat first came before all topics
+        #: had been read; ``None`` before that.
         self._first_received_at: float | None = None
-        #: Since when a peer has had a newer configuration; ``None`` if none.
+        #: Monotonic seconds since when a peer has had a newer configuration, or
+        #: at which it was last fetched; ``None`` if no peer has.
         self._configuration_behind_since: float | None = None
         self._fetch_task_by_topic: dict[records.Topic, asyncio.Task[None]] = {}
 
@@ -117,7 +120,11 @@
         self._compare_configuration(heartbeat.configuration_version, ip, now)
 
     def _may_fetch(self, heartbeat: heartbeats.Heartbeat, now: float) -> bool:
-        """Return whether the first records may be fetched from a peer."""
+        """Return whether records may be fetched from a heartbeat's sender.
+
+        Only a process that has not read all topics yet is restricted: at first
+        it fetches from entries of its own region only.
+        """
         if all(
             topic_follower.is_initialized
             for topic_follower in self._followers.values()
@@ -181,11 +188,11 @@
             self._start_fetch(topic_follower, ip, from_start=False)
 
     def _compare_configuration(self, version: int, ip: str, now: float) -> None:
-        """Fetch all of the operator's records if a peer's are newer.
+        """Fetch all of the operator's records if a peer's version is newer.
 
-        A record may be lost although the offsets are equal: an entry then
-        served by the previous configuration for seconds. Comparing the
-        versions in force detects it, whatever lost the record.
+        An entry may have lost a record although its offset equals that of its
+        peers; it would serve by the previous configuration for seconds.
+        Comparing the versions in force detects the loss, whatever caused it.
         """
         current = self._cluster.routing
         if current is None or version <= current.version:
--- a/clementinepass/direct/cluster_state.py
+++ b/clementinepass/direct/cluster_state.py
@@ -19,14 +19,15 @@
 #: Seconds before the bound on older versions at which they stop getting new
 #: requests: a request may wait that long in an engine's queue before it starts.
 _VERSION_MARGIN_SECONDS = 0.6
-#: Seconds after an older version stops getting requests at which those that
-#: have not started are abandoned. Well before the version's bound.
+#: Seconds from then until requests for the older version that have not started
+#: are abandoned. This is well before the version's bound.
 _START_SLACK_SECONDS = 0.35
 #: Seconds for which an agent's report that its link is congested counts. The
 #: agent repeats it each second while pieces arrive slowly.
 _CONGESTION_LIFETIME_SECONDS = 2.5
-#: Seconds of a process's settling time that are held back: for its own start
-#: and for a request that waits at an engine.
+#: Seconds subtracted from the settling time, in which the bound on older
+#: versions does not apply to a process that has just started: its own start
+#: takes some of that time, and a request may wait at an engine.
 _STARTUP_MARGIN_SECONDS = 1.0
 
 
@@ -69,9 +70,9 @@
         self._desired_by_model: dict[str, desired_versions.DesiredVersions] = {}
 
     def apply_configuration(self, newer: routing.Routing) -> bool:
-        """Put a configuration in force, unless it is not newer.
+        """Put a configuration in force if it is newer than the current one.
 
-        :returns: whether it is in force now and was not before.
+        :returns: whether it was newer.
         """
         current = self.routing
         if current is not None and newer.version <= current.version:
@@ -110,7 +111,7 @@
         :param since: monotonic seconds at which it was written.
         :param guessed: whether that time is an estimate, because its source
             started after the version was written.
-        :returns: whether it became the newest desired version.
+        :returns: whether it was unknown and is the newest desired version.
         """
         versions = self._desired_by_model.get(model)
         if versions is None:
@@ -180,7 +181,10 @@
         return 0 if versions is None else versions.oldest_allowed(now)
 
     def start_deadline(self, engine: routing.Engine, version: int) -> float:
-        """Return the time at which a request not started yet is abandoned."""
+        """Return the time by which requests on a version have to start.
+
+        Those that have not started by then are abandoned.
+        """
         return self._usable_until(engine, version) + _START_SLACK_SECONDS
 
     def version_bound(self, engine: routing.Engine, version: int) -> float:
@@ -208,7 +212,7 @@
         return changed
 
     def record_failure(self, endpoint: endpoints.Endpoint, now: float) -> None:
-        """Count a failure, unless it is of an earlier incarnation."""
+        """Count a failure of an endpoint if its incarnation is current."""
         if self.endpoints.get(endpoint.listing.id) is endpoint:
             self.ejector.observe_failure(endpoint.listing.id, now)
 
--- a/clementinepass/direct/follower.py
+++ b/clementinepass/direct/follower.py
@@ -50,7 +50,8 @@
 
 #: Seconds between retries while the store does not answer: the first, and the
 #: longest. The backoff is randomized: otherwise all processes would retry at
-#: once after an outage, and the store's rate limits are for all of them.
+#: the same time after an outage and exceed the store's rate limits, which apply
+#: to all of them together.
 _FIRST_BACKOFF_SECONDS = 0.1
 _MAX_BACKOFF_SECONDS = 0.6
 #: Seconds between checks whether a peer has supplied the first records.
@@ -65,7 +66,7 @@
 #: is rolled out each engine updates its listing three times, and each read
 #: costs a call to the store and a heartbeat to all entries of a region.
 _MIN_READ_INTERVAL_SECONDS = 0.25
-#: Removals kept, to hand them to peers.
+#: Most removals kept per topic, to pass them on to peers.
 _MAX_REMOVALS = 256
 
 
@@ -236,9 +237,9 @@
         an outage may be leases that expired while their holders could not
         reach the store.
 
-        The age is passed on with the records. If they only said that there
-        had been an outage, entries would treat every removal as an expired
-        lease for as long as records are passed around, and send requests to
+        The age is passed on with the records. If only the fact of an outage
+        was passed on, entries would treat every removal as an expired lease
+        for as long as they pass records to each other, and send requests to
         removed endpoints for two seconds more.
         """
         age = now - self.outage_ended_at
@@ -291,7 +292,7 @@
         return new_count
 
     def reapply(self, page: records.Page) -> int:
-        """Apply a page of records again, whatever their offsets.
+        """Apply a page of records; call the listener for old ones, too.
 
         The listener must be idempotent: it may get a record twice.
         """
@@ -360,7 +361,11 @@
         return read
 
     def _stop_reading(self, now: float) -> None:
-        """Clear the state of reads; earlier failures are no outage then."""
+        """Clear the state of reads, earlier failures included.
+
+        Otherwise the next read, however late, would count as the end of an
+        outage.
+        """
         self._read_ends_at = 0
         self._has_changes = False
         self._failing_since = None
--- a/clementinepass/direct/gossip.py
+++ b/clementinepass/direct/gossip.py
@@ -40,8 +40,8 @@
 #: Seconds since a member was last seen within which its digest is passed on.
 #: An older digest would be too late to show that the member is alive.
 _FRESH_SECONDS = 1.0
-#: Unknown members that are asked to introduce themselves, per heartbeat that
-#: lists them.
+#: Most unknown members that are asked to introduce themselves, per heartbeat
+#: that lists them.
 _MAX_INTRODUCTIONS = 2
 _NOT_FOUND = 404
 
@@ -139,8 +139,8 @@
     def send_heartbeat(self, *, full: bool = False) -> None:
         """Send one heartbeat to a selection of peers.
 
-        :param full: whether to send a full heartbeat, and to the agents of the
-            local failure domain, too.
+        :param full: whether to send a full heartbeat, and to send it also to
+            the agents of the local failure domain.
         """
         self._sequence += 1
         is_full = full or self._sequence % _HEARTBEATS_PER_FULL == 1
@@ -182,7 +182,7 @@
         self.send_to([ip for ip in ips if ip != self._local_node.ip])
 
     def local_member(self) -> members.Member | None:
-        """Return the member that this entry announces; ``None`` if an agent."""
+        """Return the member that an entry announces; ``None`` for an agent."""
         if not self._local_node.callers:
             return None
         return members.Member(
@@ -226,8 +226,8 @@
     ) -> None:
         """Answer a request for an introduction, and request some in turn.
 
-        Introductions list no other members: their receivers would request
-        introductions from those again.
+        An introduction lists no other members. Otherwise its receiver would
+        request introductions from those that it does not know, and so on.
         """
         if heartbeat.wants_introduction:
             self._send(self._introduction(wants_reply=False), ip)
@@ -374,7 +374,10 @@
         return [*drawn, *self._dependents().difference(drawn)]
 
     def update_dependents(self) -> None:
-        """Send a heartbeat at once to the entries that rely on this one."""
+        """Announce new records at once to the entries that get them from here.
+
+        Processes that have just started and wait for records are answered, too.
+        """
         self.send_to(list(self._dependents()))
         if not self.is_bootstrapping:
             now = asyncio.get_running_loop().time()
--- a/clementinepass/direct/heartbeats.py
+++ b/clementinepass/direct/heartbeats.py
@@ -13,7 +13,8 @@
 class DesiredVersion(typing.NamedTuple):
     """A version of a model's weights that the operator wants loaded.
 
-    :param age: seconds since the store acknowledged it, at the sender.
+    :param age: seconds since the store acknowledged the record of the version,
+        by the sender's clock.
     :param guessed: whether the age is an estimate, because the sender started
         after the version was written.
     """
@@ -59,7 +60,8 @@
 
     :param sender: the sending entry; ``None`` if an agent sends it.
     :param members: entries that the sender knows.
-    :param digests: entries that the sender has received from lately.
+    :param digests: entries that the sender has lately seen to be alive, in
+        their own heartbeats or in those of others.
     :param wants_introduction: whether the receiver must reply at once with its
         own :class:`~clementinepass.direct.members.Member`.
     :param in_flight_by_endpoint: the sender's requests at endpoints.
@@ -71,7 +73,9 @@
     :param operator_read_ends_in: seconds until the sender's pending read of
         the operator's records ends; 0 if none is pending.
     :param endpoints_read_ends_in: the same for the endpoints' records.
-    :param engine_statuses: the engines' states, as their agents read them.
+    :param desired_versions: the desired versions that the sender knows.
+    :param engine_statuses: the state of the sender's engine, if the sender is
+        an agent.
     :param load: the load of the sender's engine; such a message carries
         nothing else.
     :param wants_load: whether the sender, an entry, uses the engine of the
--- a/clementinepass/direct/members.py
+++ b/clementinepass/direct/members.py
@@ -23,7 +23,10 @@
 
 
 class Phase(enum.Enum):
-    """The state of a process, as it announces it."""
+    """The state of a process, as it announces it.
+
+    Messages carry a state as its position here, log lines by its value.
+    """
 
     STARTING = 'starting'
     READY = 'ready'
@@ -34,7 +37,7 @@
     """An entry as it describes itself.
 
     :param boot: a number that grows from one start of the entry to the next.
-    :param heartbeat: the number of heartbeats sent since then.
+    :param heartbeat: the number of heartbeats sent since that start.
     :param callers_address: ``host:port`` where callers connect.
     :param domain: its failure domain.
     """
@@ -58,15 +61,19 @@
 
 
 class _MemberState:
-    """The newest announcement of a member and the time of its arrival."""
+    """The newest announcement of a member.
+
+    :param last_seen: monotonic seconds at which it arrived.
+    """
 
     __slots__ = ('last_seen', 'draining_since', 'member')
 
     def __init__(self, member: Member, last_seen: float) -> None:
         self.member = member
         self.last_seen = last_seen
-        #: When it first announced that it drains; ``None`` if it does not. A
-        #: member already draining when first seen may have started long ago.
+        #: Monotonic seconds at which the member first announced that it drains;
+        #: ``None`` if it does not drain. A member that drains when it is first
+        #: seen may have begun to drain long before.
         self.draining_since: float | None = None
         if member.phase is Phase.DRAINING:
             self.draining_since = float('-inf')
@@ -98,7 +105,8 @@
         """Apply digests of members.
 
         :returns: the members that changed, and the IP addresses of unknown
-            members: a digest does not say where callers connect.
+            members. These are not added: a digest does not say where callers
+            connect.
         """
         changed = []
         unknown = []
--- a/clementinepass/direct/record_server.py
+++ b/clementinepass/direct/record_server.py
@@ -68,8 +68,8 @@
         """Send the records of a topic from an offset on.
 
         They are compressed if the peer accepts it: a few entries send each
-        configuration, some 50 KB, to all of a region, and would saturate
-        their links.
+        configuration, some 50 KB, to all entries of a region. Uncompressed,
+        the configurations would saturate the links of those few.
         """
         topic = self._topic(request)
         if topic is None:
--- a/clementinepass/direct/records.py
+++ b/clementinepass/direct/records.py
@@ -12,9 +12,9 @@
 
     #: Configurations and desired versions, written by the operator.
     OPERATOR = 'operator'
-    #: Listings of endpoints, written by themselves.
+    #: Listings of endpoints, written by the endpoints.
     ENDPOINTS = 'endpoints'
-    #: Entries, written by themselves.
+    #: Entries by IP address, written by the entries.
     ENTRIES = 'entries'
 
 
--- a/clementinepass/direct/subscribers.py
+++ b/clementinepass/direct/subscribers.py
@@ -31,7 +31,10 @@
         self._lease_end_by_ip[ip] = now + _LEASE_SECONDS
 
     def due(self, now: float) -> list[str]:
-        """Return the IP addresses to report to; none before the interval."""
+        """Return the IP addresses to report to now.
+
+        There are none until the report interval has passed.
+        """
         self._lease_end_by_ip = {
             ip: lease_end
             for ip, lease_end in self._lease_end_by_ip.items()
--- a/clementinepass/direct/subscribing.py
+++ b/clementinepass/direct/subscribing.py
@@ -64,7 +64,7 @@
         return due
 
     def _used_agents(self, now: float) -> list[str]:
-        """Return the IP addresses of the agents of the engines used here."""
+        """Return the IP addresses of the agents whose engines are used."""
         current = self._cluster.routing
         services = () if current is None else current.services_by_name.values()
         return [
@@ -77,11 +77,13 @@
     def _engine_addresses(
         self, service: routing.Service, now: float
     ) -> list[str]:
-        """Return the engines used, and near ones that are not usable yet.
+        """Return the addresses of the engines to subscribe to.
 
-        The latter are included because the agent of an added engine knows few
-        entries when the engine has loaded its weights. Without a subscription
-        the other entries learn it from the store's list, two seconds later.
+        These are the engines that this entry uses, and those of its failure
+        domain that are not usable yet. When an added engine has loaded its
+        weights, its agent knows few entries to announce that to. An entry that
+        it does not know would see it two seconds later, in the engine's listing
+        in the store.
         """
         usable = self._cluster.candidates(service, now)
         listed = self._cluster.endpoints.usable_for_service(service.name, now)
--- a/clementinepass/direct/turns.py
+++ b/clementinepass/direct/turns.py
@@ -1,4 +1,7 @@
-"""Schedule reads of the store among the entries by their announcements."""
+"""Distribute reads of the store over the entries and over time.
+
+The entries announce in heartbeats when their pending reads end.
+"""
 
 from __future__ import annotations
 
@@ -34,7 +37,7 @@
             self._read_end_by_ip.pop(ip, None)
 
     def should_read(self, now: float) -> bool:
-        """Return whether this entry reads, or else others of its region."""
+        """Return whether this entry is one that reads for its region."""
         recent = self._members.seen_within(
             now, region_readers.MAX_SILENCE_SECONDS
         )
--- a/clementinepass/wire/direct.capnp
+++ b/clementinepass/wire/direct.capnp
@@ -3,9 +3,11 @@
 # a datagram; records of the store, which may be long, are sent over HTTP.
 
 struct Member {
+  # An entry, as it describes itself.
   ip @0 :Text;
   boot @1 :UInt64;
   heartbeat @2 :UInt32;
+  # 0 while it starts, 1 when it is ready, 2 while it drains.
   phase @3 :UInt8;
   callers @4 :Text;
   domain @5 :Text;
