--- a/tests/direct/test_intake.py
+++ b/tests/direct/test_intake.py
@@ -158,7 +158,10 @@
         return skipped_time.run(scenario())
 
     def test_ages(self) -> None:
-        """After an outage it is used until it would be listed again."""
+        """After an outage an endpoint is used until it must be listed again.
+
+        Without an outage it is not used after its removal.
+        """
         cases = ((None, 0, 0), (0, 0, 1.9), (0.9, 0, 1.5), (0, 0.8, 1.6))
         for age, after, expected in cases:
             self.assertEqual(expected, self.grace(age, after), (age, after))
--- a/tests/direct/test_machines.py
+++ b/tests/direct/test_machines.py
@@ -102,9 +102,9 @@
     def test_stays_while_it_is_offered(self) -> None:
         """A draining entry does not end while lists that name it are in use.
 
-        An idle entry assumed that no list names it half a second after
-        SIGTERM. The others listed it for as long as it accepts any request,
-        and callers that kept those lists found that it was gone.
+        An idle entry assumed half a second after SIGTERM that no list named it
+        any more. The others listed it for as long as it would accept any
+        request, and callers that kept those lists found that it was gone.
         """
         route = {**machines.CONFIG['routes'][0], 'timeoutMs': 6000}
         config = {**machines.CONFIG, 'routes': [route]}
@@ -135,8 +135,8 @@
     def test_offered_beside_a_long_route(self) -> None:
         """Entries drain while one route's timeout exceeds the grace period.
 
-        The time in which an entry accepts requests of any route was already
-        over, so each entry listed only itself, although another that had begun
+        That left no time in which a draining entry accepts requests of every
+        route, so each entry listed only itself, although another that had begun
         to drain later still accepted requests of other routes.
         """
         long = {'name': 'long', 'pathPrefix': '/long/', 'timeoutMs': 30000}
@@ -276,9 +276,9 @@
     def test_other_writers(self) -> None:
         """Another writer's records under ids of its own and of an endpoint.
 
-        Records nested too deeply for the decoder, or with keys that are not
-        text, must not end the reading of the list; otherwise later endpoints
-        are never seen.
+        A record was nested so deeply that its decoder raised an unexpected
+        error, and another had a key that was not text. The reading of the list
+        ended there, and later endpoints were never seen.
         """
 
         async def scenario(world: machines.Machines) -> None:
--- a/tests/direct/test_many_readers.py
+++ b/tests/direct/test_many_readers.py
@@ -34,7 +34,7 @@
 ) -> float:
     """Write a configuration; return the seconds until all have it in force.
 
-    :param gone: the IP numbers of entries that were killed.
+    :param gone: the IP addresses of entries that were killed.
     """
     loop = asyncio.get_running_loop()
     started_at = loop.time()
