--- a/clementinepass/direct/cluster_state.py
+++ b/clementinepass/direct/cluster_state.py
@@ -334,7 +334,7 @@
         return removed
 
 
-def _is_current(endpoint: endpoints.Endpoint, started: int) -> bool:
+def _is_current(endpoint: endpoints.Endpoint, started_ms: int) -> bool:
     """Return whether an agent's report is of the current incarnation.
 
     An engine may crash and come back empty while an older report of its agent
@@ -342,6 +342,6 @@
     that the engine no longer holds.
     """
     is_superseded = incarnations.is_superseded(
-        endpoint.weights_started_ms, started
+        endpoint.weights_started_ms, started_ms
     )
     return not is_superseded and endpoint.unusable_at is None
--- a/tests/direct/test_many_readers.py
+++ b/tests/direct/test_many_readers.py
@@ -30,17 +30,17 @@
 async def _change(
     world: machines.Machines,
     version: int,
-    gone: typing.Collection[str] = (),
+    killed_ips: typing.Collection[str] = (),
 ) -> float:
     """Write a configuration; return the seconds until all have it in force.
 
-    :param gone: the IP addresses of entries that were killed.
+    :param killed_ips: the IP addresses of entries that were killed.
     """
     loop = asyncio.get_running_loop()
     started_at = loop.time()
     world.configure({**machines.CONFIG, 'version': version})
     for ip, entry in zip(world.entry_ips, world.entries, strict=True):
-        if ip in gone:
+        if ip in killed_ips:
             continue
         await machines.until(
             lambda entry=entry: entry.cluster.configuration_version == version,
