--- a/clementinepass/observability/exposition.py
+++ b/clementinepass/observability/exposition.py
@@ -1,4 +1,4 @@
-"""Metrics and health of a daemon over HTTP, on a port of their own."""
+"""HTTP server for a daemon's metrics and health checks, on its own port."""
 
 from __future__ import annotations
 
@@ -14,15 +14,15 @@
     from clementinepass.wire import bridge as bridges
 
 _THREADS = 2
-#: Seconds that the event loop may take for the metrics.
-_TIMEOUT = 5.0
-_PLAIN = 'text/plain; charset=utf-8'
+#: Seconds to wait for the event loop to render the metrics.
+_RENDER_TIMEOUT_SECONDS = 5.0
+_PLAIN_TEXT = 'text/plain; charset=utf-8'
 
 
-class Exposition:
+class MetricsServer:
     """Serve ``/metrics``, ``/healthz`` and ``/readyz``.
 
-    :param ready: tells whether the daemon does its work.
+    :param is_ready: returns whether the daemon is ready to serve.
     """
 
     def __init__(
@@ -30,11 +30,11 @@
         host: str,
         port: int,
         registry: aioprometheus.Registry,
-        ready: Callable[[], bool],
+        is_ready: Callable[[], bool],
         bridge: bridges.Bridge,
     ) -> None:
         self._registry = registry
-        self._ready = ready
+        self._is_ready = is_ready
         self._bridge = bridge
         self._server = wsgi.Server(
             (host, port),
@@ -51,21 +51,21 @@
 
     @property
     def port(self) -> int:
-        """Return the port that was bound."""
+        """Return the port to which the server is bound."""
         return int(self._server.bind_addr[1])
 
     def close(self) -> None:
-        """Stop serving."""
+        """Stop the server."""
         self._server.stop()
 
     def _render(
         self,
         start_response: Callable[..., typing.Any],
     ) -> list[bytes]:
-        # Metrics change on the event loop; read from here they could change
-        # while they are being read.
-        rendering = self._bridge.submit(_rendered(self._registry))
-        body, headers = rendering.result(_TIMEOUT)
+        # Metrics change on the event loop, so they are rendered there: read
+        # from this thread, they could change while they are being read.
+        rendering = self._bridge.submit(_render_registry(self._registry))
+        body, headers = rendering.result(_RENDER_TIMEOUT_SECONDS)
         start_response('200 OK', list(headers.items()))
         return [body]
 
@@ -78,18 +78,18 @@
         if path == '/metrics':
             return self._render(start_response)
         if path == '/healthz':
-            start_response('200 OK', [('Content-Type', _PLAIN)])
+            start_response('200 OK', [('Content-Type', _PLAIN_TEXT)])
             return [b'ok\n']
         if path == '/readyz':
-            ready = self._ready()
+            ready = self._is_ready()
             status = '200 OK' if ready else '503 Service Unavailable'
-            start_response(status, [('Content-Type', _PLAIN)])
+            start_response(status, [('Content-Type', _PLAIN_TEXT)])
             return [b'ready\n' if ready else b'not ready\n']
-        start_response('404 Not Found', [('Content-Type', _PLAIN)])
+        start_response('404 Not Found', [('Content-Type', _PLAIN_TEXT)])
         return [b'not found\n']
 
 
-async def _rendered(
+async def _render_registry(
     registry: aioprometheus.Registry,
 ) -> tuple[bytes, dict[str, str]]:
     body, headers = aioprometheus.render(registry, [])
--- a/clementinepass/observability/verdicts.py
+++ b/clementinepass/observability/verdicts.py
@@ -1,8 +1,8 @@
-"""Work out a request's cause from all lines that were written of it.
+"""Determine the cause of a request's outcome from its log lines.
 
-The line of its ending comes first, then what led to it.  Where a line or a
-field is missing that would prove a cause, the cause is not known: a wrong one
-sends an engineer to the wrong place.
+The line on the end of the request is examined first, then the lines before it.
+If a line or a field that would prove a cause is missing, the cause is reported
+as unknown: a wrong cause misleads the engineer who looks for it.
 """
 
 from __future__ import annotations
@@ -14,18 +14,19 @@
 if typing.TYPE_CHECKING:
     from collections.abc import Sequence
 
-#: Seconds by which a caller's clock may be ahead, which began before its
-#: request was read here: the time of a request's way, slow links included.
-_AHEAD_SECONDS = 0.25
-#: Seconds for which an engine that was ordered to load new weights may cut
-#: what it still runs. Both times are of their own machine's clock.
-_LOAD_SECONDS = 3.0
+#: Seconds by which a timer of the caller may be ahead, as it is started before
+#: the entry reads the request: the network latency, slow links included.
+_CLOCK_MARGIN_SECONDS = 0.25
+#: An engine that was ordered to load new weights may abort running requests for
+#: this many seconds. The order and the abort are logged by different machines,
+#: each by its own clock.
+_LOAD_CUT_SECONDS = 3.0
 
 Cause = causes.Cause
 
 _CAUSE_BY_REASON = {
     'starting': Cause.STARTING,
-    'leaving': Cause.LEAVING,
+    'leaving': Cause.DRAINING,
     'malformed': Cause.MALFORMED,
     'unknown_key': Cause.UNKNOWN_KEY,
     'unknown_route': Cause.UNKNOWN_ROUTE,
@@ -35,7 +36,7 @@
     'no_weights': Cause.NO_WEIGHTS,
     'endpoint_failed': Cause.ENDPOINT_FAILED,
     'deadline': Cause.DEADLINE,
-    'route_time': Cause.ROUTE_TIME,
+    'route_time': Cause.ROUTE_TIMEOUT,
     'slow_reader': Cause.SLOW_READER,
 }
 _WITHDRAWN_BY_CAUSE = {
@@ -44,37 +45,37 @@
 }
 _CAUSE_BY_FAULT = {
     'unreachable': Cause.UNREACHABLE,
-    'lost': Cause.ENDPOINT_LOST,
-    'ended': Cause.ENDPOINT_ENDED,
+    'lost': Cause.ENDPOINT_CONNECTION_LOST,
+    'ended': Cause.ENDPOINT_CLOSED,
     'silent': Cause.ENDPOINT_SILENT,
-    'spoilt': Cause.ENDPOINT_SPOILT,
+    'spoilt': Cause.ENDPOINT_MALFORMED,
     'too_old': Cause.WEIGHTS_TOO_OLD,
-    'loading': Cause.TOOK_UP_WEIGHTS,
+    'loading': Cause.ENGINE_LOADING,
     'failed': Cause.ENDPOINT_FAILED,
 }
-#: Endings that are what became of the attempts.
-_OF_ATTEMPTS = frozenset(('broken', 'turned_away', 'endpoint_failed'))
-_ATTEMPT_ENDED = frozenset(('attempt failed', 'failed by the endpoint'))
-#: Faults with which an engine that takes up weights cuts what it runs.
+#: Reasons for which the outcomes of the attempts give the cause.
+_ATTEMPT_REASONS = frozenset(('broken', 'turned_away', 'endpoint_failed'))
+_ATTEMPT_END_MESSAGES = frozenset(('attempt failed', 'failed by the endpoint'))
+#: Faults that occur when an engine that loads weights aborts running requests.
 _CUT_FAULTS = frozenset(('lost', 'ended', 'spoilt'))
-#: What became of attempts that did not run. The first of these that one of a
-#: request's attempts met is the cause: an endpoint's own word goes before what
-#: was concluded here.
+#: Causes by the outcome of attempts that did not run. The first of these that
+#: any attempt of the request had gives the cause: the answer of an endpoint
+#: takes precedence over a conclusion of the entry.
 _CAUSE_BY_NOT_RUN = {
-    'turned_away': Cause.TURNED_AWAY,
+    'turned_away': Cause.REJECTED,
     'misdirected': Cause.MISDIRECTED,
     'unreachable': Cause.UNREACHABLE,
 }
-#: Endings for which the silence of the endpoint is worth telling.
-_WAITED = frozenset(
+#: Causes to whose explanation the time without data from the endpoint is added.
+_CAUSES_WITH_SILENCE = frozenset(
     (
         Cause.CALLER_LEFT,
         Cause.CALLER_GAVE_UP,
         Cause.CALLER_DEADLINE,
         Cause.CONNECTION_RESET,
         Cause.DEADLINE,
-        Cause.ROUTE_TIME,
-        Cause.CUT_AT_END,
+        Cause.ROUTE_TIMEOUT,
+        Cause.CUT_AT_SHUTDOWN,
     ),
 )
 _SENTENCE_BY_MESSAGE = {
@@ -83,116 +84,132 @@
 }
 
 
-class Around(typing.NamedTuple):
-    """What was written besides the lines of the request itself.
+class Context(typing.NamedTuple):
+    """Lines other than those on the request itself.
 
-    :param after: lines of the process that had it last, after its own.
-    :param loads: orders to load, each with the address of its engine.
+    :param later_lines: lines that the process with the last line on the request
+        wrote after it.
+    :param load_orders: the address of the engine and the line for each order to
+        load.
+    :param dropped: whether that process dropped lines when the request ended.
     """
 
-    after: Sequence[lines.Line]
-    loads: Sequence[tuple[str, lines.Line]]
+    later_lines: Sequence[lines.Line]
+    load_orders: Sequence[tuple[str, lines.Line]]
     dropped: bool = False
 
 
 class Verdict(typing.NamedTuple):
-    """Why a request ended as it did.
+    """The cause of a request's outcome.
 
-    :param led: what led to it, a sentence each, in order of time.
+    :param sentence: an explanation of the cause.
+    :param contributions: one sentence for each event that led to the outcome,
+        in order of time.
     """
 
     cause: causes.Cause
     sentence: str
-    led: tuple[str, ...] = ()
+    contributions: tuple[str, ...] = ()
 
 
-def ends(line: lines.Line) -> bool:
-    """Tell whether a line says how its request ended."""
-    return line.message in _JUDGE_BY_MESSAGE
+def is_ending(line: lines.Line) -> bool:
+    """Return whether a line states how its request ended."""
+    return line.message in _CLASSIFIER_BY_MESSAGE
 
 
-def judge(own: Sequence[lines.Line], around: Around) -> Verdict:
-    """Return the cause that a request's lines prove.
+def classify(request_lines: Sequence[lines.Line], context: Context) -> Verdict:
+    """Return the cause that the lines of a request prove.
 
-    :param own: its lines, in order of time.
+    :param request_lines: all lines on the request, in order of time.
     """
     final = next(
-        (one for one in reversed(own) if ends(one)),
+        (
+            request_line
+            for request_line in reversed(request_lines)
+            if is_ending(request_line)
+        ),
         None,
     )
     if final is None:
-        return _unended(own, around)
-    before = [one for one in own if one is not final]
-    cause, line = _JUDGE_BY_MESSAGE[final.message](final, before, around)
+        return _classify_unended(request_lines, context)
+    before = [earlier for earlier in request_lines if earlier is not final]
+    cause, line = _CLASSIFIER_BY_MESSAGE[final.message](final, before, context)
     verdict = _verdict(cause, line)
-    led = [_told(one) for one in before if one.message in _SENTENCE_BY_MESSAGE]
-    if cause in _WAITED:
-        led += _silence(final)
-    return verdict._replace(led=tuple(led))
+    contributions = [
+        _describe(earlier)
+        for earlier in before
+        if earlier.message in _SENTENCE_BY_MESSAGE
+    ]
+    if cause in _CAUSES_WITH_SILENCE:
+        contributions += _describe_silence(final)
+    return verdict._replace(contributions=tuple(contributions))
 
 
 def _verdict(cause: Cause, line: lines.Line) -> Verdict:
-    """Return a cause with its sentence."""
+    """Return a cause with its explanation from the fields of a line."""
     sentence = causes.SENTENCE_BY_CAUSE[cause]
     return Verdict(cause, sentence.format_map(_Fields(line.fields)))
 
 
-def _not_known(why: str) -> Verdict:
-    sentence = causes.SENTENCE_BY_CAUSE[Cause.NOT_KNOWN].format(why=why)
-    return Verdict(Cause.NOT_KNOWN, sentence)
+def _unknown_verdict(why: str) -> Verdict:
+    sentence = causes.SENTENCE_BY_CAUSE[Cause.UNKNOWN].format(why=why)
+    return Verdict(Cause.UNKNOWN, sentence)
 
 
-def _told(line: lines.Line) -> str:
-    """Return what a line that led to the ending says, as far as it does."""
+def _describe(line: lines.Line) -> str:
+    """Return the sentence for an event that led to the outcome."""
     fields = _Fields(line.fields)
     return _SENTENCE_BY_MESSAGE[line.message].format_map(fields)
 
 
 class _Fields(dict[str, typing.Any]):
-    """The fields of a line, with a mark for those that it lacks."""
+    """The fields of a line; missing ones are shown as ``?``."""
 
     def __missing__(self, name: str) -> str:
         return '?'
 
 
-def _silence(final: lines.Line) -> list[str]:
-    """Say for how long the endpoint had been silent, if it was asked."""
+def _describe_silence(final: lines.Line) -> list[str]:
+    """Return a sentence on the time without data from the endpoint."""
     fields = final.fields
     endpoint, silent = fields.get('endpoint'), fields.get('silent')
     if endpoint is None or silent is None:
-        return ['it had been sent to no endpoint']
+        return ['it had not been sent to any endpoint']
     events = fields.get('events', 0)
     return [
         f'endpoint {endpoint} had been silent for {silent} s; its caller had '
-        f'got {events} events',
+        f'received {events} events',
     ]
 
 
-_Found = tuple[Cause, lines.Line]
+_Classified = tuple[Cause, lines.Line]
 
 
-def _unproved(line: lines.Line, why: str) -> _Found:
-    """Return that the cause is not known."""
-    told = lines.Line(line.process, line.at, line.message, {'why': why})
-    return Cause.NOT_KNOWN, told
+def _unknown_cause(line: lines.Line, why: str) -> _Classified:
+    """Return an unknown cause with the reason why it is unknown."""
+    evidence = lines.Line(line.process, line.at, line.message, {'why': why})
+    return Cause.UNKNOWN, evidence
 
 
-def _unended(own: Sequence[lines.Line], around: Around) -> Verdict:
-    """Judge a request of which no line says how it ended."""
-    if around.dropped:
-        return _not_known('lines were dropped when it ended')
-    for line in around.after:
+def _classify_unended(
+    request_lines: Sequence[lines.Line], context: Context
+) -> Verdict:
+    """Classify a request without a line on its end."""
+    if context.dropped:
+        return _unknown_verdict('lines were dropped when it ended')
+    for line in context.later_lines:
         if line.message == 'stopped':
-            return _not_known('the entry stopped without a word on it')
-        if begins(line):
-            return _verdict(Cause.PROCESS_GONE, line)
-    return _not_known('no line says how it ended')
+            return _unknown_verdict('the entry stopped without a line on it')
+        if is_process_start(line):
+            return _verdict(Cause.PROCESS_KILLED, line)
+    return _unknown_verdict('no line states how it ended')
 
 
-def begins(line: lines.Line) -> bool:
-    """Tell whether a line is written by an entry that has just begun.
+def is_process_start(line: lines.Line) -> bool:
+    """Return whether a line shows that an entry has just started.
 
-    Its first may have been lost together with the last of the one before.
+    The line ``entry started`` may be lost together with the last lines of the
+    previous process; the first configuration then shows the start.
     """
     if line.message == 'entry started':
         return True
@@ -200,156 +217,161 @@
     return is_configured and line.fields.get('before') == 0
 
 
-def _of_refusal(
+def _classify_refusal(
     final: lines.Line,
     before: Sequence[lines.Line],
-    around: Around,
-) -> _Found:
+    context: Context,
+) -> _Classified:
     reason = final.fields.get('reason')
     cause = _CAUSE_BY_REASON.get(str(reason))
     if cause is None:
-        return _unproved(final, f'reason {reason!r} is none that is known')
+        return _unknown_cause(final, f'reason {reason!r} is unknown')
     if cause not in _WITHDRAWN_BY_CAUSE:
         return cause, final
-    known_in = _number(final, 'last_in')
+    known_in = _number_field(final, 'last_in')
     if known_in is None:
-        return _unproved(final, 'its line lacks what was known before')
+        return _unknown_cause(final, "its line lacks the field 'last_in'")
     return _WITHDRAWN_BY_CAUSE[cause] if known_in else cause, final
 
 
-def _of_ending(
+def _classify_ending(
     final: lines.Line,
     before: Sequence[lines.Line],
-    around: Around,
-) -> _Found:
-    """Judge by the ending and by what it says became of the attempts."""
+    context: Context,
+) -> _Classified:
+    """Classify by the reason and the outcomes of the attempts."""
     if final.fields.get('decision') == 'budget_spent':
-        return Cause.BUDGET, final
+        return Cause.RETRY_BUDGET_SPENT, final
     reason = str(final.fields.get('reason'))
     if reason == 'leaving':
-        return Cause.CUT_AT_END, final
-    if reason not in _OF_ATTEMPTS:
-        return _of_refusal(final, before, around)
+        return Cause.CUT_AT_SHUTDOWN, final
+    if reason not in _ATTEMPT_REASONS:
+        return _classify_refusal(final, before, context)
     outcomes = final.fields.get('outcomes')
     if not isinstance(outcomes, list):
-        return _unproved(final, 'its line lacks what became of its attempts')
+        return _unknown_cause(final, "its line lacks the field 'outcomes'")
     if reason == 'turned_away':
-        return _of_not_run(final, outcomes)
+        return _classify_not_run(final, outcomes)
     if reason == 'endpoint_failed':
-        # Its caller got that answer, whatever was tried after it.
+        # The caller received the error of the last attempt that failed with
+        # one, so attempts after it do not count.
         while outcomes and outcomes[-1] != 'failed':
             outcomes = outcomes[:-1]
-    return _of_last_run(final, outcomes, before, around)
+    return _classify_last_run(final, outcomes, before, context)
 
 
-def _of_last_run(
+def _classify_last_run(
     final: lines.Line,
     outcomes: list[typing.Any],
     before: Sequence[lines.Line],
-    around: Around,
-) -> _Found:
-    """Judge by the last attempt that ran, or may have."""
-    for place in reversed(range(len(outcomes))):
-        outcome = str(outcomes[place])
+    context: Context,
+) -> _Classified:
+    """Classify by the last attempt that ran or may have run."""
+    for index in reversed(range(len(outcomes))):
+        outcome = str(outcomes[index])
         if outcome in _CAUSE_BY_NOT_RUN:
             continue
         if outcome not in _CAUSE_BY_FAULT:
-            return _unproved(
-                final, f'outcome {outcome!r} is none that is known'
-            )
-        line = _attempt_line(before, place + 1)
-        if outcome in _CUT_FAULTS and _was_loading(line, around):
-            return Cause.TOOK_UP_WEIGHTS, line
+            return _unknown_cause(final, f'outcome {outcome!r} is unknown')
+        line = _attempt_line(before, index + 1)
+        if outcome in _CUT_FAULTS and _was_loading(line, context):
+            return Cause.ENGINE_LOADING, line
         return _CAUSE_BY_FAULT[outcome], line
-    return _unproved(final, 'no attempt is said to have run')
+    return _unknown_cause(final, 'no attempt is recorded as run')
 
 
 def _attempt_line(before: Sequence[lines.Line], number: int) -> lines.Line:
-    """Return the line on a failed attempt; one of nothing if it is missing."""
+    """Return the line on a failed attempt; an empty one if it is missing."""
     for line in before:
-        told = line.message in _ATTEMPT_ENDED
-        if told and line.fields.get('attempt') == number:
+        has_ended = line.message in _ATTEMPT_END_MESSAGES
+        if has_ended and line.fields.get('attempt') == number:
             return line
     return lines.Line('', 0, '', {})
 
 
-def _was_loading(line: lines.Line, around: Around) -> bool:
-    """Tell whether its agent had an engine load when it cut a request."""
+def _was_loading(line: lines.Line, context: Context) -> bool:
+    """Return whether the engine was loading when it aborted the request."""
     engine = line.fields.get('engine')
     return any(
         engine == address
         and order.fields.get('answer') == 'accepted'
-        and 0 <= line.at - order.at <= _LOAD_SECONDS
-        for address, order in around.loads
+        and 0 <= line.at - order.at <= _LOAD_CUT_SECONDS
+        for address, order in context.load_orders
     )
 
 
-def _of_not_run(final: lines.Line, outcomes: list[typing.Any]) -> _Found:
-    """Judge a request that no endpoint ran, by all that it was sent to."""
+def _classify_not_run(
+    final: lines.Line, outcomes: list[typing.Any]
+) -> _Classified:
+    """Classify a request that no endpoint ran by all its attempts."""
     for outcome, cause in _CAUSE_BY_NOT_RUN.items():
         if outcome in outcomes:
             return cause, final
-    return _unproved(final, 'no attempt is said to have been turned away')
+    return _unknown_cause(final, 'no attempt is recorded as not run')
 
 
-def _of_caller(
+def _classify_caller(
     final: lines.Line,
     before: Sequence[lines.Line],
-    around: Around,
-) -> _Found:
-    """Tell a caller that gave up from one that left of its own accord."""
+    context: Context,
+) -> _Classified:
+    """Distinguish the reasons for which a caller disconnects."""
     fields = final.fields
-    left, waited = _number(final, 'left'), _number(final, 'waited')
+    left, waited = _number_field(final, 'left'), _number_field(final, 'waited')
     if left is None or waited is None or 'end' not in fields:
-        return _unproved(final, 'its line does not say who ended it')
-    if left <= _AHEAD_SECONDS:
+        return _unknown_cause(
+            final, 'its line does not state who closed the connection'
+        )
+    if left <= _CLOCK_MARGIN_SECONDS:
         return Cause.CALLER_DEADLINE, final
-    patience = _number(final, 'patience')
-    if patience is not None and waited >= patience - _AHEAD_SECONDS:
+    patience = _number_field(final, 'patience')
+    if patience is not None and waited >= patience - _CLOCK_MARGIN_SECONDS:
         return Cause.CALLER_GAVE_UP, final
     if fields['end'] == 'caller_closed':
         return Cause.CALLER_LEFT, final
     return Cause.CONNECTION_RESET, final
 
 
-def _number(line: lines.Line, name: str) -> float | None:
-    """Return a field that is a number; ``None`` for anything else."""
+def _number_field(line: lines.Line, name: str) -> float | None:
+    """Return a numeric field; ``None`` if it is missing or not a number."""
     field = line.fields.get(name)
     return field if isinstance(field, int | float) else None
 
 
-def _always(cause: Cause) -> _Judge:
-    """Return a judge for a line that proves one cause."""
+def _always_classify(cause: Cause) -> _Classifier:
+    """Return a classifier for a line that always has the same cause."""
 
-    def judged(
+    def classify_constant(
         final: lines.Line,
         before: Sequence[lines.Line],
-        around: Around,
-    ) -> _Found:
+        context: Context,
+    ) -> _Classified:
         return cause, final
 
-    return judged
+    return classify_constant
 
 
-def _of_unknown(
+def _classify_unknown(
     final: lines.Line,
     before: Sequence[lines.Line],
-    around: Around,
-) -> _Found:
-    return _unproved(final, 'its work was ended, and nothing tells by whom')
-
-
-_Judge = typing.Callable[[lines.Line, 'Sequence[lines.Line]', Around], _Found]
-
-#: How to judge by each line that ends a request.
-_JUDGE_BY_MESSAGE: dict[str, _Judge] = {
-    'answered': _always(Cause.ANSWERED),
-    'refused': _of_refusal,
-    'ended without an answer': _of_ending,
-    'caller left': _of_caller,
-    'connection reset': _of_caller,
-    'connection lost': _always(Cause.CONNECTION_LOST),
-    'cut off, as this entry ends': _always(Cause.CUT_AT_END),
-    'cut off by a fault of this entry': _always(Cause.OWN_FAULT),
-    'cut off, not known why': _of_unknown,
+    context: Context,
+) -> _Classified:
+    return _unknown_cause(final, 'it was aborted, and nothing tells by whom')
+
+
+_Classifier = typing.Callable[
+    [lines.Line, 'Sequence[lines.Line]', Context], _Classified
+]
+
+#: Classifiers by the message of the line on the end of a request.
+_CLASSIFIER_BY_MESSAGE: dict[str, _Classifier] = {
+    'answered': _always_classify(Cause.ANSWERED),
+    'refused': _classify_refusal,
+    'ended without an answer': _classify_ending,
+    'caller left': _classify_caller,
+    'connection reset': _classify_caller,
+    'connection lost': _always_classify(Cause.CONNECTION_LOST),
+    'cut off, as this entry ends': _always_classify(Cause.CUT_AT_SHUTDOWN),
+    'cut off by a fault of this entry': _always_classify(Cause.INTERNAL_ERROR),
+    'cut off, not known why': _classify_unknown,
 }
