--- a/tests/platform/test_content.py
+++ b/tests/platform/test_content.py
@@ -102,12 +102,12 @@
         serving.order(self.address, outage=on)
 
     def throttle(self):
-        self.show(serving.fault('status', status=429, seconds=1))
+        self.inject_fault(serving.fault('status', status=429, seconds=1))
 
     def corrupt(self):
-        self.show(serving.fault('corrupt'))
+        self.inject_fault(serving.fault('corrupt'))
 
-    def show(self, fault):
+    def inject_fault(self, fault):
         serving.order(self.address, faults=(fault,))
 
     def put(self, digest, content):
@@ -125,7 +125,7 @@
     def test_truncation(self, fault):
         """Truncated content is never returned as complete."""
         self.put(_DIGEST, b'a' * 50_000)
-        self.show(fault)
+        self.inject_fault(fault)
         error = self.assertRaises(
             errors.PlatformUnavailableError, self.fetch, _DIGEST
         )
@@ -167,5 +167,5 @@
     def test_truncated_chunk(self):
         """The connection is lost after a part of a chunk has arrived."""
         self.put(_DIGEST, b'a' * 50_000)
-        self.show(serving.fault('truncate', parts=1))
+        self.inject_fault(serving.fault('truncate', parts=1))
         self.assertRaises(errors.PlatformUnavailableError, self.fetch, _DIGEST)
--- a/tests/platform/test_instance_list.py
+++ b/tests/platform/test_instance_list.py
@@ -34,16 +34,16 @@
 
     def test_shows_changes(self):
         """Added, changed and removed instances are listed accordingly."""
-        self.assertEqual((), self.shown.instances())
+        self.assertEqual((), self.instance_list.instances())
         self.put(_ENTRY)
         self.put(_AGENT)
-        self.assertEqual({_ENTRY, _AGENT}, set(self.shown.instances()))
+        self.assertEqual({_ENTRY, _AGENT}, set(self.instance_list.instances()))
         leaving = msgspec.structs.replace(
             _AGENT, state=protocols.InstanceState.LEAVING
         )
         self.put(leaving)
         self.remove('e1')
-        self.assertEqual((leaving,), self.shown.instances())
+        self.assertEqual((leaving,), self.instance_list.instances())
 
     def test_outage(self):
         """An outage raises an error and never yields an empty list.
@@ -52,9 +52,11 @@
         """
         self.put(_ENTRY)
         self.outage(on=True)
-        self.assertRaises(errors.PlatformUnavailableError, self.shown.instances)
+        self.assertRaises(
+            errors.PlatformUnavailableError, self.instance_list.instances
+        )
         self.outage(on=False)
-        self.assertEqual((_ENTRY,), self.shown.instances())
+        self.assertEqual((_ENTRY,), self.instance_list.instances())
 
 
 class MemoryInstancesTest(InstanceContract, testtools.TestCase):
@@ -62,12 +64,12 @@
 
     def setUp(self):
         super().setUp()
-        self.shown = memory.MemoryInstanceList()
-        self.put = self.shown.put
-        self.remove = self.shown.remove
+        self.instance_list = memory.MemoryInstanceList()
+        self.put = self.instance_list.put
+        self.remove = self.instance_list.remove
 
     def outage(self, on):
-        self.shown.outage = on
+        self.instance_list.outage = on
 
 
 def _list(**changes):
@@ -83,8 +85,8 @@
         super().setUp()
         handlers = standin.InstanceHandlers(standin.InstanceStore())
         self.address = serving.serve(self, handlers.application())
-        self.shown = instance_list.HttpInstanceList(self.address)
-        self.addCleanup(self.shown.close)
+        self.instance_list = instance_list.HttpInstanceList(self.address)
+        self.addCleanup(self.instance_list.close)
 
     def put(self, instance):
         path = f'/v1/instances/{instance.id}'
@@ -118,7 +120,7 @@
         fault = serving.fault('replace', body=body)
         serving.order(self.address, faults=(fault,))
         error = self.assertRaises(
-            errors.MalformedMessageError, self.shown.instances
+            errors.MalformedMessageError, self.instance_list.instances
         )
         self.assertEqual(self.address, error.peer)
 
--- a/tests/platform/test_log_service.py
+++ b/tests/platform/test_log_service.py
@@ -57,15 +57,15 @@
         serving.order(self.address, outage=on)
 
     def lose_answer(self):
-        self.show('drop_after')
+        self.inject_fault('drop_after')
 
     def lose_append(self):
-        self.show('drop_before')
+        self.inject_fault('drop_before')
 
     def throttle(self):
-        self.show('status', status=429, seconds=1)
+        self.inject_fault('status', status=429, seconds=1)
 
-    def show(self, kind, **details):
+    def inject_fault(self, kind, **details):
         fault = serving.fault(kind, method='POST', **details)
         serving.order(self.address, faults=(fault,))
 
--- a/tests/platform/test_machines.py
+++ b/tests/platform/test_machines.py
@@ -178,7 +178,7 @@
 class RegistryTest(testtools.TestCase):
     """Decoding of endpoints' records."""
 
-    ENTRY: typing.ClassVar[dict[str, typing.Any]] = {
+    RECORD: typing.ClassVar[dict[str, typing.Any]] = {
         'service': 'pool',
         'address': '10.0.0.1:80',
         'zone': 'north-1',
@@ -191,16 +191,16 @@
 
     def test_records(self) -> None:
         """An endpoint that is ready, one that drains, one without weights."""
-        found = registry.decode_record(record('i-1', self.ENTRY))
+        found = registry.decode_record(record('i-1', self.RECORD))
         assert found is not None
         self.assertEqual(endpoints.Weights(1, 0, 16), found.weights)
         self.assertFalse(found.draining)
         found = registry.decode_record(
-            record('i-1', {**self.ENTRY, 'state': 'draining'})
+            record('i-1', {**self.RECORD, 'state': 'draining'})
         )
         assert found is not None
         self.assertTrue(found.draining)
-        empty = {**self.ENTRY, 'models': [], 'layers': None}
+        empty = {**self.RECORD, 'models': [], 'layers': None}
         found = registry.decode_record(record('i-1', empty))
         assert found is not None
         self.assertEqual(endpoints.Weights(0, 0, 0), found.weights)
@@ -366,8 +366,8 @@
     """Return records in the encoding of the store's pages."""
     parts = [(9).to_bytes(8, 'big'), (0).to_bytes(8, 'big')]
     for key, payload in keyed:
-        whole = bytes((len(key),)) + key + payload
-        parts.append(len(whole).to_bytes(4, 'big') + whole)
+        content = bytes((len(key),)) + key + payload
+        parts.append(len(content).to_bytes(4, 'big') + content)
     return b''.join(parts)
 
 
@@ -404,9 +404,9 @@
         If one such record of another writer failed the page, every read of the
         topic would fail from then on. Later records keep their offsets.
         """
-        odd = [b'', b'\5ab', b'\2\xff\xfe1', b'\1a1']
+        malformed = [b'', b'\5ab', b'\2\xff\xfe1', b'\1a1']
         body = framed() + b''.join(
-            len(whole).to_bytes(4, 'big') + whole for whole in odd
+            len(content).to_bytes(4, 'big') + content for content in malformed
         )
         newest = {
             'entries': [
--- a/tests/platform/test_registry.py
+++ b/tests/platform/test_registry.py
@@ -14,7 +14,7 @@
 from clementinepass.platform import engine, operator, registry
 from clementinepass.wire import heartbeats as wire_heartbeats
 
-ENTRY: dict[str, typing.Any] = {
+ENDPOINT_RECORD: dict[str, typing.Any] = {
     'service': 'pool',
     'address': '10.0.0.1:80',
     'zone': 'north-1',
@@ -29,9 +29,9 @@
 }
 
 
-def entry(**changes: typing.Any) -> bytes:
+def endpoint_record(**changes: typing.Any) -> bytes:
     """Return a record with some fields changed; ``...`` removes a field."""
-    fields = {**ENTRY, **changes}
+    fields = {**ENDPOINT_RECORD, **changes}
     return json.dumps(
         {name: field for name, field in fields.items() if field is not ...},
     ).encode()
@@ -42,69 +42,72 @@
     ('blank', b' '),
     ('binary bytes', b'\xff\xfe\x00'),
     ('not JSON', b'ready'),
-    ('truncated', entry()[:-9]),
-    ('two records in one', entry() + entry()),
+    ('truncated', endpoint_record()[:-9]),
+    ('two records in one', endpoint_record() + endpoint_record()),
     ('a list', b'[]'),
     ('null', b'null'),
     ('no fields', b'{}'),
     ('deeply nested', b'{"x":' + b'[' * 99999 + b']' * 99999 + b'}'),
-    ('invalid UTF-8', entry().replace(b'north-1', b'\xff\xff')),
-    ('no service', entry(service=...)),
-    ('an empty service', entry(service='')),
-    ('a service that is a number', entry(service=3)),
-    ('a very long service', entry(service='s' * 100000)),
-    ('no address', entry(address=...)),
-    ('an address that is a number', entry(address=80)),
-    ('an address without a port', entry(address='10.0.0.1')),
-    ('a host name', entry(address='host:80')),
-    ('a port out of range', entry(address='10.0.0.1:99999')),
-    ('port zero', entry(address='10.0.0.1:0')),
-    ('an octet out of range', entry(address='10.0.0.256:80')),
-    ('a port that is not a number', entry(address='10.0.0.1:8o')),
-    ('the unspecified address', entry(address='0.0.0.0:80')),
-    ('the broadcast address', entry(address='255.255.255.255:80')),
-    ('a multicast address', entry(address='224.0.0.1:80')),
-    ('IP version 6', entry(address='[::1]:80')),
-    ('a URL', entry(address='http://10.0.0.1:80/')),
-    ('an address with a line end', entry(address='10.0.0.1:80\r\n')),
-    ('a very long address', entry(address='1' * 100000 + ':80')),
-    ('no zone', entry(zone=...)),
-    ('a zone that is a list', entry(zone=['north-1'])),
-    ('no slots', entry(slots=...)),
-    ('negative slots', entry(slots=-1)),
-    ('zero slots', entry(slots=0)),
-    ('slots as text', entry(slots='16')),
-    ('fractional slots', entry(slots=1.5)),
-    ('slots out of range', entry(slots=10**30)),
-    ('no state', entry(state=...)),
-    ('an unknown state', entry(state='paused')),
-    ('a state that is a boolean', entry(state=True)),
-    ('no heartbeat', entry(sequence=...)),
-    ('a heartbeat as text', entry(sequence='4')),
-    ('a negative heartbeat', entry(sequence=-4)),
-    ('a heartbeat out of range', entry(sequence=2**70)),
-    ('a start as text', entry(born='1764727117000')),
-    ('a start with a fraction', entry(born=1764727117000.5)),
-    ('a start that is a float', entry(born=1764727117000.0)),
-    ('a start that is null', entry(born=None)),
-    ('a start that is a boolean', entry(born=True)),
-    ('a negative start', entry(born=-1)),
-    ('a start of zero', entry(born=0)),
-    ('models as text', entry(models='m')),
-    ('a model without a name', entry(models=[{'version': 1}])),
-    ('a version as text', entry(models=[{'name': 'm', 'version': '1'}])),
-    ('layers as text', entry(layers={'from': '0', 'target': 16})),
-    ('negative layers', entry(layers={'from': -1, 'target': 16})),
+    ('invalid UTF-8', endpoint_record().replace(b'north-1', b'\xff\xff')),
+    ('no service', endpoint_record(service=...)),
+    ('an empty service', endpoint_record(service='')),
+    ('a service that is a number', endpoint_record(service=3)),
+    ('a very long service', endpoint_record(service='s' * 100000)),
+    ('no address', endpoint_record(address=...)),
+    ('an address that is a number', endpoint_record(address=80)),
+    ('an address without a port', endpoint_record(address='10.0.0.1')),
+    ('a host name', endpoint_record(address='host:80')),
+    ('a port out of range', endpoint_record(address='10.0.0.1:99999')),
+    ('port zero', endpoint_record(address='10.0.0.1:0')),
+    ('an octet out of range', endpoint_record(address='10.0.0.256:80')),
+    ('a port that is not a number', endpoint_record(address='10.0.0.1:8o')),
+    ('the unspecified address', endpoint_record(address='0.0.0.0:80')),
+    ('the broadcast address', endpoint_record(address='255.255.255.255:80')),
+    ('a multicast address', endpoint_record(address='224.0.0.1:80')),
+    ('IP version 6', endpoint_record(address='[::1]:80')),
+    ('a URL', endpoint_record(address='http://10.0.0.1:80/')),
+    ('an address with a line end', endpoint_record(address='10.0.0.1:80\r\n')),
+    ('a very long address', endpoint_record(address='1' * 100000 + ':80')),
+    ('no zone', endpoint_record(zone=...)),
+    ('a zone that is a list', endpoint_record(zone=['north-1'])),
+    ('no slots', endpoint_record(slots=...)),
+    ('negative slots', endpoint_record(slots=-1)),
+    ('zero slots', endpoint_record(slots=0)),
+    ('slots as text', endpoint_record(slots='16')),
+    ('fractional slots', endpoint_record(slots=1.5)),
+    ('slots out of range', endpoint_record(slots=10**30)),
+    ('no state', endpoint_record(state=...)),
+    ('an unknown state', endpoint_record(state='paused')),
+    ('a state that is a boolean', endpoint_record(state=True)),
+    ('no heartbeat', endpoint_record(sequence=...)),
+    ('a heartbeat as text', endpoint_record(sequence='4')),
+    ('a negative heartbeat', endpoint_record(sequence=-4)),
+    ('a heartbeat out of range', endpoint_record(sequence=2**70)),
+    ('a start as text', endpoint_record(born='1764727117000')),
+    ('a start with a fraction', endpoint_record(born=1764727117000.5)),
+    ('a start that is a float', endpoint_record(born=1764727117000.0)),
+    ('a start that is null', endpoint_record(born=None)),
+    ('a start that is a boolean', endpoint_record(born=True)),
+    ('a negative start', endpoint_record(born=-1)),
+    ('a start of zero', endpoint_record(born=0)),
+    ('models as text', endpoint_record(models='m')),
+    ('a model without a name', endpoint_record(models=[{'version': 1}])),
+    (
+        'a version as text',
+        endpoint_record(models=[{'name': 'm', 'version': '1'}]),
+    ),
+    ('layers as text', endpoint_record(layers={'from': '0', 'target': 16})),
+    ('negative layers', endpoint_record(layers={'from': -1, 'target': 16})),
     (
         'layers beyond the range of heartbeats',
-        entry(layers={'from': 0, 'target': 10**6}),
+        endpoint_record(layers={'from': 0, 'target': 10**6}),
     ),
     (
         'a version beyond the range of heartbeats',
-        entry(layers={'target': 1, 'version': 2**40}),
+        endpoint_record(layers={'target': 1, 'version': 2**40}),
     ),
-    ('a software version that is a number', entry(version=1)),
-    ('a cold time as text', entry(coldLeftMs='0')),
+    ('a software version that is a number', endpoint_record(version=1)),
+    ('a cold time as text', endpoint_record(coldLeftMs='0')),
 )
 #: Keys that are not valid ids. Ids are copied to request heads, heartbeats and
 #: the log.
@@ -122,12 +125,14 @@
 
     def test_start(self) -> None:
         """The start time is decoded; older writers omit it."""
-        self.assertEqual(1764727117000, self.read(entry()).started_ms)
-        self.assertEqual(0, self.read(entry(born=...)).started_ms)
+        self.assertEqual(1764727117000, self.read(endpoint_record()).started_ms)
+        self.assertEqual(0, self.read(endpoint_record(born=...)).started_ms)
 
     def test_plain_endpoint(self) -> None:
         """A plain service has no models; unknown fields are ignored."""
-        found = self.read(entry(models=..., layers=..., news={'a': [1]}))
+        found = self.read(
+            endpoint_record(models=..., layers=..., news={'a': [1]})
+        )
         self.assertEqual(endpoints.Weights(0, 0, 0), found.weights)
 
     def test_malformed(self) -> None:
@@ -146,7 +151,7 @@
             self.assertRaises(
                 errors.MalformedMessageError,
                 self.read,
-                entry(),
+                endpoint_record(),
                 key,
             )
 
@@ -179,7 +184,7 @@
         rng = random.Random(12)
         decoded_count = 0
         for _ in range(6000):
-            payload = bytearray(entry())
+            payload = bytearray(endpoint_record())
             for _ in range(rng.randrange(1, 4)):
                 at = rng.randrange(len(payload))
                 change = rng.randrange(3)
@@ -211,9 +216,9 @@
         )
         needed = {'service', 'address', 'zone', 'slots', 'state', 'sequence'}
         for _ in range(6000):
-            names = rng.sample(sorted(ENTRY), rng.randrange(1, 4))
+            names = rng.sample(sorted(ENDPOINT_RECORD), rng.randrange(1, 4))
             changes = {name: rng.choice(replacements) for name in names}
-            is_endpoint = self.check(entry(**changes))
+            is_endpoint = self.check(endpoint_record(**changes))
             if any(changes.get(name, 1) is ... for name in needed):
                 self.assertFalse(is_endpoint, changes)
 
@@ -226,7 +231,9 @@
                 for _ in range(rng.randrange(1, 20))
             )
             try:
-                found = registry.decode_record(records.Record(key, 0, entry()))
+                found = registry.decode_record(
+                    records.Record(key, 0, endpoint_record())
+                )
             except errors.MalformedMessageError:
                 continue
             assert found is not None
@@ -261,13 +268,13 @@
     def test_changed_bytes(self) -> None:
         """A configuration and a desired version with some bytes changed."""
         rng = random.Random(15)
-        for key, whole in (
+        for key, valid_payload in (
             ('config', self.CONFIG),
             ('version/m', b'{"model":"m","version":2}'),
         ):
-            operator.decode_record(records.Record(key, 0, whole))
+            operator.decode_record(records.Record(key, 0, valid_payload))
             for _ in range(4000):
-                payload = bytearray(whole)
+                payload = bytearray(valid_payload)
                 for _ in range(rng.randrange(1, 3)):
                     at = rng.randrange(len(payload))
                     payload[at] = rng.randrange(256)
@@ -313,13 +320,13 @@
         kind = engine._Report
         msgspec.json.decode(json.dumps(self.REPORT), type=kind)
         for name in self.REPORT:
-            short = {
+            incomplete = {
                 key: self.REPORT[key] for key in self.REPORT if key != name
             }
-            for odd in (short, {**self.REPORT, name: 'x'}):
+            for malformed in (incomplete, {**self.REPORT, name: 'x'}):
                 self.assertRaises(
                     msgspec.ValidationError,
                     msgspec.json.decode,
-                    json.dumps(odd),
+                    json.dumps(malformed),
                     type=kind,
                 )
--- a/tests/platform/test_transport.py
+++ b/tests/platform/test_transport.py
@@ -53,10 +53,10 @@
         return self.transport.exchange('GET', '/', step='test')
 
     @tables.cases(
-        whole=b'Content-Length: 2\r\n\r\nok',
+        length=b'Content-Length: 2\r\n\r\nok',
         chunks=b'Transfer-Encoding: chunked\r\n\r\n2\r\nok\r\n0\r\n\r\n',
     )
-    def test_whole(self, rest):
+    def test_complete(self, rest):
         """A body with a length or a last chunk is accepted."""
         self.assertEqual(b'ok', self.exchange(_HEAD + rest).body)
 
@@ -128,7 +128,7 @@
         block a caller forever. If all slow answers were aborted, the chunks of
         a busy origin would be read again, which makes it busier.
         """
-        size, whole = case
+        size, is_accepted = case
 
         class FastClock(clock.ManualClock):
             def now(self):
@@ -144,7 +144,7 @@
         piece = b'%x\r\n%b\r\n' % (size, b'a' * size)
         chunked = b'Transfer-Encoding: chunked\r\n\r\n'
         self.server.answer = _HEAD + chunked + piece * 3 + b'0\r\n\r\n'
-        if whole:
+        if is_accepted:
             reply = slow.exchange('GET', '/', step='test')
             self.assertEqual(b'a' * 3 * size, reply.body)
             return
@@ -183,13 +183,13 @@
         canned = CannedTransport('127.0.0.1:1')
         canned.reply = transport.Reply(status, body)
         log = log_service.HttpLogService('127.0.0.1:1')
-        shown = instance_list.HttpInstanceList('127.0.0.1:1')
+        list_adapter = instance_list.HttpInstanceList('127.0.0.1:1')
         log._transport = canned
-        shown._transport = canned
+        list_adapter._transport = canned
         return (
             lambda: log.read('s', 3),
             lambda: log.append('s', [b'a']),
-            shown.instances,
+            list_adapter.instances,
         )
 
     def attempt(self, status, body):
