--- a/tests/direct/test_intake.py
+++ b/tests/direct/test_intake.py
@@ -83,7 +83,7 @@
 
     def test_long_content(self) -> None:
         """A malformed record of 200 KB leaves a short log line."""
-        malformed = test_registry.entry(state='x' * 200000)
+        malformed = test_registry.endpoint_record(state='x' * 200000)
         self.apply(records.Topic.ENDPOINTS, ('i-odd', malformed))
         self.assertEqual(1, len(self.lines))
         self.assertLess(len(self.lines[0]), 500)
@@ -93,14 +93,17 @@
 
         It is unused until its next valid record; other endpoints stay usable.
         """
-        valid = [(f'i-{number}', test_registry.entry()) for number in (1, 2)]
-        malformed = test_registry.entry(state='paused')
+        valid = [
+            (f'i-{number}', test_registry.endpoint_record())
+            for number in (1, 2)
+        ]
+        malformed = test_registry.endpoint_record(state='paused')
         self.apply(records.Topic.ENDPOINTS, *valid, ('i-1', malformed))
         self.assertEqual(['i-2'], self.usable())
 
     def test_id_of_an_endpoint_again(self) -> None:
         """An endpoint is used again after its next valid record."""
-        valid = ('i-1', test_registry.entry())
+        valid = ('i-1', test_registry.endpoint_record())
         self.apply(records.Topic.ENDPOINTS, valid, ('i-1', b'{'), valid)
         self.assertEqual(['i-1'], self.usable())
 
--- a/tests/platform/test_instance_list.py
+++ b/tests/platform/test_instance_list.py
@@ -34,16 +34,16 @@
 
     def test_shows_changes(self):
         """Added, changed and removed instances are listed accordingly."""
-        self.assertEqual((), self.instance_list.instances())
+        self.assertEqual((), self.list_service.instances())
         self.put(_ENTRY)
         self.put(_AGENT)
-        self.assertEqual({_ENTRY, _AGENT}, set(self.instance_list.instances()))
+        self.assertEqual({_ENTRY, _AGENT}, set(self.list_service.instances()))
         leaving = msgspec.structs.replace(
             _AGENT, state=protocols.InstanceState.LEAVING
         )
         self.put(leaving)
         self.remove('e1')
-        self.assertEqual((leaving,), self.instance_list.instances())
+        self.assertEqual((leaving,), self.list_service.instances())
 
     def test_outage(self):
         """An outage raises an error and never yields an empty list.
@@ -53,10 +53,10 @@
         self.put(_ENTRY)
         self.outage(on=True)
         self.assertRaises(
-            errors.PlatformUnavailableError, self.instance_list.instances
+            errors.PlatformUnavailableError, self.list_service.instances
         )
         self.outage(on=False)
-        self.assertEqual((_ENTRY,), self.instance_list.instances())
+        self.assertEqual((_ENTRY,), self.list_service.instances())
 
 
 class MemoryInstancesTest(InstanceContract, testtools.TestCase):
@@ -64,12 +64,12 @@
 
     def setUp(self):
         super().setUp()
-        self.instance_list = memory.MemoryInstanceList()
-        self.put = self.instance_list.put
-        self.remove = self.instance_list.remove
+        self.list_service = memory.MemoryInstanceList()
+        self.put = self.list_service.put
+        self.remove = self.list_service.remove
 
     def outage(self, on):
-        self.instance_list.outage = on
+        self.list_service.outage = on
 
 
 def _list(**changes):
@@ -85,8 +85,8 @@
         super().setUp()
         handlers = standin.InstanceHandlers(standin.InstanceStore())
         self.address = serving.serve(self, handlers.application())
-        self.instance_list = instance_list.HttpInstanceList(self.address)
-        self.addCleanup(self.instance_list.close)
+        self.list_service = instance_list.HttpInstanceList(self.address)
+        self.addCleanup(self.list_service.close)
 
     def put(self, instance):
         path = f'/v1/instances/{instance.id}'
@@ -120,7 +120,7 @@
         fault = serving.fault('replace', body=body)
         serving.order(self.address, faults=(fault,))
         error = self.assertRaises(
-            errors.MalformedMessageError, self.instance_list.instances
+            errors.MalformedMessageError, self.list_service.instances
         )
         self.assertEqual(self.address, error.peer)
 
