--- a/benchmarks/direct_path.py
+++ b/benchmarks/direct_path.py
@@ -36,7 +36,7 @@
     try:
         begun = loop.time()
         used.send(
-            messages.request_bytes(
+            messages.encode_request(
                 b'POST',
                 b'/stream/a',
                 [
--- a/clementinepass/direct/catching_up.py
+++ b/clementinepass/direct/catching_up.py
@@ -223,7 +223,7 @@
         from_start: bool,
     ) -> None:
         offset = 0 if from_start else topic_follower.state.next_offset
-        request = messages.request_bytes(
+        request = messages.encode_request(
             b'GET',
             b'%b?%d'
             % (PATH_PREFIX + topic_follower.topic.value.encode(), offset),
--- a/clementinepass/direct/peer_source.py
+++ b/clementinepass/direct/peer_source.py
@@ -121,7 +121,7 @@
         return response.body if response.status == _OK else None
 
     async def _request(self, target: str, seconds: float) -> pool.Answer:
-        request = messages.request_bytes(
+        request = messages.encode_request(
             b'GET',
             target.encode(),
             [(b'Host', self._ip.encode())],
--- a/clementinepass/endpoints/transport.py
+++ b/clementinepass/endpoints/transport.py
@@ -157,7 +157,7 @@
         except BaseException:
             connection.close()
             raise
-        if not http_bodies.has_end(response):
+        if not http_bodies.has_detectable_end(response):
             response.close()
             connection.close()
             raise self._may_have_run('answer has no end mark', exchange)
--- a/clementinepass/http/connection.py
+++ b/clementinepass/http/connection.py
@@ -45,7 +45,7 @@
 _CONTINUE = b'HTTP/1.1 100 Continue\r\n\r\n'
 
 
-class Owner(typing.Protocol):
+class ConnectionOwner(typing.Protocol):
     """The part of the front that its connections use."""
 
     handler: Handler
@@ -60,7 +60,7 @@
 class Connection(asyncio.Protocol):
     """Server connection of one caller."""
 
-    def __init__(self, front: Owner) -> None:
+    def __init__(self, front: ConnectionOwner) -> None:
         self._front = front
         self._loop = asyncio.get_running_loop()
         self._transport: typing.Any = None
@@ -219,7 +219,7 @@
         if ends_here or not self._keep_alive:
             self._keep_alive = False
             pairs = [*pairs, (b'Connection', b'close')]
-        self.write(messages.head_bytes(status, pairs))
+        self.write(messages.encode_head(status, pairs))
 
     def write(self, payload: bytes) -> None:
         """Write bytes, unless the connection is closing."""
--- a/clementinepass/http/messages.py
+++ b/clementinepass/http/messages.py
@@ -149,7 +149,7 @@
         self.headers = headers
 
 
-def request_bytes(
+def encode_request(
     method: bytes,
     target: bytes,
     pairs: Iterable[Pair],
@@ -165,7 +165,7 @@
     return b''.join(lines)
 
 
-def head_bytes(status: int, pairs: Iterable[Pair]) -> bytes:
+def encode_head(status: int, pairs: Iterable[Pair]) -> bytes:
     """Return an answer's head encoded for the wire."""
     reason = _REASON_BY_STATUS.get(status, b'Status')
     lines = [b'HTTP/1.1 %d %b\r\n' % (status, reason)]
--- a/clementinepass/http_bodies.py
+++ b/clementinepass/http_bodies.py
@@ -15,7 +15,7 @@
 _CHUNK_READ_BYTES = 4096
 
 
-def has_end(response: urllib3.BaseHTTPResponse) -> bool:
+def has_detectable_end(response: urllib3.BaseHTTPResponse) -> bool:
     """Return whether a truncated body can be told from a complete one.
 
     A body that ends with its connection looks complete when the connection is
--- a/clementinepass/machines.py
+++ b/clementinepass/machines.py
@@ -42,7 +42,7 @@
     lines = output.Output()
     lines.install()
     try:
-        local_node = node_settings.read(os.environ[node_settings.VARIABLE])
+        local_node = node_settings.read(os.environ[node_settings.PATH_VARIABLE])
     except (KeyError, errors.SettingsError) as error:
         logger.bind(step='start').critical('no settings: {}', error)
         lines.flush()
@@ -54,7 +54,7 @@
 
 
 async def _run(role: str, local_node: node.Node) -> None:
-    path = pathlib.Path(os.environ[node_settings.VARIABLE])
+    path = pathlib.Path(os.environ[node_settings.PATH_VARIABLE])
     settings_watcher = asyncio.create_task(
         background.keep_running(lambda: _watch_settings(path, local_node)),
     )
--- a/clementinepass/platform/decoding.py
+++ b/clementinepass/platform/decoding.py
@@ -22,7 +22,7 @@
 #: Non-negative 32-bit integer.
 Count = typing.Annotated[int, msgspec.Meta(ge=0, le=_MAX_INT32)]
 #: Positive 32-bit integer.
-Positive = typing.Annotated[int, msgspec.Meta(ge=1, le=_MAX_INT32)]
+PositiveCount = typing.Annotated[int, msgspec.Meta(ge=1, le=_MAX_INT32)]
 #: Non-negative 64-bit integer, for values that only increase.
 Counter = typing.Annotated[int, msgspec.Meta(ge=0, le=_MAX_INT64)]
 #: Unix time in milliseconds.
--- a/clementinepass/platform/dialect.py
+++ b/clementinepass/platform/dialect.py
@@ -115,7 +115,7 @@
             pairs.append((_EXPECT_VERSION, b'%d' % parameters.version))
         if parameters.resume_after is not None:
             pairs.append((_RESUME, b'%d' % parameters.resume_after))
-        return messages.request_bytes(
+        return messages.encode_request(
             request.method,
             request.target,
             pairs,
--- a/clementinepass/platform/engine.py
+++ b/clementinepass/platform/engine.py
@@ -57,7 +57,7 @@
 
 class _Manifest(_CamelStruct):
     model: decoding.Name
-    version: decoding.Positive
+    version: decoding.PositiveCount
     digests: list[str]
 
 
@@ -104,7 +104,7 @@
         pairs = [(b'Host', self._address.encode())]
         if body:
             pairs.append((b'Content-Type', content_type))
-        request = messages.request_bytes(method, target.encode(), pairs, body)
+        request = messages.encode_request(method, target.encode(), pairs, body)
         try:
             return await pool.fetch(self._pool, request, seconds)
         except channel.ChannelBrokenError as error:
--- a/clementinepass/platform/node_settings.py
+++ b/clementinepass/platform/node_settings.py
@@ -13,7 +13,7 @@
 from clementinepass.direct import node
 
 #: Name of the environment variable that holds the file's path.
-VARIABLE = 'CLEMENTINEPASS_SETTINGS'
+PATH_VARIABLE = 'CLEMENTINEPASS_SETTINGS'
 _MS = 1000
 _STEP = 'read settings'
 
--- a/clementinepass/platform/operator.py
+++ b/clementinepass/platform/operator.py
@@ -66,7 +66,7 @@
 class _Engine(msgspec.Struct):
     """Engine of a service; names mix camel case and snake case."""
 
-    slots: decoding.Positive
+    slots: decoding.PositiveCount
     models: list[_EngineModel] = []
     layers: decoding.LayerNumber = 0
     chunks: decoding.Count = 0
@@ -81,7 +81,7 @@
 
 class _Service(_CamelStruct):
     name: str
-    max_conns: decoding.Positive = 64
+    max_conns: decoding.PositiveCount = 64
     engine: _Engine | None = None
     origin: str = ''
     zone: str = ''
@@ -111,7 +111,7 @@
 
 class _Version(_CamelStruct):
     model: decoding.Name
-    version: decoding.Positive
+    version: decoding.PositiveCount
 
 
 def decode_record(
--- a/clementinepass/platform/registry.py
+++ b/clementinepass/platform/registry.py
@@ -45,7 +45,7 @@
     service: decoding.Name
     address: typing.Annotated[str, msgspec.Meta(max_length=_MAX_ADDRESS_LENGTH)]
     zone: decoding.Name
-    slots: decoding.Positive
+    slots: decoding.PositiveCount
     state: typing.Literal['ready', 'draining']
     #: Increases with each heartbeat since the endpoint's start. The field of
     #: the same name in an engine's report counts orders.
--- a/clementinepass/platform/store.py
+++ b/clementinepass/platform/store.py
@@ -188,7 +188,7 @@
         body: bytes = b'',
     ) -> pool.Answer:
         target = f'/api/{operation}?{urllib.parse.urlencode(query)}'
-        request = messages.request_bytes(
+        request = messages.encode_request(
             method.encode(),
             target.encode(),
             [(b'Host', self._address.encode())],
--- a/clementinepass/platform/transport.py
+++ b/clementinepass/platform/transport.py
@@ -197,7 +197,7 @@
         slowness_guard: _SlownessGuard,
     ) -> bytes:
         """Read a complete body within the limits of size and time."""
-        if not http_bodies.has_end(response):
+        if not http_bodies.has_detectable_end(response):
             raise self.malformed_error(
                 step, 'answer has neither a length nor chunks'
             )
@@ -232,7 +232,9 @@
             return errors.ThrottledError(
                 step=step,
                 peer=self.peer,
-                retry_after=retry_after(response.headers.get('Retry-After')),
+                retry_after=parse_retry_after(
+                    response.headers.get('Retry-After')
+                ),
             )
         detail = f'answered {response.status}'
         if response.status == _NOT_FOUND:
@@ -258,7 +260,7 @@
         )
 
 
-def retry_after(header: str | None) -> float:
+def parse_retry_after(header: str | None) -> float:
     """Return a ``Retry-After`` header's seconds; a default if malformed."""
     try:
         seconds = float(header or '')
--- a/standins/following_callers.py
+++ b/standins/following_callers.py
@@ -181,7 +181,7 @@
         return self._rng.choice(self._offer)
 
     async def _resolve(self) -> None:
-        request = messages.request_bytes(
+        request = messages.encode_request(
             b'GET',
             b'/api/resolve?name=h&region=a&zone=a',
             [(b'Host', b'h')],
@@ -211,7 +211,7 @@
     answer: int,
     left: float,
 ) -> bytes:
-    return messages.request_bytes(
+    return messages.encode_request(
         b'POST',
         target,
         [
--- a/standins/machines.py
+++ b/standins/machines.py
@@ -278,7 +278,7 @@
     async def ask(self, number: int, target: str = '/plain/a') -> int:
         """Ask an entry as a caller and return the status."""
         address = self.entries[number].callers_address
-        request = messages.request_bytes(
+        request = messages.encode_request(
             b'GET',
             target.encode(),
             [(b'Host', b'h'), (b'X-Attempt-Id', b'r')],
--- a/tests/direct/path_world.py
+++ b/tests/direct/path_world.py
@@ -206,7 +206,7 @@
         for name, field in {**usual, **headers}.items()
         if field
     ]
-    return messages.request_bytes(b'POST', target.encode(), pairs, body)
+    return messages.encode_request(b'POST', target.encode(), pairs, body)
 
 
 def run(
--- a/tests/http/test_channel.py
+++ b/tests/http/test_channel.py
@@ -12,7 +12,7 @@
 from clementinepass.http import channel, messages, pool
 
 HOST = '127.0.0.1'
-REQUEST = messages.request_bytes(b'GET', b'/', [(b'Host', b'h')], b'')
+REQUEST = messages.encode_request(b'GET', b'/', [(b'Host', b'h')], b'')
 
 
 class Peer:
--- a/tests/http/test_early_answers.py
+++ b/tests/http/test_early_answers.py
@@ -26,8 +26,8 @@
         keep the connection and read on later. A request sent on that
         connection would be read as the rest of the body.
         """
-        long = messages.request_bytes(b'POST', b'/a', [], LONG_BODY)
-        short = messages.request_bytes(b'GET', b'/b', [], b'')
+        long = messages.encode_request(b'POST', b'/a', [], LONG_BODY)
+        short = messages.encode_request(b'GET', b'/b', [], b'')
         received: list[bytearray] = []
 
         async def answer_early(
--- a/tests/test_machines_daemon.py
+++ b/tests/test_machines_daemon.py
@@ -86,7 +86,7 @@
 
 async def get(port: int, target: bytes) -> pool.Answer:
     """Send a GET request to the daemon."""
-    request = messages.request_bytes(b'GET', target, [(b'Host', b'h')], b'')
+    request = messages.encode_request(b'GET', target, [(b'Host', b'h')], b'')
     return await pool.fetch(pool.Pool(IP, port), request, 10)
 
 
@@ -198,7 +198,7 @@
     ) -> None:
         await daemon.start()
         await daemon.line('entry ready')
-        request = messages.request_bytes(
+        request = messages.encode_request(
             b'GET',
             b'/plain/a',
             [(b'Host', b'h'), (b'X-Attempt-Id', b'r')],
