--- a/clementinepass/cli/__init__.py
+++ b/clementinepass/cli/__init__.py
@@ -1,1 +1,1 @@
-"""The operators' command line."""
+"""The command line interface for operators."""
--- a/clementinepass/cli/config_commands.py
+++ b/clementinepass/cli/config_commands.py
@@ -1,4 +1,4 @@
-"""Commands about the configuration: check, diff, publish, show, history."""
+"""Commands on the configuration: check, diff, publish, show, history."""
 
 from __future__ import annotations
 
@@ -32,7 +32,7 @@
     cyclopts.Parameter(
         name='--log',
         env_var='CLEMENTINEPASS_LOG',
-        help='Where the log service is, host:port.',
+        help='Address of the log service, host:port.',
     ),
 ]
 RemovedSections = typing.Annotated[
@@ -46,7 +46,7 @@
 
 
 class Difference(msgspec.Struct, frozen=True):
-    """One key that differs; an absent side is empty."""
+    """A key whose values differ; a missing value is empty."""
 
     section: str
     key: str
@@ -55,11 +55,11 @@
 
 
 class Differences(msgspec.Struct, frozen=True):
-    """What publishing a folder would change."""
+    """The changes that publishing a folder would make."""
 
     revision: int
     differences: tuple[Difference, ...]
-    #: Sections in force that the folder lacks; publishing keeps them.
+    #: Sections in force that are not in the folder; publishing keeps them.
     only_in_force: tuple[str, ...]
 
 
@@ -67,7 +67,7 @@
     """A publication that is in force."""
 
     revision: int
-    #: Empty if nothing had to change.
+    #: Empty if nothing had to be changed.
     id: str
 
 
@@ -81,7 +81,7 @@
 
 @app.command
 def check(path: pathlib.Path, *, json: bool = False) -> None:
-    """Check a folder without asking anybody; list all faults.
+    """Check a folder without network access; list all faults.
 
     Example: ``clementinepass config check configuration/``
 
@@ -100,7 +100,7 @@
 
 @app.command
 def diff(path: pathlib.Path, *, log: LogAddress, json: bool = False) -> None:
-    """Show what publishing a folder would change.
+    """Show the changes that publishing a folder would make.
 
     Example: ``clementinepass config diff configuration/ --log 10.0.0.5:7100``
 
@@ -153,19 +153,19 @@
     timeout: float = 10,
     json: bool = False,
 ) -> None:
-    """Publish a folder; return once the change is in force.
+    """Publish a folder and wait until the change is in force.
 
     Sections in force that the folder lacks are kept unless removed by name.
 
     Example: ``clementinepass config publish configuration/ -m 'Add team'``
 
     :param path: the folder of INI files.
-    :param message: what the change is for.
-    :param operator: who asks for it; the name logged in under by default.
-    :param base: the revision that the folder was made from; sections that
+    :param message: the purpose of the change.
+    :param operator: the author of the change; the login name by default.
+    :param base: the revision on which the folder is based; sections that
         others have changed since are not overwritten.
-    :param timeout: seconds for which to try to read, to append, and to
-        look for the own record; each.
+    :param timeout: seconds for which to try each of reading, appending, and
+        finding the appended record.
     :param json: print one JSON document.
     """
     with exits.report_errors():
@@ -193,7 +193,7 @@
     log: LogAddress,
     json: bool = False,
 ) -> None:
-    """Show the sections in force with the revisions that set them.
+    """Show the sections in force and the revisions that set them.
 
     Example: ``clementinepass config show 'model faults'``
 
@@ -232,12 +232,12 @@
     limit: int = 50,
     json: bool = False,
 ) -> None:
-    """Show the publications that the log keeps and what became of them.
+    """Show the publications in the log and their outcomes.
 
     Example: ``clementinepass config history --id 3f2a... --json``
 
-    :param id: show this publication only.
-    :param limit: the most publications to show, counted from the newest.
+    :param id: the only publication to show.
+    :param limit: the maximum number of publications; the newest are shown.
     :param json: print one JSON document instead of a table.
     """
     with exits.report_errors():
@@ -262,7 +262,7 @@
             ),
         )
     if id and not selected:
-        sys.stderr.write(f'publication {id} is not in the log, as yet\n')
+        sys.stderr.write(f'publication {id} is not in the log so far\n')
         sys.exit(exits.REJECTED)
 
 
--- a/clementinepass/cli/entry_client.py
+++ b/clementinepass/cli/entry_client.py
@@ -1,4 +1,4 @@
-"""What the command line asks of an entry over HTTP."""
+"""HTTP client with which commands query an entry."""
 
 from __future__ import annotations
 
@@ -14,7 +14,7 @@
 
 
 class AgentState(msgspec.Struct, frozen=True):
-    """What an agent said of itself last."""
+    """The state that an agent reported last."""
 
     phase: str
     kind: str
@@ -29,12 +29,12 @@
     trouble: str
     bytes_origin: int
     bytes_peers: int
-    #: An entry of an older release does not say.
+    #: Missing in the answers of entries of older releases.
     bytes_store: int = 0
 
 
 class Agent(msgspec.Struct, frozen=True):
-    """One agent as the entry sees it."""
+    """One agent in the view of the queried entry."""
 
     id: str
     address: str
@@ -45,7 +45,7 @@
 
 
 class Entry(msgspec.Struct, frozen=True):
-    """One entry as the entry asked sees it."""
+    """One entry in the view of the queried entry."""
 
     id: str
     address: str
@@ -56,7 +56,7 @@
 
 
 class Status(msgspec.Struct, frozen=True):
-    """An entry's view of the whole system."""
+    """The view that an entry has of the whole system."""
 
     entry: str
     revision: int
@@ -67,7 +67,7 @@
 
 
 class OfferedEntry(msgspec.Struct, frozen=True):
-    """An address that a caller may use."""
+    """An entry that a caller may use."""
 
     address: str
     failure_domain: str
@@ -75,10 +75,10 @@
 
 
 class OfferedList(msgspec.Struct, frozen=True):
-    """The addresses for a caller, the best first."""
+    """The entries that a caller may use, the best first."""
 
     entries: tuple[OfferedEntry, ...]
-    #: Seconds for which the list may be kept.
+    #: Seconds for which callers may cache the list.
     max_age: float
 
 
@@ -86,9 +86,9 @@
 
 
 class EntryClient:
-    """Ask one entry.
+    """Client of one entry.
 
-    :param address: where the entry takes callers, ``host:port``.
+    :param address: the address of the entry for callers, ``host:port``.
     """
 
     def __init__(self, address: str) -> None:
@@ -98,11 +98,11 @@
         )
 
     def status(self) -> Status:
-        """Return the entry's view of the system."""
+        """Return the view that the entry has of the system."""
         return self._get('/v1/status', Status)
 
     def offered_entries(self) -> OfferedList:
-        """Return the entries that callers should use."""
+        """Return the entries that callers should use, the best first."""
         return self._get('/v1/entries', OfferedList)
 
     def post(
@@ -111,7 +111,7 @@
         body: bytes,
         headers: dict[str, str],
     ) -> urllib3.BaseHTTPResponse:
-        """Post a request and return the answer, its body unread.
+        """Post a request and return the answer without reading its body.
 
         :raises PeerUnavailableError: the entry did not answer.
         """
--- a/clementinepass/cli/exits.py
+++ b/clementinepass/cli/exits.py
@@ -1,4 +1,4 @@
-"""Exit codes of the command line, the same for every command."""
+"""Exit codes, common to all commands."""
 
 from __future__ import annotations
 
@@ -11,11 +11,11 @@
 if typing.TYPE_CHECKING:
     from collections.abc import Iterator
 
-#: What was asked for has been done.
+#: The command succeeded.
 OK = 0
-#: It was rejected or refused; nothing else is wrong.
+#: The request was rejected or refused, without any other error.
 REJECTED = 1
-#: The input has faults, all of which were listed.
+#: The input has faults; all of them were listed.
 BAD_INPUT = 2
 #: A service or a process did not answer.
 UNAVAILABLE = 3
@@ -31,7 +31,7 @@
 
 @contextlib.contextmanager
 def report_errors() -> Iterator[None]:
-    """Print an error with its step and peer, and exit with its code."""
+    """Print an error with its step and peer, and exit with its exit code."""
     try:
         yield
     except ExceptionGroup as group:
--- a/clementinepass/cli/explain_command.py
+++ b/clementinepass/cli/explain_command.py
@@ -1,4 +1,4 @@
-"""The command that tells the story of a request from collected logs."""
+"""The command that explains the outcome of a request from collected logs."""
 
 from __future__ import annotations
 
@@ -18,32 +18,33 @@
     *files: pathlib.Path,
     json: bool = False,
 ) -> None:
-    """Tell what became of a request, from the logs of several processes.
+    """Explain the outcome of a request from the logs of several processes.
 
-    Shows its cause, as far as its lines prove one, and what led to it; its
-    lines in order, what the processes that it met believed when it came and
-    for how long, and what may be missing.  Times are those of each process's
-    own clock.
+    Shows the cause of the outcome, as far as log lines prove one, and the
+    events that led to it; the log lines on the request in order of time; the
+    state known to the processes that handled it when it arrived, with its age;
+    and lines that may be missing.  Each time is by the clock of the process
+    that wrote the line.
 
     Example: ``clementinepass explain 7b0eacb332610d16 logs/*.log``
 
-    :param request: the id that its caller gave it.
-    :param files: one for each process, named after it.
+    :param request: the request id, set by the caller.
+    :param files: the log files, one for each process and named after it.
     :param json: print one JSON document instead of tables.
     """
     collection = _collect(files)
     story = collection.build_story(request)
     if story is None:
         sys.stderr.write(
-            f'{request}: no line of {len(files)} files is of this request; of '
-            'those that go well one in sixteen is written of '
+            f'{request}: no line of {len(files)} files is on this request; of '
+            'the successful requests, one in sixteen is logged '
             f'(lines that could not be read: {collection.unreadable_lines})\n',
         )
         for line in collection.find_killed_entries():
             sys.stderr.write(
                 f'may be missing: {line.process} began anew at '
-                f'{line.fields.get("time")} without having stopped; what was '
-                'in progress there has no line\n',
+                f'{line.fields.get("time")} without a regular stop; requests '
+                'in progress there have no line\n',
             )
         sys.exit(exits.REJECTED)
     if json:
@@ -59,7 +60,7 @@
 def _collect(files: Sequence[pathlib.Path]) -> stories.LogCollection:
     collection = stories.LogCollection()
     if not files:
-        sys.stderr.write('no files: name the log of each process\n')
+        sys.stderr.write('no files: pass the log file of each process\n')
         sys.exit(exits.BAD_INPUT)
     for path in files:
         try:
@@ -75,7 +76,7 @@
     started_at = story.lines[0].at
     output.print_table(
         f'request {request}',
-        ('seconds', 'process', 'what', 'why'),
+        ('seconds', 'process', 'event', 'details'),
         [
             (
                 f'{line.at - started_at:.3f}',
@@ -88,8 +89,8 @@
     )
     _print_cause(story)
     output.print_table(
-        'believed when it came',
-        ('process', 'what', 'for seconds', 'of'),
+        'state known when the request arrived',
+        ('process', 'event', 'age in seconds', 'details'),
         [
             (
                 observation.line.process,
@@ -114,12 +115,13 @@
         output.screen.print(f'led to it: {sentence}', markup=False)
     for observation in story.deciding_observations:
         output.screen.print(
-            f'by: {observation.line.message} {observation.line.details}, '
-            f'{observation.age:.1f} s before it ended',
+            f'decided by: {observation.line.message} '
+            f'{observation.line.details}, '
+            f'{observation.age:.1f} s before its end',
             markup=False,
         )
     if story.first_failure is not None:
         output.screen.print(
-            f'first went wrong: {story.first_failure.message} '
+            f'first failure: {story.first_failure.message} '
             f'at {story.first_failure.process}',
         )
--- a/clementinepass/cli/main.py
+++ b/clementinepass/cli/main.py
@@ -1,4 +1,4 @@
-"""Entry point of the operators' command line."""
+"""Entry point of the command line interface."""
 
 from __future__ import annotations
 
@@ -38,14 +38,17 @@
 
 
 def main(arguments: Sequence[str] | None = None) -> None:
-    """Run the command line."""
-    # Events are for daemons; here errors are printed as what they are.
+    """Run the command line interface.
+
+    :param arguments: the arguments; those of the process by default.
+    """
+    # Log events are meant for daemons; commands print errors themselves.
     logger.remove()
     try:
         app(arguments, exit_on_error=False)
     except cyclopts.CycloptsError:
-        # The library has printed what is wrong with the arguments; its own
-        # exit code would read as a rejection.
+        # cyclopts has already printed the error. Its own exit code is 1, which
+        # would be taken for a rejection.
         sys.exit(exits.BAD_INPUT)
 
 
--- a/clementinepass/cli/output.py
+++ b/clementinepass/cli/output.py
@@ -1,4 +1,4 @@
-"""Output of the command line: tables for people, JSON for programs."""
+"""Output of commands: tables for people, JSON for programs."""
 
 from __future__ import annotations
 
@@ -11,9 +11,9 @@
 if typing.TYPE_CHECKING:
     from collections.abc import Iterable, Sequence
 
-#: Columns of a table that is not shown on a terminal, such as in a file.
+#: Width in columns if the output is no terminal, such as a file.
 _FILE_COLUMNS = 160
-#: Where tables and progress go.
+#: Console for tables and progress bars.
 screen = console.Console(
     width=None if sys.stdout.isatty() else _FILE_COLUMNS,
 )
@@ -29,7 +29,7 @@
     headings: Sequence[str],
     rows: Iterable[Sequence[object]],
 ) -> None:
-    """Print a table."""
+    """Print a table with a title."""
     drawn = table.Table(title=title, title_justify='left')
     for heading in headings:
         drawn.add_column(heading)
--- a/clementinepass/cli/rollout_commands.py
+++ b/clementinepass/cli/rollout_commands.py
@@ -1,4 +1,4 @@
-"""Commands about rollouts: how far each replica is, and why it is stuck."""
+"""Commands on rollouts of model versions: status."""
 
 from __future__ import annotations
 
@@ -16,14 +16,14 @@
     system_commands,
 )
 
-app = cyclopts.App(name='rollout', help='Follow rollouts of versions.')
+app = cyclopts.App(name='rollout', help='Follow rollouts of model versions.')
 
 _POLL_INTERVAL_SECONDS = 0.5
 _ENGINE_KIND = 'engine'
 
 
 class Replica(msgspec.Struct, frozen=True):
-    """One replica of a model."""
+    """The rollout state of one replica of a model."""
 
     agent: str
     failure_domain: str
@@ -41,14 +41,14 @@
 
 
 class Rollout(msgspec.Struct, frozen=True):
-    """All replicas, and how many serve what is wanted."""
+    """All replicas, and the number that serve their wanted version."""
 
     serving: int
     replicas: tuple[Replica, ...]
 
     @classmethod
     def from_status(cls, status: entry_client.Status) -> Rollout:
-        """Return the replicas that an entry sees."""
+        """Return the rollout in the view of an entry."""
         replicas = tuple(
             _to_replica(agent)
             for agent in status.agents
@@ -59,7 +59,7 @@
 
     @property
     def is_complete(self) -> bool:
-        """Tell whether every replica serves what is wanted."""
+        """Return whether all of at least one replica serve their version."""
         return bool(self.replicas) and self.serving == len(self.replicas)
 
 
@@ -70,14 +70,14 @@
     watch: bool = False,
     json: bool = False,
 ) -> None:
-    """Show how far each replica is, and why one is stuck.
+    """Show the progress of each replica, and why a replica is stuck.
 
-    Exit code 1 with ``--watch`` means that it was interrupted.
+    With ``--watch``, exit code 1 means that the command was interrupted.
 
     Example: ``clementinepass rollout status --watch --entry 127.0.0.1:8080``
 
-    :param watch: wait until every replica serves what is wanted.
-    :param json: print one JSON document for each look.
+    :param watch: wait until every replica serves the wanted version.
+    :param json: print one JSON document for each poll.
     """
     client = entry_client.EntryClient(entry)
     with exits.report_errors():
--- a/clementinepass/cli/settings_commands.py
+++ b/clementinepass/cli/settings_commands.py
@@ -1,4 +1,4 @@
-"""Commands about the daemon's settings: check, reference."""
+"""Commands on the daemon's settings: check, reference."""
 
 from __future__ import annotations
 
@@ -12,7 +12,7 @@
 
 app = cyclopts.App(
     name='settings',
-    help="Check the daemon's settings and write their reference.",
+    help="Check the daemon's settings and write their reference page.",
 )
 
 _PROJECT_ROOT = pathlib.Path(__file__).parent.parent.parent
@@ -21,11 +21,11 @@
 
 @app.command
 def check(path: pathlib.Path, *, json: bool = False) -> None:
-    """Check a settings file without opening anything; list all faults.
+    """Check a settings file without opening any connection; list all faults.
 
     Example: ``clementinepass settings check /etc/clementinepass.ini``
 
-    :param path: the INI file.
+    :param path: the settings file in INI format.
     :param json: print one JSON document.
     """
     with exits.report_errors():
@@ -43,16 +43,16 @@
     *,
     check: bool = False,  # noqa: WPS442 (the option's name)
 ) -> None:
-    """Write the page of all settings from the table of defaults.
+    """Write the reference page of all settings from the table of defaults.
 
     Example: ``clementinepass settings reference --check``
 
-    :param path: the page.
-    :param check: compare with the page in place of writing it.
+    :param path: the file to write.
+    :param check: compare with the existing page instead of writing it.
     """
     text = page.render()
     if not check:
         path.write_text(text)
     elif not path.exists() or path.read_text() != text:
-        sys.stderr.write(f'{path} differs from the table of defaults\n')
+        sys.stderr.write(f'{path} is out of date with the table of defaults\n')
         sys.exit(exits.REJECTED)
--- a/clementinepass/cli/system_commands.py
+++ b/clementinepass/cli/system_commands.py
@@ -1,4 +1,4 @@
-"""Commands about the running system: status, entries, drain, request."""
+"""Commands on the running system: status, entries, drain, request."""
 
 from __future__ import annotations
 
@@ -18,7 +18,7 @@
     cyclopts.Parameter(
         name='--entry',
         env_var='CLEMENTINEPASS_ENTRY',
-        help='Where an entry takes callers, host:port.',
+        help='Address of an entry for callers, host:port.',
     ),
 ]
 
@@ -69,7 +69,7 @@
 
 
 def entries(*, entry: EntryAddress, json: bool = False) -> None:
-    """Show which entries callers should use, the best first.
+    """Show the entries that callers should use, the best first.
 
     Example: ``clementinepass entries --entry 127.0.0.1:8080``
 
@@ -91,17 +91,17 @@
 
 
 def drain(address: str) -> None:
-    """Tell an entry or an agent to leave: no new work, finish what runs.
+    """Drain an entry or an agent: no new work, finish requests in progress.
 
-    The same as SIGTERM to its process. Addresses are in ``status --json``.
+    Equivalent to SIGTERM. ``status --json`` shows the addresses.
 
     Example: ``clementinepass drain 127.0.0.1:7001``
 
-    :param address: where the process listens for other processes.
+    :param address: the address at which the process listens for peers.
     """
     with exits.report_errors():
         asyncio.run(_drain(addresses.Address.from_text(address)))
-    output.screen.print(f'{address} is leaving')
+    output.screen.print(f'{address} is draining')
 
 
 def request(
@@ -116,14 +116,14 @@
     max_tokens: int = 16,
     stream: bool = True,
 ) -> None:
-    """Send one completion, as a caller would, and print the answer.
+    """Send one completion request as a caller and print the answer.
 
     Example: ``clementinepass request 'lamp 3 is dark' --model faults``
 
     :param model: the model's name.
     :param key: the team's key.
-    :param max_tokens: tokens to ask for at most.
-    :param stream: print the answer as it comes.
+    :param max_tokens: the maximum number of tokens to generate.
+    :param stream: print the answer while it is generated.
     """
     body = msgspec.json.encode(
         {
--- a/tests/cli/test_config_commands.py
+++ b/tests/cli/test_config_commands.py
@@ -1,4 +1,4 @@
-"""Tests of the commands about configuration and settings."""
+"""Tests of the commands on configuration and settings."""
 
 from __future__ import annotations
 
@@ -21,10 +21,10 @@
 
 
 class ConfigCommandsTest(testtools.TestCase):
-    """Commands print for programs and say by their exit code what was."""
+    """Commands print JSON documents and exit with the documented codes."""
 
     def setUp(self) -> None:
-        """Write a folder and connect the commands to a log in memory."""
+        """Write a configuration folder and use a log in memory."""
         super().setUp()
         folder = tempfile.TemporaryDirectory()
         self.addCleanup(folder.cleanup)
@@ -56,8 +56,8 @@
             *('config', 'publish', path, *_LOG, '-m', 'why', '--json', *more),
         )
 
-    def test_path(self) -> None:
-        """A folder is compared, published, shown and found in the history."""
+    def test_publish_and_query(self) -> None:
+        """A folder can be compared, published, shown and found in the history."""
         path = str(self.folder)
         _, out, _ = self._run('config', 'diff', path, *_LOG, '--json')
         self.assertEqual(12, len(json.loads(out)['differences']))
@@ -70,7 +70,7 @@
         self.assertEqual('olga', json.loads(out)[0]['operator'])
 
     def test_exit_codes(self) -> None:
-        """Each kind of end has its code, and faults come together."""
+        """Each kind of outcome has its exit code; all faults are listed."""
         self.assertEqual(exits.OK, self._publish()[0])
         path = str(self.folder)
         self.assertEqual(exits.OK, self._run('config', 'check', path)[0])
@@ -92,8 +92,8 @@
         self.log.down = True
         self.assertEqual(exits.UNAVAILABLE, self._publish()[0])
 
-    def test_settings(self) -> None:
-        """Settings are checked, and the page is that of the table."""
+    def test_settings_commands(self) -> None:
+        """Settings are checked, and the reference page is written and compared."""
         path = self.folder / 'daemon.ini'
         path.write_text(test_settings.ENTRY)
         check = ('settings', 'check', str(path))
--- a/tests/cli/test_explain_command.py
+++ b/tests/cli/test_explain_command.py
@@ -1,4 +1,4 @@
-"""Tests of the command that explains a request."""
+"""Tests of the command that explains the outcome of a request."""
 
 from __future__ import annotations
 
@@ -15,10 +15,10 @@
 
 
 class ExplainTest(testtools.TestCase):
-    """Bad input gets a clear message and no stack trace."""
+    """Histories are printed, and bad input is reported as such."""
 
     def setUp(self) -> None:
-        """Write one log."""
+        """Write the log of one entry."""
         super().setUp()
         folder = tempfile.TemporaryDirectory()
         self.addCleanup(folder.cleanup)
@@ -26,7 +26,7 @@
         self.log.write_bytes(b'\n'.join(test_stories.ENTRY))
 
     def explain(self, *arguments: str) -> tuple[object, str, str]:
-        """Run the command; return its code and what it wrote."""
+        """Run the command and return its exit code, stdout and stderr."""
         out, err = io.StringIO(), io.StringIO()
         code: object = 0
         with contextlib.redirect_stdout(out), contextlib.redirect_stderr(err):
@@ -36,15 +36,15 @@
                 code = ended.code or 0
         return code, out.getvalue(), err.getvalue()
 
-    def test_told(self) -> None:
-        """The story is one document for programs."""
+    def test_json(self) -> None:
+        """The history can be printed as one JSON document."""
         code, out, _ = self.explain('r', str(self.log), '--json')
         self.assertEqual(exits.OK, code)
         self.assertIn('attempt failed', out)
         json.loads(out)
 
     def test_cause(self) -> None:
-        """For people the cause stands below the lines."""
+        """The tables are followed by the cause and the events that led to it."""
         ended = test_stories.line(
             11.3,
             'ended without an answer',
@@ -59,17 +59,17 @@
         self.assertIn('led to it: it was not sent again: enough_runs', out)
 
     def test_unknown(self) -> None:
-        """An id that no line has."""
+        """An id that is in no line is reported."""
         code, _, err = self.explain('other', str(self.log))
         self.assertEqual(exits.REJECTED, code)
         self.assertIn('no line of 1 files', err)
         self.assertNotIn('began anew', err)
 
-    def test_unknown_and_killed(self) -> None:
-        """An entry was killed with the request in progress.
+    def test_unknown_with_killed_entry(self) -> None:
+        """Entries that were killed are reported for an unknown id.
 
-        Nothing is written of most requests before they end, so that its id is
-        in no log; where it may have been is said.
+        Most requests have no line before they end, so a request that was in
+        progress when its entry was killed may be in no log.
         """
         lines = [
             test_stories.line(1, 'entry started', node='entry-1'),
@@ -86,7 +86,7 @@
         self.assertNotIn('began anew', self.explain('other', str(self.log))[2])
 
     def test_no_such_file(self) -> None:
-        """A file that isn't there, and no file at all."""
+        """A missing file and an empty list of files are bad input."""
         code, _, err = self.explain('r', str(self.log) + 'x')
         self.assertEqual(exits.BAD_INPUT, code)
         self.assertIn('No such file', err)
