--- a/clementinepass/cli/rollout_commands.py
+++ b/clementinepass/cli/rollout_commands.py
@@ -59,7 +59,10 @@
 
     @property
     def is_complete(self) -> bool:
-        """Return whether all of at least one replica serve their version."""
+        """Return whether all replicas serve the wanted version.
+
+        Without any replica, the rollout is not complete.
+        """
         return bool(self.replicas) and self.serving == len(self.replicas)
 
 
--- a/clementinepass/ini/__init__.py
+++ b/clementinepass/ini/__init__.py
@@ -1,1 +1,1 @@
-"""INI files read with the line of each key, and values with units."""
+"""A reader of INI files that keeps line numbers, and values with units."""
--- a/clementinepass/ini/reader.py
+++ b/clementinepass/ini/reader.py
@@ -1,4 +1,4 @@
-"""Read INI text and files, remembering where each key was written."""
+"""Parse INI files and text and keep the line number of each key."""
 
 from __future__ import annotations
 
@@ -17,19 +17,19 @@
 class Fault:
     """One fault in a file."""
 
-    #: The file's name.
+    #: The name of the file.
     file: str
     #: The line, counted from 1; 0 for the file as a whole.
     line: int
-    #: The section or key at fault.
+    #: The section or key that has the fault.
     key: str
-    #: What is wrong, for a person to read.
+    #: A description of the fault.
     detail: str
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Entry:
-    """The text of one key and where it was written."""
+    """The value of one key as text, with its location."""
 
     text: str
     file: str
@@ -41,7 +41,7 @@
     """One section of a file."""
 
     name: str
-    #: The file's name.
+    #: The name of the file.
     file: str
     #: The line of the section's header, counted from 1.
     line: int
@@ -50,9 +50,9 @@
 
 @dataclasses.dataclass(slots=True)
 class Document:
-    """What one file contains, with all faults found in it."""
+    """The content of one file and all faults found in it."""
 
-    #: The file's name.
+    #: The name of the file.
     file: str
     sections_by_name: dict[str, Section] = dataclasses.field(
         default_factory=dict,
@@ -61,7 +61,7 @@
 
 
 def read(path: pathlib.Path) -> Document:
-    """Read a file; what can't be read or decoded is a fault."""
+    """Read and parse a file; failures to read or decode it are faults."""
     try:
         text = path.read_bytes().decode('utf-8')
     except OSError as failure:
@@ -75,7 +75,7 @@
 
 
 def parse(text: str, file: str) -> Document:
-    """Parse INI text that came from ``file``."""
+    """Parse INI text; ``file`` is the file name to use in faults."""
     document = Document(file)
     parser = configparser.RawConfigParser(
         delimiters=(_DELIMITER,),
@@ -89,7 +89,7 @@
         parser.read_string(text, file)
     except configparser.MissingSectionHeaderError as missing:
         document.faults.append(
-            Fault(file, missing.lineno, file, 'stands before any section'),
+            Fault(file, missing.lineno, file, 'is before the first section'),
         )
     except configparser.ParsingError as malformed:
         document.faults.extend(
@@ -101,7 +101,7 @@
 
 
 class _Locator:
-    """Add lines, which configparser forgets, to what it has parsed."""
+    """Add line numbers, which configparser does not keep, to its result."""
 
     __slots__ = ('_document', '_parser', '_section')
 
@@ -115,8 +115,8 @@
         self._section: Section | None = None
 
     def locate(self, text: str) -> None:
-        """Walk the lines and note sections, keys and duplicates."""
-        # configparser ends lines at line feeds only, unlike splitlines().
+        """Add the sections and keys with their lines; report duplicates."""
+        # configparser splits lines at line feeds only, unlike splitlines().
         for line_number, line in enumerate(text.split('\n'), start=1):
             stripped = line.strip()
             if not stripped or stripped.startswith(_COMMENT_PREFIXES):
--- a/clementinepass/ini/values.py
+++ b/clementinepass/ini/values.py
@@ -1,4 +1,4 @@
-"""Values with units, as settings and configuration write them."""
+"""Types of values, with units, in settings and configuration files."""
 
 from __future__ import annotations
 
@@ -38,7 +38,7 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Address:
-    """An IP number and a port."""
+    """An IP address and a port."""
 
     host: str
     port: int
@@ -51,28 +51,28 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class ValueType(typing.Generic[T]):
-    """A kind of value: how it is written and how it is parsed."""
+    """A type of values: its name, its notation and its parser."""
 
-    #: What the value is, for pages and faults, such as ``duration``.
+    #: The name of the type in pages and faults, such as ``a duration``.
     name: str
-    #: An example of how it is written.
+    #: An example of the notation.
     example: str
-    #: Return the value; raise ``ValueError`` for what it cannot read.
+    #: Return the value of a text; raise ``ValueError`` if it is invalid.
     parse: typing.Callable[[str], T]
 
     def expected(self) -> str:
-        """Return a phrase that tells how the value is written."""
+        """Return a phrase that describes the expected notation."""
         return f'expected {self.name} such as {self.example}'
 
 
 def parse_address(text: str) -> Address:
-    """Return the address that ``host:port`` names.
+    """Return the address in a text ``host:port``.
 
-    Host names are refused, since a lookup may hang or change.
+    Host names are rejected, as a lookup may block and its result may change.
     """
     host, _, port = text.rpartition(':')
     if not _COUNT.fullmatch(port) or int(port) > _MAX_PORT:
-        raise ValueError('no port')
+        raise ValueError('no valid port')
     bracketed = host.startswith('[') and host.endswith(']')
     number = ipaddress.ip_address(host[1:-1] if bracketed else host)
     if bracketed != (number.version == 6):
@@ -81,7 +81,7 @@
 
 
 def choice(*options: str) -> ValueType[str]:
-    """Return a type whose values are the given words."""
+    """Return a type whose values are the given options."""
     return ValueType(
         f'one of {", ".join(options)}', options[0], _Choice(options)
     )
@@ -125,7 +125,7 @@
 
     def __call__(self, text: str) -> str:
         if text not in self.options:
-            raise ValueError('is none of the words')
+            raise ValueError('is none of the options')
         return text
 
 
@@ -153,13 +153,13 @@
     return fraction
 
 
-#: Seconds, written ``250ms``, ``4s``, ``2min`` or ``1h``.
+#: A time in seconds, written ``250ms``, ``4s``, ``2min`` or ``1h``.
 DURATION = ValueType(
     'a duration', '250ms', _number_with_units(_SECONDS_BY_UNIT)
 )
-#: Bytes, written ``64MB`` or ``64MiB``.
+#: A size in bytes, written ``64MB`` or ``64MiB``.
 SIZE = ValueType('a size', '64MB', _integer_with_units(_BYTES_BY_UNIT))
-#: Bytes a second, written ``100MB/s``.
+#: A rate in bytes a second, written ``100MB/s``.
 RATE = ValueType('a rate', '100MB/s', _integer_with_units(_RATE_BY_UNIT))
 #: A share above 0 and up to 1, written ``25%``.
 PERCENTAGE = ValueType('a percentage', '25%', _parse_percentage)
@@ -169,11 +169,11 @@
 POSITIVE = ValueType('a whole number from 1', '16', _parse_positive)
 #: ``yes`` or ``no``.
 BOOLEAN = ValueType('a boolean', 'yes', _parse_boolean)
-#: IP number and port.
-ADDRESS = ValueType('an IP number and port', '127.0.0.1:7000', parse_address)
-#: Letters, digits, dots, dashes and underscores.
+#: An IP address and a port.
+ADDRESS = ValueType('an IP address and port', '127.0.0.1:7000', parse_address)
+#: A name of letters, digits, dots, dashes and underscores.
 NAME = ValueType('a name', 'kigali-1', _match_parser(_NAME))
-#: A SHA-256 in lower-case hexadecimal.
+#: A SHA-256 digest in lower-case hexadecimal.
 SHA256 = ValueType(
     'a SHA-256 in 64 lower-case hexadecimal digits',
     '9f86d081...',
--- a/clementinepass/settings/__init__.py
+++ b/clementinepass/settings/__init__.py
@@ -1,1 +1,1 @@
-"""Settings of the daemon, read once from an INI file at its start."""
+"""Settings of the daemon, read from an INI file when it starts."""
--- a/clementinepass/settings/defaults.py
+++ b/clementinepass/settings/defaults.py
@@ -1,6 +1,7 @@
-"""The table of all settings, from which checks and reference derive.
+"""The table of all settings.
 
-Each section is a class and each key a field; a new key is one more field.
+The checks of settings files and the reference page are derived from it.  Each
+section is a class and each key a field, so a new key needs only a new field.
 """
 
 from __future__ import annotations
@@ -12,16 +13,16 @@
 from clementinepass.platform import protocols
 
 _METADATA_KEY = 'setting'
-#: What a key has in place of a default when it must be written.
+#: The default of a key that must be set.
 REQUIRED = None
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Setting:
-    """What the table says of one key."""
+    """The definition of one key."""
 
     value_type: values.ValueType[typing.Any]
-    #: The default as a file would write it; ``REQUIRED`` for none.
+    #: The default in the notation of settings files, or ``REQUIRED``.
     default: str | None
     description: str
 
@@ -31,13 +32,13 @@
     default: str | None,
     description: str,
 ) -> typing.Any:
-    """Return a field for one key of a section."""
+    """Return the dataclass field for one key of a section."""
     declared_setting = Setting(value_type, default, description)
     return dataclasses.field(metadata={_METADATA_KEY: declared_setting})
 
 
 def setting_of(field: dataclasses.Field[typing.Any]) -> Setting:
-    """Return what the table says of a section's field."""
+    """Return the definition of the key that belongs to a field."""
     return typing.cast(Setting, field.metadata[_METADATA_KEY])
 
 
@@ -57,9 +58,9 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Daemon:
-    """The process itself."""
+    """The process."""
 
-    role: protocols.Role = setting(_ROLE, REQUIRED, 'What the process does.')
+    role: protocols.Role = setting(_ROLE, REQUIRED, 'Role of the process.')
     id: str = setting(values.NAME, REQUIRED, 'Unique name of the instance.')
     region: str = setting(values.NAME, REQUIRED, 'Region of the instance.')
     failure_domain: str = setting(
@@ -70,19 +71,19 @@
     listen: values.Address = setting(
         values.ADDRESS,
         REQUIRED,
-        'Where other processes of the system connect.',
+        'Address for other processes of the system.',
     )
     metrics_listen: values.Address = setting(
         values.ADDRESS,
         REQUIRED,
-        'Where metrics and health are served.',
+        'Address for metrics and health checks.',
     )
     drain_grace: float = setting(
         values.DURATION,
-        # As long as the longest deadline that a request may have, so that a
-        # graceful shutdown cuts off nothing.
+        # Equal to the longest deadline of a request, so that a graceful
+        # shutdown cuts off no request.
         '10min',
-        'How long a shutdown waits for requests in progress.',
+        'Longest time for which a shutdown waits for requests in progress.',
     )
 
 
@@ -90,22 +91,26 @@
 class Platform:
     """Addresses of the platform's services."""
 
-    log: values.Address = setting(values.ADDRESS, REQUIRED, 'Log service.')
+    log: values.Address = setting(
+        values.ADDRESS, REQUIRED, 'Address of the log service.'
+    )
     instance_list: values.Address = setting(
         values.ADDRESS,
         REQUIRED,
-        'Instance list.',
+        'Address of the instance list.',
     )
     weight_store: values.Address = setting(
         values.ADDRESS,
         REQUIRED,
-        'Weight store.',
+        'Address of the weight store.',
+    )
+    origin: values.Address = setting(
+        values.ADDRESS, REQUIRED, 'Address of the origin.'
     )
-    origin: values.Address = setting(values.ADDRESS, REQUIRED, 'Origin.')
     timeout: float = setting(
         values.DURATION,
         '2s',
-        'Longest silence of a service before a call to it fails.',
+        'Time without data after which a request to a service fails.',
     )
 
 
@@ -116,55 +121,55 @@
     listen: values.Address = setting(
         values.ADDRESS,
         REQUIRED,
-        'Where callers connect.',
+        'Address for callers.',
     )
     threads: int = setting(
         values.POSITIVE,
         '440',
-        'Threads that serve callers; more than streams, so that a refusal '
-        'never waits behind them.',
+        'Number of threads that serve callers; more than streams, so that a '
+        'refusal never waits for a stream to end.',
     )
     streams: int = setting(
         values.POSITIVE,
         '400',
-        'Most requests in progress at once.',
+        'Maximum number of requests in progress.',
     )
     body_limit: int = setting(
         values.SIZE,
         '1MB',
-        'Largest request body taken.',
+        'Maximum size of a request body.',
     )
     max_age: float = setting(
         values.DURATION,
         '10s',
-        'How long callers may keep the list of entries.',
+        'Time for which callers may cache the list of entries.',
     )
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Endpoint:
-    """The endpoint that the agent stands before."""
+    """The endpoint beside which the agent runs."""
 
-    kind: str = setting(_KIND, REQUIRED, 'What the endpoint is.')
+    kind: str = setting(_KIND, REQUIRED, 'Kind of the endpoint.')
     address: values.Address = setting(
         values.ADDRESS,
         REQUIRED,
-        'Where the endpoint takes HTTP.',
+        'HTTP address of the endpoint.',
     )
     serves: str = setting(
         values.NAME,
         REQUIRED,
-        'Name of the model or service that it serves.',
+        'Name of the model or service that the endpoint serves.',
     )
     capacity: int = setting(
         values.POSITIVE,
         '16',
-        'Most requests that run at once.',
+        'Maximum number of requests that run at once.',
     )
     queue: int = setting(
         values.COUNT,
         '32',
-        'Most requests that wait at the gate.',
+        'Maximum number of requests that wait at the gate.',
     )
 
 
@@ -175,17 +180,17 @@
     heartbeat: float = setting(
         values.DURATION,
         '1s',
-        'Time between heartbeats.',
+        'Interval between heartbeats.',
     )
     silence: float = setting(
         values.DURATION,
         '2s',
-        'Silence after which a connection is given up.',
+        'Time without a message after which a connection is closed.',
     )
     coalesce: float = setting(
         values.DURATION,
         '4ms',
-        'Longest wait to send several frames in one message.',
+        'Longest delay of a frame in order to send several in one message.',
     )
 
 
@@ -196,67 +201,69 @@
     memory_limit: int = setting(
         values.SIZE,
         '8GB',
-        'Memory set aside for weights.',
+        'Memory reserved for weights.',
     )
     upload_rate: int = setting(
         values.RATE,
         '0MB/s',
-        'Most bytes a second sent to other agents; 0 for no limit.',
+        'Maximum rate of sending to other agents; 0 for no limit.',
     )
     download_rate: int = setting(
         values.RATE,
         '0MB/s',
-        'Most bytes a second taken from other agents; 0 for no limit.',
+        'Maximum rate of receiving from other agents; 0 for no limit.',
     )
     origin_rate: int = setting(
         values.RATE,
         '0MB/s',
-        'Most bytes a second that all agents together read from the origin; '
-        '0 for no limit.',
+        'Maximum rate at which all agents together read from the origin; 0 '
+        'for no limit.',
     )
     yield_share: float = setting(
         values.PERCENTAGE,
         '90%',
-        'Part of upload_rate used while requests are in progress.',
+        'Share of upload_rate used while requests are in progress.',
     )
     slice_bytes: int = setting(
         values.SIZE,
         '256KiB',
-        'Most that one call between agents carries.',
+        'Maximum payload of one call between agents.',
     )
     downloads: int = setting(
         values.POSITIVE,
         '16',
-        'Most chunks on their way from other agents at once.',
+        'Maximum number of concurrent chunk downloads from other agents.',
     )
     patience: float = setting(
         values.DURATION,
         '2s',
-        'Wait for other agents before reading their part from the origin.',
+        'Time to wait for other agents before reading their share from the '
+        'origin.',
     )
     stall_timeout: float = setting(
         values.DURATION,
         '3s',
-        'Silence after which a call between agents has stalled.',
+        'Time without data after which a call between agents has stalled.',
     )
     gather: float = setting(
         values.DURATION,
         '200ms',
-        'Time for which new chunks are gathered before others are told.',
+        'Time for which new chunks are collected before they are announced.',
     )
     wave_patience: float = setting(
         values.DURATION,
         '30s',
-        'Wait for a loading or stuck replica before the wave passes it.',
+        'Time for which a wave waits for a loading or stuck replica before '
+        'skipping it.',
     )
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Logging:
-    """The daemon's own log."""
+    """The log of the daemon."""
 
-    level: str = setting(_LEVEL, 'INFO', 'Least severe level written.')
-    format: str = setting(_FORMAT, 'text', 'How an event is written.')
+    level: str = setting(_LEVEL, 'INFO', 'Least severe level that is written.')
+    format: str = setting(_FORMAT, 'text', 'Format of log lines.')
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
@@ -266,26 +273,26 @@
     snapshot_every: int = setting(
         values.POSITIVE,
         '200',
-        'Records after which an entry appends a snapshot.',
+        'Number of records after which an entry appends a snapshot.',
     )
     snapshot_age: float = setting(
         values.DURATION,
         '30min',
-        'Age after which a snapshot is written anew; far below the time '
-        'for which the log service keeps records.',
+        'Age at which a snapshot is written again; far below the retention '
+        'time of the log service.',
     )
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class SectionType:
-    """One section of the table."""
+    """The definition of one section."""
 
     record: type[typing.Any]
-    #: The roles whose settings have the section.
+    #: The roles whose settings contain the section.
     roles: frozenset[protocols.Role]
 
     def settings_by_key(self) -> dict[str, Setting]:
-        """Return the section's rows by key, in the table's order."""
+        """Return the definitions by key, in the order of the table."""
         return {
             field.name: setting_of(field)
             for field in dataclasses.fields(self.record)
--- a/clementinepass/settings/reference.py
+++ b/clementinepass/settings/reference.py
@@ -1,4 +1,4 @@
-"""The reference page of all settings, from the table of defaults."""
+"""Render the reference page of all settings from the table of defaults."""
 
 from __future__ import annotations
 
@@ -12,17 +12,17 @@
 
 Written by `clementinepass settings reference` from the table of defaults.
 
-`clementinepassd` reads one INI file at its start. It checks the whole file
-before it opens anything and lists all faults together; check one by hand
-with `clementinepass settings check FILE`. SIGHUP re-reads `[logging] level`
+`clementinepassd` reads one INI file when it starts. It checks the whole file
+before it opens any connection and lists all faults; to check a file manually,
+run `clementinepass settings check FILE`. SIGHUP reloads `[logging] level`
 only. Durations are written as `250ms`, `4s`, `2min` or `1h`, sizes as `64MB`
-or `64MiB`, rates as `100MB/s`, addresses as IP number and port.
+or `64MiB`, rates as `100MB/s`, addresses as IP address and port.
 """
 _COLUMNS = ('key', 'value', 'default', 'meaning')
 
 
 def render() -> str:
-    """Return the whole page."""
+    """Return the text of the page."""
     parts = [_INTRODUCTION]
     for name, section_type in defaults.SECTIONS_BY_NAME.items():
         parts.append(_render_section(name, section_type))
--- a/clementinepass/settings/settings.py
+++ b/clementinepass/settings/settings.py
@@ -1,4 +1,4 @@
-"""The daemon's settings: all checks come before anything is opened."""
+"""The daemon's settings, checked as a whole before anything is opened."""
 
 from __future__ import annotations
 
@@ -19,7 +19,7 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Settings:
-    """Settings of one daemon; sections of the other role are ``None``."""
+    """The settings of a daemon; sections of the other role are ``None``."""
 
     daemon: defaults.Daemon
     platform: defaults.Platform
@@ -44,7 +44,10 @@
 
     @classmethod
     def from_text(cls, text: str, file: str) -> Settings:
-        """Check settings given as text; ``file`` names them in faults.
+        """Parse and check settings from text.
+
+        :param text: the content of a settings file.
+        :param file: the file name to use in faults.
 
         :raises ExceptionGroup: of ``SettingsError``, one for each fault.
         """
@@ -72,7 +75,7 @@
 
 
 class _Checker:
-    """Check one document against the table and collect all faults."""
+    """Check a document against the table of settings and collect all faults."""
 
     __slots__ = ('_document', 'faults')
 
@@ -82,7 +85,7 @@
         self.faults = list(document.faults)
 
     def check(self) -> dict[str, typing.Any]:
-        """Return the sections' records by name, where they are whole."""
+        """Return the sections by name; complete only if there are no faults."""
         if self.faults and not self._document.sections_by_name:
             return {}
         self._check_names()
@@ -168,14 +171,18 @@
             return
         callers = records.get('callers')
         if callers is not None and callers.streams >= callers.threads:
-            # With every thread held by a stream, a refusal would wait for
-            # one to end; callers would see seconds in place of milliseconds.
-            self._relation_fault('callers', 'streams', 'must be below threads')
+            # If streams occupied all threads, a refusal would wait for a
+            # stream to end and take seconds instead of milliseconds.
+            self._add_relation_fault(
+                'callers', 'streams', 'must be below threads'
+            )
         peers = records['peers']
         if peers.heartbeat >= peers.silence:
-            self._relation_fault('peers', 'heartbeat', 'must be below silence')
+            self._add_relation_fault(
+                'peers', 'heartbeat', 'must be below silence'
+            )
 
-    def _relation_fault(self, name: str, key: str, detail: str) -> None:
+    def _add_relation_fault(self, name: str, key: str, detail: str) -> None:
         section = self._document.sections_by_name.get(name)
         entry = section and section.entries_by_key.get(key)
         self._add_fault(entry or section, f'{name}.{key}', detail)
--- a/tests/ini/test_reader.py
+++ b/tests/ini/test_reader.py
@@ -1,4 +1,4 @@
-"""Tests of reading INI text with lines."""
+"""Tests of the reader of INI files."""
 
 from __future__ import annotations
 
@@ -11,7 +11,7 @@
 
 from clementinepass.ini import reader
 
-#: Text and the faults expected, as (line, key).
+#: A text and the expected faults as (line, key).
 _FAULTS = {
     'key before a section': ('a = 1\n', [(1, 'f.ini')]),
     'duplicate section': ('[a]\nx = 1\n[a]\ny = 1\n', [(3, 'a')]),
@@ -27,10 +27,10 @@
 
 
 class ParseTest(testtools.TestCase):
-    """Parsing keeps lines and collects faults."""
+    """Parsing keeps line numbers and collects faults."""
 
     def test_lines(self) -> None:
-        """Sections and keys carry their lines; the value is whole."""
+        """Sections and keys have their lines; values are kept unchanged."""
         text = '# c\n[team a]\n\nkey = 1 = 2 ; 3\n; c\n[b]\nKey=\n'
         document = reader.parse(text, 'f.ini')
         self.assertEqual([], document.faults)
@@ -44,15 +44,15 @@
         )
 
     def test_faults(self) -> None:
-        """Each fault names its line, and all are given."""
-        for story, (text, expected) in _FAULTS.items():
+        """All faults are reported with their lines."""
+        for name, (text, expected) in _FAULTS.items():
             found = reader.parse(text, 'f.ini').faults
             at = sorted((fault.line, fault.key) for fault in found)
-            self.assertEqual(expected, at, story)
+            self.assertEqual(expected, at, name)
 
     @given(st.text(alphabet='[]=ab# ;\n\r\t\x0b\x85%:', max_size=60))
     def test_any_text(self, text: str) -> None:
-        """Any text is parsed, and without faults no key is lost."""
+        """Any text can be parsed; without faults, all keys are kept."""
         document = reader.parse(text, 'f.ini')
         if not document.faults:
             written = [
@@ -69,10 +69,10 @@
 
 
 class ReadTest(testtools.TestCase):
-    """What can't be read is a fault, not an exception."""
+    """Unreadable files give faults, not exceptions."""
 
     def test_unreadable(self) -> None:
-        """Missing files, folders and invalid UTF-8 are faults."""
+        """Missing files, folders and invalid UTF-8 give faults."""
         with tempfile.TemporaryDirectory() as folder:
             path = pathlib.Path(folder) / 'f.ini'
             details = [reader.read(path).faults[0].detail]
--- a/tests/ini/test_values.py
+++ b/tests/ini/test_values.py
@@ -1,4 +1,4 @@
-"""Tests of values with units."""
+"""Tests of the types of values with units."""
 
 from __future__ import annotations
 
@@ -8,7 +8,7 @@
 
 from clementinepass.ini import values
 
-_READ = [
+_VALID = [
     (values.DURATION, '250ms', 0.25),
     (values.DURATION, '4s', 4),
     (values.DURATION, '2min', 120),
@@ -26,7 +26,7 @@
     (values.NAME, 'a.b-c_1', 'a.b-c_1'),
     (values.SHA256, 'ab' * 32, 'ab' * 32),
 ]
-_REFUSED = [
+_INVALID = [
     (values.DURATION, ('', '4', '4 seconds', '-4s', '4S', 's', '1e3s', '4s\n')),
     (values.SIZE, ('64', '64mb', '64MB/s', 'MB', '١MB')),
     (values.RATE, ('64MB', '64MB/min')),
@@ -45,30 +45,30 @@
 
 
 class ValuesTest(testtools.TestCase):
-    """Values are read with their units or refused."""
+    """Values are parsed with their units or rejected."""
 
-    def test_read(self) -> None:
-        """Each form gives its value."""
-        for value_type, text, expected in _READ:
+    def test_valid(self) -> None:
+        """Each notation gives the expected value."""
+        for value_type, text, expected in _VALID:
             self.assertEqual(expected, value_type.parse(text), text)
 
-    def test_refused(self) -> None:
-        """Missing and wrong units and forms are refused."""
-        for value_type, texts in _REFUSED:
+    def test_invalid(self) -> None:
+        """Missing and wrong units and notations are rejected."""
+        for value_type, texts in _INVALID:
             for text in texts:
                 with self.subTest(type=value_type.name, text=text):
                     self.assertRaises(ValueError, value_type.parse, text)
 
     def test_address_text(self) -> None:
-        """An address is written as it is read."""
+        """An address is formatted in the notation in which it is parsed."""
         for text in ('127.0.0.1:80', '[::1]:80'):
             self.assertEqual(text, str(values.parse_address(text)))
 
-    @given(st.text(max_size=30), st.sampled_from(_REFUSED))
+    @given(st.text(max_size=30), st.sampled_from(_INVALID))
     def test_any_text(
         self, text: str, row: tuple[values.ValueType, ...]
     ) -> None:
-        """Whatever the text, it is read or refused by ValueError."""
+        """Any text is parsed or rejected with ValueError."""
         try:
             row[0].parse(text)
         except ValueError:
--- a/tests/settings/test_settings.py
+++ b/tests/settings/test_settings.py
@@ -30,7 +30,7 @@
     '[callers]\nlisten = 127.0.0.1:7002\n',
     '[endpoint]\nkind = engine\naddress = 127.0.0.1:7200\nserves = m\n',
 )
-#: What is replaced by what, and what the faults must say.
+#: A text to replace, its replacement, and fragments of the expected faults.
 _FAULTS = {
     'unknown section': (
         '[callers]',
@@ -89,23 +89,23 @@
 
 
 class SettingsTest(testtools.TestCase):
-    """Settings are typed, and all faults come together."""
+    """Settings are typed, and all faults are reported."""
 
-    def test_a_drain_outlasts_every_request(self) -> None:
-        """By default a drain cuts off nothing.
+    def test_default_grace_covers_longest_deadline(self) -> None:
+        """The default grace is no shorter than the longest deadline.
 
-        A request with a deadline of ten minutes was cut off after 25 s of a
-        drain with the default grace, which was shorter than requests may run.
+        With a default grace of 25 s, a drain cut off a request that had a
+        deadline of ten minutes.
         """
         for text in (ENTRY, AGENT):
-            grace = settings.Settings.from_text(text, 'f.ini').daemon
+            daemon = settings.Settings.from_text(text, 'f.ini').daemon
             self.assertGreaterEqual(
-                grace.drain_grace,
+                daemon.drain_grace,
                 callers.LONGEST_DEADLINE,
             )
 
     def test_roles(self) -> None:
-        """Each role has its own sections, with defaults."""
+        """Each role has its own sections, with default values."""
         entry = settings.Settings.from_text(ENTRY, 'f.ini')
         self.assertEqual(600, entry.daemon.drain_grace)
         self.assertEqual(400, entry.callers.streams)
@@ -117,16 +117,16 @@
         self.assertIsNone(agent.callers)
 
     def test_faults(self) -> None:
-        """Each fault is told with file, line and key, and nothing else."""
-        for story, (old, new, expected) in _FAULTS.items():
+        """Exactly the expected faults are reported, with file, line and key."""
+        for name, (old, new, expected) in _FAULTS.items():
             found = _faults(ENTRY.replace(old, new, 1))
-            self.assertEqual(len(expected), len(found), (story, found))
+            self.assertEqual(len(expected), len(found), (name, found))
             for fragment, fault in zip(expected, found):
-                self.assertIn(fragment, fault, story)
+                self.assertIn(fragment, fault, name)
                 self.assertTrue(fault.startswith('f.ini:'), fault)
 
-    def test_unreadable(self) -> None:
-        """A file that is not there is one fault."""
+    def test_unreadable_file(self) -> None:
+        """A missing file is reported as one fault."""
         path = pathlib.Path('/nonexistent/daemon.ini')
         group = self.assertRaises(
             ExceptionGroup,
