--- a/clementinepass/cli/explain_command.py
+++ b/clementinepass/cli/explain_command.py
@@ -7,7 +7,7 @@
 import typing
 
 from clementinepass.cli import exits, output
-from clementinepass.observability import stories
+from clementinepass.observability import request_history
 
 if typing.TYPE_CHECKING:
     from collections.abc import Sequence
@@ -33,8 +33,8 @@
     :param json: print one JSON document instead of tables.
     """
     collection = _collect(files)
-    story = collection.build_story(request)
-    if story is None:
+    history = collection.build_history(request)
+    if history is None:
         sys.stderr.write(
             f'{request}: no line of {len(files)} files is on this request; of '
             'the successful requests, one in sixteen is logged '
@@ -48,17 +48,17 @@
             )
         sys.exit(exits.REJECTED)
     if json:
-        output.print_json(story)
+        output.print_json(history)
         return
-    _print_story(request, story)
+    _print_history(request, history)
     if collection.unreadable_lines:
         output.screen.print(
             f'{collection.unreadable_lines} lines could not be read'
         )
 
 
-def _collect(files: Sequence[pathlib.Path]) -> stories.LogCollection:
-    collection = stories.LogCollection()
+def _collect(files: Sequence[pathlib.Path]) -> request_history.LogCollection:
+    collection = request_history.LogCollection()
     if not files:
         sys.stderr.write('no files: pass the log file of each process\n')
         sys.exit(exits.BAD_INPUT)
@@ -72,8 +72,10 @@
     return collection
 
 
-def _print_story(request: str, story: stories.Story) -> None:
-    started_at = story.lines[0].at
+def _print_history(
+    request: str, history: request_history.RequestHistory
+) -> None:
+    started_at = history.lines[0].at
     output.print_table(
         f'request {request}',
         ('seconds', 'process', 'event', 'details'),
@@ -84,10 +86,10 @@
                 line.message,
                 line.details,
             )
-            for line in story.lines
+            for line in history.lines
         ],
     )
-    _print_cause(story)
+    _print_cause(history)
     output.print_table(
         'state known when the request arrived',
         ('process', 'event', 'age in seconds', 'details'),
@@ -98,30 +100,30 @@
                 f'{observation.age:.1f}',
                 observation.line.details,
             )
-            for observation in story.observations
+            for observation in history.observations
         ],
     )
-    for gap in story.gaps:
+    for gap in history.gaps:
         output.screen.print(f'may be missing: {gap}')
 
 
-def _print_cause(story: stories.Story) -> None:
-    verdict = story.verdict
+def _print_cause(history: request_history.RequestHistory) -> None:
+    verdict = history.verdict
     output.screen.print(
         f'cause: {verdict.cause.value}: {verdict.sentence}',
         markup=False,
     )
     for sentence in verdict.contributions:
         output.screen.print(f'led to it: {sentence}', markup=False)
-    for observation in story.deciding_observations:
+    for observation in history.deciding_observations:
         output.screen.print(
             f'decided by: {observation.line.message} '
             f'{observation.line.details}, '
             f'{observation.age:.1f} s before its end',
             markup=False,
         )
-    if story.first_failure is not None:
+    if history.first_failure is not None:
         output.screen.print(
-            f'first failure: {story.first_failure.message} '
-            f'at {story.first_failure.process}',
+            f'first failure: {history.first_failure.message} '
+            f'at {history.first_failure.process}',
         )
--- a/clementinepass/observability/line_table.py
+++ b/clementinepass/observability/line_table.py
@@ -38,7 +38,7 @@
 
 #: Fields of all lines.
 COMMON_FIELDS: dict[str, Field] = {
-    'time': Field('str', 'by the clock of the process, in milliseconds'),
+    'time': Field('str', 'time by the clock of the process, with milliseconds'),
     'level': Field('str', 'INFO, WARNING, ERROR or CRITICAL'),
     'message': Field(
         'str',
@@ -157,8 +157,8 @@
         'seconds without an event after which callers give up; null if the '
         'answer is no stream',
     ),
-    'peer': Field('str', 'IP address'),
-    'phase': Field('str', 'starting, ready or leaving'),
+    'peer': Field('str', 'IP address of the peer'),
+    'phase': Field('str', 'phase of the entry: starting, ready or leaving'),
     'piece': Field('int', 'number of the piece'),
     'reads': Field(
         'bool', 'whether this process reads the topic from the store itself'
@@ -420,7 +420,9 @@
     'source passed over': Kind(
         'source trouble', 'the source is not used for now'
     ),
-    'no answer': Kind('source', 'first failure of a source in a row'),
+    'no answer': Kind(
+        'source', 'a source did not answer, for the first time in a row'
+    ),
     'source answers again': Kind(
         'source failures', 'a source answers after failures'
     ),
--- a/clementinepass/observability/stories.py
+++ b/clementinepass/observability/request_history.py
@@ -71,7 +71,7 @@
     age: float
 
 
-class Story(typing.NamedTuple):
+class RequestHistory(typing.NamedTuple):
     """The history of one request.
 
     :param lines: all lines on the request, in order of time.
@@ -119,7 +119,7 @@
                 at = line.at
                 self._lines.append(line)
 
-    def build_story(self, request_id: str) -> Story | None:
+    def build_history(self, request_id: str) -> RequestHistory | None:
         """Return the history of a request; ``None`` if no line is on it."""
         request_lines = [
             line
@@ -144,7 +144,7 @@
         deciding_messages = _DECIDING_MESSAGES_BY_CAUSE.get(
             verdict.cause, frozenset()
         )
-        return Story(
+        return RequestHistory(
             tuple(request_lines),
             verdict,
             first_failure,
--- a/clementinepass/observability/verdicts.py
+++ b/clementinepass/observability/verdicts.py
@@ -134,7 +134,7 @@
         return _classify_unended(request_lines, context)
     before = [earlier for earlier in request_lines if earlier is not final]
     cause, line = _CLASSIFIER_BY_MESSAGE[final.message](final, before, context)
-    verdict = _verdict(cause, line)
+    verdict = _build_verdict(cause, line)
     contributions = [
         _describe(earlier)
         for earlier in before
@@ -145,13 +145,13 @@
     return verdict._replace(contributions=tuple(contributions))
 
 
-def _verdict(cause: Cause, line: lines.Line) -> Verdict:
+def _build_verdict(cause: Cause, line: lines.Line) -> Verdict:
     """Return a cause with its explanation from the fields of a line."""
     sentence = causes.SENTENCE_BY_CAUSE[cause]
     return Verdict(cause, sentence.format_map(_Fields(line.fields)))
 
 
-def _unknown_verdict(why: str) -> Verdict:
+def _build_unknown_verdict(why: str) -> Verdict:
     sentence = causes.SENTENCE_BY_CAUSE[Cause.UNKNOWN].format(why=why)
     return Verdict(Cause.UNKNOWN, sentence)
 
@@ -182,10 +182,10 @@
     ]
 
 
-_Classified = tuple[Cause, lines.Line]
+_Classification = tuple[Cause, lines.Line]
 
 
-def _unknown_cause(line: lines.Line, why: str) -> _Classified:
+def _unknown_cause(line: lines.Line, why: str) -> _Classification:
     """Return an unknown cause with the reason why it is unknown."""
     evidence = lines.Line(line.process, line.at, line.message, {'why': why})
     return Cause.UNKNOWN, evidence
@@ -196,13 +196,15 @@
 ) -> Verdict:
     """Classify a request without a line on its end."""
     if context.dropped:
-        return _unknown_verdict('lines were dropped when it ended')
+        return _build_unknown_verdict('lines were dropped when it ended')
     for line in context.later_lines:
         if line.message == 'stopped':
-            return _unknown_verdict('the entry stopped without a line on it')
+            return _build_unknown_verdict(
+                'the entry stopped without a line on it'
+            )
         if is_process_start(line):
-            return _verdict(Cause.PROCESS_KILLED, line)
-    return _unknown_verdict('no line states how it ended')
+            return _build_verdict(Cause.PROCESS_KILLED, line)
+    return _build_unknown_verdict('no line states how it ended')
 
 
 def is_process_start(line: lines.Line) -> bool:
@@ -221,7 +223,7 @@
     final: lines.Line,
     before: Sequence[lines.Line],
     context: Context,
-) -> _Classified:
+) -> _Classification:
     reason = final.fields.get('reason')
     cause = _CAUSE_BY_REASON.get(str(reason))
     if cause is None:
@@ -238,7 +240,7 @@
     final: lines.Line,
     before: Sequence[lines.Line],
     context: Context,
-) -> _Classified:
+) -> _Classification:
     """Classify by the reason and the outcomes of the attempts."""
     if final.fields.get('decision') == 'budget_spent':
         return Cause.RETRY_BUDGET_SPENT, final
@@ -265,7 +267,7 @@
     outcomes: list[typing.Any],
     before: Sequence[lines.Line],
     context: Context,
-) -> _Classified:
+) -> _Classification:
     """Classify by the last attempt that ran or may have run."""
     for index in reversed(range(len(outcomes))):
         outcome = str(outcomes[index])
@@ -302,7 +304,7 @@
 
 def _classify_not_run(
     final: lines.Line, outcomes: list[typing.Any]
-) -> _Classified:
+) -> _Classification:
     """Classify a request that no endpoint ran by all its attempts."""
     for outcome, cause in _CAUSE_BY_NOT_RUN.items():
         if outcome in outcomes:
@@ -314,7 +316,7 @@
     final: lines.Line,
     before: Sequence[lines.Line],
     context: Context,
-) -> _Classified:
+) -> _Classification:
     """Distinguish the reasons for which a caller disconnects."""
     fields = final.fields
     left, waited = _number_field(final, 'left'), _number_field(final, 'waited')
@@ -338,14 +340,14 @@
     return field if isinstance(field, int | float) else None
 
 
-def _always_classify(cause: Cause) -> _Classifier:
+def _constant_classifier(cause: Cause) -> _Classifier:
     """Return a classifier for a line that always has the same cause."""
 
     def classify_constant(
         final: lines.Line,
         before: Sequence[lines.Line],
         context: Context,
-    ) -> _Classified:
+    ) -> _Classification:
         return cause, final
 
     return classify_constant
@@ -355,23 +357,25 @@
     final: lines.Line,
     before: Sequence[lines.Line],
     context: Context,
-) -> _Classified:
+) -> _Classification:
     return _unknown_cause(final, 'it was aborted, and nothing tells by whom')
 
 
 _Classifier = typing.Callable[
-    [lines.Line, 'Sequence[lines.Line]', Context], _Classified
+    [lines.Line, 'Sequence[lines.Line]', Context], _Classification
 ]
 
 #: Classifiers by the message of the line on the end of a request.
 _CLASSIFIER_BY_MESSAGE: dict[str, _Classifier] = {
-    'answered': _always_classify(Cause.ANSWERED),
+    'answered': _constant_classifier(Cause.ANSWERED),
     'refused': _classify_refusal,
     'ended without an answer': _classify_ending,
     'caller left': _classify_caller,
     'connection reset': _classify_caller,
-    'connection lost': _always_classify(Cause.CONNECTION_LOST),
-    'cut off, as this entry ends': _always_classify(Cause.CUT_AT_SHUTDOWN),
-    'cut off by a fault of this entry': _always_classify(Cause.INTERNAL_ERROR),
+    'connection lost': _constant_classifier(Cause.CONNECTION_LOST),
+    'cut off, as this entry ends': _constant_classifier(Cause.CUT_AT_SHUTDOWN),
+    'cut off by a fault of this entry': _constant_classifier(
+        Cause.INTERNAL_ERROR
+    ),
     'cut off, not known why': _classify_unknown,
 }
--- a/tests/cli/test_explain_command.py
+++ b/tests/cli/test_explain_command.py
@@ -11,7 +11,7 @@
 import testtools
 
 from clementinepass.cli import exits, main
-from tests.observability import test_stories
+from tests.observability import test_request_history
 
 
 class ExplainTest(testtools.TestCase):
@@ -23,7 +23,7 @@
         folder = tempfile.TemporaryDirectory()
         self.addCleanup(folder.cleanup)
         self.log = pathlib.Path(folder.name) / 'entry-1.log'
-        self.log.write_bytes(b'\n'.join(test_stories.ENTRY))
+        self.log.write_bytes(b'\n'.join(test_request_history.ENTRY))
 
     def explain(self, *arguments: str) -> tuple[object, str, str]:
         """Run the command and return its exit code, stdout and stderr."""
@@ -45,14 +45,14 @@
 
     def test_cause(self) -> None:
         """The tables are followed by the cause and the events that led to it."""
-        ended = test_stories.line(
+        ended = test_request_history.line(
             11.3,
             'ended without an answer',
             request='r',
             reason='broken',
             outcomes=['lost'],
         )
-        self.log.write_bytes(b'\n'.join((*test_stories.ENTRY, ended)))
+        self.log.write_bytes(b'\n'.join((*test_request_history.ENTRY, ended)))
         code, out, _ = self.explain('r', str(self.log))
         self.assertEqual(exits.OK, code)
         self.assertIn('cause: endpoint_lost: the connection to endpoint', out)
@@ -72,16 +72,20 @@
         progress when its entry was killed may be in no log.
         """
         lines = [
-            test_stories.line(1, 'entry started', node='entry-1'),
-            test_stories.line(2, 'configuration in force', version=3, before=0),
-            test_stories.line(3, 'entry ready', node='entry-1'),
-            test_stories.line(8, 'entry started', node='entry-1'),
-            test_stories.line(9, 'configuration in force', version=3, before=0),
+            test_request_history.line(1, 'entry started', node='entry-1'),
+            test_request_history.line(
+                2, 'configuration in force', version=3, before=0
+            ),
+            test_request_history.line(3, 'entry ready', node='entry-1'),
+            test_request_history.line(8, 'entry started', node='entry-1'),
+            test_request_history.line(
+                9, 'configuration in force', version=3, before=0
+            ),
         ]
         self.log.write_bytes(b'\n'.join(lines))
         _, _, err = self.explain('other', str(self.log))
         self.assertEqual(1, err.count('entry-1 began anew at'))
-        stopped = test_stories.line(4, 'stopped', node='entry-1')
+        stopped = test_request_history.line(4, 'stopped', node='entry-1')
         self.log.write_bytes(b'\n'.join((*lines[:3], stopped, *lines[3:])))
         self.assertNotIn('began anew', self.explain('other', str(self.log))[2])
 
--- a/tests/observability/test_causes.py
+++ b/tests/observability/test_causes.py
@@ -25,10 +25,10 @@
     pool,
     replies,
 )
-from clementinepass.observability import causes, stories
+from clementinepass.observability import causes, request_history
 from standins import direct_endpoint
 from tests.direct import path_world
-from tests.observability import test_stories
+from tests.observability import test_request_history
 
 Cause = causes.Cause
 Fault = direct_endpoint.Fault
@@ -416,13 +416,15 @@
     return payload
 
 
-def explain_request(lines: list[bytes], request: str = 'r-1') -> stories.Story:
+def explain_request(
+    lines: list[bytes], request: str = 'r-1'
+) -> request_history.RequestHistory:
     """Return the history of a request from log lines."""
-    collection = stories.LogCollection()
+    collection = request_history.LogCollection()
     collection.add('entry-1', lines)
-    story = collection.build_story(request)
-    assert story is not None
-    return story
+    history = collection.build_history(request)
+    assert history is not None
+    return history
 
 
 class MatrixTest(testtools.TestCase):
@@ -449,7 +451,7 @@
         self.assertEqual(set(Cause), set(causes.SENTENCE_BY_CAUSE))
 
 
-line = test_stories.line
+line = test_request_history.line
 SENT = line(2, 'sent', request='r', attempt=2, endpoint='i-1')
 
 
@@ -571,12 +573,12 @@
                 line(1, 'agent started', engine=engine),
                 line(second, 'ordered to load', answer='accepted'),
             ]
-            collection = stories.LogCollection()
+            collection = request_history.LogCollection()
             collection.add('entry-1', [SENT, failed, ended])
             collection.add('agent-1', agent)
-            story = collection.build_story('r')
-            assert story is not None
-            self.assertEqual(cause, story.verdict.cause)
+            history = collection.build_history('r')
+            assert history is not None
+            self.assertEqual(cause, history.verdict.cause)
 
 
 class EndTest(testtools.TestCase):
--- a/tests/observability/test_causes_mixed.py
+++ b/tests/observability/test_causes_mixed.py
@@ -14,7 +14,7 @@
 import testtools
 
 from clementinepass.http import channel
-from clementinepass.observability import causes, stories
+from clementinepass.observability import causes, request_history
 from standins import direct_endpoint
 from tests.direct import path_world
 from tests.observability import test_causes
@@ -205,7 +205,7 @@
     def test_causes(self) -> None:
         """No cause is wrong, and at most five are unknown."""
         mixed = MixedWorkload(SEED)
-        collection = stories.LogCollection()
+        collection = request_history.LogCollection()
         collection.add('entry-1', test_causes.capture_lines(mixed.play))
         expected_causes = mixed.expected_causes()
         sampled_ids = random.Random(SEED).sample(
@@ -214,12 +214,12 @@
         wrong: list[typing.Any] = []
         unknown = []
         for name in sampled_ids:
-            story = collection.build_story(name)
-            cause = Cause.UNKNOWN if story is None else story.verdict.cause
+            history = collection.build_history(name)
+            cause = Cause.UNKNOWN if history is None else history.verdict.cause
             if cause is Cause.UNKNOWN:
-                unknown.append((name, expected_causes[name], story))
+                unknown.append((name, expected_causes[name], history))
             elif cause is not expected_causes[name]:
-                wrong.append((name, expected_causes[name], story))
+                wrong.append((name, expected_causes[name], history))
         self.assertEqual([], wrong)
         self.assertLessEqual(len(unknown), 5, unknown)
         self.assertGreater(
--- a/tests/observability/test_stories.py
+++ b/tests/observability/test_request_history.py
@@ -7,7 +7,7 @@
 
 import testtools
 
-from clementinepass.observability import stories
+from clementinepass.observability import request_history
 
 
 def line(second: float, message: str, **fields: typing.Any) -> bytes:
@@ -35,39 +35,41 @@
 ]
 
 
-class StoryTest(testtools.TestCase):
+class RequestHistoryTest(testtools.TestCase):
     """The history of a request that may have run and ended with status 502."""
 
-    def explain(self, *more: bytes, request: str = 'r') -> stories.Story | None:
+    def explain(
+        self, *more: bytes, request: str = 'r'
+    ) -> request_history.RequestHistory | None:
         """Return the history from the entry's log with additional lines."""
-        collection = stories.LogCollection()
+        collection = request_history.LogCollection()
         collection.add('entry-1', [*ENTRY, *more])
         collection.add(
             'entry-2', [line(9, 'configuration in force', version=4)]
         )
-        return collection.build_story(request)
+        return collection.build_history(request)
 
     def test_in_order(self) -> None:
         """Lines are in order, and the first failure is given."""
-        story = self.explain()
-        assert story is not None
-        self.assertEqual('sent', story.lines[0].message)
-        self.assertEqual(4, len(story.lines))
-        assert story.first_failure is not None
-        self.assertEqual('attempt failed', story.first_failure.message)
-        self.assertIn('error=reset', story.first_failure.details)
-        self.assertEqual((), story.gaps)
+        history = self.explain()
+        assert history is not None
+        self.assertEqual('sent', history.lines[0].message)
+        self.assertEqual(4, len(history.lines))
+        assert history.first_failure is not None
+        self.assertEqual('attempt failed', history.first_failure.message)
+        self.assertIn('error=reset', history.first_failure.details)
+        self.assertEqual((), history.gaps)
 
     def test_observations(self) -> None:
         """Observations are the newest of the processes and endpoints involved."""
-        story = self.explain()
-        assert story is not None
+        history = self.explain()
+        assert history is not None
         age_by_observation = {
             (
                 observation.line.message,
                 observation.line.fields['version'],
             ): observation.age
-            for observation in story.observations
+            for observation in history.observations
         }
         self.assertEqual(6, age_by_observation['configuration in force', 5])
         self.assertEqual(8, age_by_observation['engine holds weights', 1])
@@ -83,17 +85,17 @@
             configuration=5,
             last_in=3,
         )
-        story = self.explain(refused, request='q')
-        assert story is not None
-        (observation,) = story.deciding_observations
+        history = self.explain(refused, request='q')
+        assert history is not None
+        (observation,) = history.deciding_observations
         self.assertEqual(5, observation.line.fields['version'])
         self.assertEqual(1, observation.age)
 
     def test_restart(self) -> None:
         """State from before a restart of the process is not reported."""
-        story = self.explain(line(5, 'entry started', node='entry-1'))
-        assert story is not None
-        self.assertEqual((), story.observations)
+        history = self.explain(line(5, 'entry started', node='entry-1'))
+        assert history is not None
+        self.assertEqual((), history.observations)
 
     def test_unknown(self) -> None:
         """A request without log lines has no history."""
@@ -101,16 +103,16 @@
 
     def test_foreign_lines(self) -> None:
         """Truncated lines and lines of other programs are only counted."""
-        collection = stories.LogCollection()
+        collection = request_history.LogCollection()
         collection.add('entry-1', [ENTRY[4][:30], b'hello', b'[1]', b'', b'{}'])
         self.assertEqual(4, collection.unreadable_lines)
-        self.assertIsNone(collection.build_story('r'))
+        self.assertIsNone(collection.build_history('r'))
 
     def test_gaps(self) -> None:
         """Lines that may be missing are reported."""
-        collection = stories.LogCollection()
+        collection = request_history.LogCollection()
         dropped = b'{"level":"WARNING","message":"lines dropped","lines":9}'
         collection.add('entry-1', [ENTRY[4], dropped])
-        story = collection.build_story('r')
-        assert story is not None
-        self.assertEqual(3, len(story.gaps))
+        history = collection.build_history('r')
+        assert history is not None
+        self.assertEqual(3, len(history.gaps))
