--- a/clementinepass/platform/operator.py
+++ b/clementinepass/platform/operator.py
@@ -39,7 +39,7 @@
     name: str
     host: str
     path_prefix: str
-    #: Whether requests may be retried; an unknown kind is never retried.
+    #: How often requests may run; those of an unknown kind run at most once.
     route_kind: str = ''
     timeout_ms: float = 30000
     #: Latency target; an answer within it earns its full value.
@@ -114,7 +114,7 @@
     version: decoding.Positive
 
 
-def read(
+def decode_record(
     record: records.Record,
 ) -> routing.Routing | intake.DesiredVersion | None:
     """Decode an operator's record; ``None`` if its key is not relevant.
@@ -128,8 +128,10 @@
         config = decoding.decode(record.payload, _Config, _STEP, peer)
         return _routing(config)
     if record.key.startswith(_VERSION_PREFIX):
-        desired = decoding.decode(record.payload, _Version, _STEP, peer)
-        return intake.DesiredVersion(desired.model, desired.version)
+        desired_version = decoding.decode(record.payload, _Version, _STEP, peer)
+        return intake.DesiredVersion(
+            desired_version.model, desired_version.version
+        )
     return None
 
 
