--- a/clementinepass/cli/explain_command.py
+++ b/clementinepass/cli/explain_command.py
@@ -78,7 +78,7 @@
     started_at = history.lines[0].at
     output.print_table(
         f'request {request}',
-        ('seconds', 'process', 'event', 'details'),
+        ('seconds', 'process', 'what', 'why'),
         [
             (
                 f'{line.at - started_at:.3f}',
@@ -92,7 +92,7 @@
     _print_cause(history)
     output.print_table(
         'state known when the request arrived',
-        ('process', 'event', 'age in seconds', 'details'),
+        ('process', 'what', 'for seconds', 'of'),
         [
             (
                 observation.line.process,
--- a/tests/settings/test_settings.py
+++ b/tests/settings/test_settings.py
@@ -98,9 +98,9 @@
         deadline of ten minutes.
         """
         for text in (ENTRY, AGENT):
-            daemon = settings.Settings.from_text(text, 'f.ini').daemon
+            checked = settings.Settings.from_text(text, 'f.ini').daemon
             self.assertGreaterEqual(
-                daemon.drain_grace,
+                checked.drain_grace,
                 callers.LONGEST_DEADLINE,
             )
 
