--- a/tests/observability/test_causes.py
+++ b/tests/observability/test_causes.py
@@ -500,12 +500,12 @@
             )
             self.assertNotEqual(Cause.UNKNOWN, self.cause(ended), outcome)
 
-    def test_lines_of_an_earlier_version(self) -> None:
+    def test_line_of_an_earlier_version(self) -> None:
         """A line 'caller left' without evidence proves no cause."""
         left = line(3, 'caller left', request='r', attempts=1, seconds=1.0)
         self.assertEqual(Cause.UNKNOWN, self.cause(SENT, left))
 
-    def test_foreign_values(self) -> None:
+    def test_unexpected_values(self) -> None:
         """Fields of unexpected types and unknown reasons prove no cause."""
         for fields in (
             {'end': 'caller_closed', 'left': 'x', 'waited': 1},
--- a/tests/observability/test_request_history.py
+++ b/tests/observability/test_request_history.py
@@ -97,11 +97,11 @@
         assert history is not None
         self.assertEqual((), history.observations)
 
-    def test_unknown(self) -> None:
+    def test_unknown_request(self) -> None:
         """A request without log lines has no history."""
         self.assertIsNone(self.explain(request='other'))
 
-    def test_foreign_lines(self) -> None:
+    def test_unreadable_lines(self) -> None:
         """Truncated lines and lines of other programs are only counted."""
         collection = request_history.LogCollection()
         collection.add('entry-1', [ENTRY[4][:30], b'hello', b'[1]', b'', b'{}'])
