--- a/tests/direct/test_leaving.py
+++ b/tests/direct/test_leaving.py
@@ -1,4 +1,4 @@
-"""Tests of an entry that was told to end, as its callers see it."""
+"""Tests of a draining entry, as its callers see it."""
 
 from __future__ import annotations
 
@@ -19,292 +19,294 @@
     routing,
 )
 from clementinepass.http import limits
-from tests.direct import path_world
+from tests.direct import path_harness
 
-#: A node whose entry has two seconds from SIGTERM to SIGKILL; routes of these
-#: tests allow ten.
-HURRIED = msgspec.structs.replace(
-    path_world.NODE,
-    duties=msgspec.structs.replace(path_world.DUTIES, grace=2),
+#: An entry with two seconds from SIGTERM to SIGKILL; routes of these tests allow
+#: ten seconds.
+SHORT_GRACE_NODE = msgspec.structs.replace(
+    path_harness.NODE,
+    duties=msgspec.structs.replace(path_harness.DUTIES, grace=2),
 )
-#: The same with five minutes.
-PATIENT = msgspec.structs.replace(
-    path_world.NODE,
-    duties=msgspec.structs.replace(path_world.DUTIES, grace=300),
+#: An entry with five minutes from SIGTERM to SIGKILL.
+LONG_GRACE_NODE = msgspec.structs.replace(
+    path_harness.NODE,
+    duties=msgspec.structs.replace(path_harness.DUTIES, grace=300),
 )
 
 
-class Quiet:
-    """The other entries, of which none is there."""
+class NoPeers:
+    """A gossip stub without other entries."""
 
     def __init__(self) -> None:
         self.phase = members.Phase.READY
-        #: The phases that were told.
-        self.told: list[members.Phase] = []
+        #: The phases that were announced.
+        self.announced_phases: list[members.Phase] = []
 
     def send_heartbeat(self) -> None:
-        """Note what would be told."""
-        self.told.append(self.phase)
+        """Record the announced phase."""
+        self.announced_phases.append(self.phase)
 
 
-async def told_to_end(
-    world: path_world.PathWorld,
-    peers: Quiet | None = None,
+async def send_sigterm(
+    harness: path_harness.PathHarness,
+    peers: NoPeers | None = None,
 ) -> asyncio.Task[None]:
-    """Send SIGTERM; return what ends the entry."""
-    leave = leaving.Drainer(
-        world.front,
-        world.path,
-        typing.cast('typing.Any', peers or Quiet()),
-        world.departure,
+    """Send SIGTERM; return the task that drains the entry."""
+    drainer = leaving.Drainer(
+        harness.front,
+        harness.request_handler,
+        typing.cast('typing.Any', peers or NoPeers()),
+        harness.drain_state,
     )
 
-    async def ended() -> None:
-        await leave.wait_until_drained()
-        await world.front.close()
+    async def drain_and_close() -> None:
+        await drainer.wait_until_drained()
+        await harness.front.close()
 
-    task = asyncio.create_task(ended())
+    task = asyncio.create_task(drain_and_close())
     await asyncio.sleep(0)
     signal.raise_signal(signal.SIGTERM)
-    while world.departure.plan is None:
+    while harness.drain_state.plan is None:
         await asyncio.sleep(0)
     return task
 
 
 class LateRequestTest(testtools.TestCase):
-    """All entries were replaced in turn, and callers' answers broke off.
+    """Requests that arrive at a draining entry.
 
-    Callers reached entries that were leaving: by a list that they had kept, on
-    an open connection, or since each entry named itself when all others left,
-    too. They began to read an answer, and the entry ended before the endpoint
-    did. Cause: an entry took whatever came until its last seconds, and never
-    held the time that a request may take against the time that it had left.
+    When all entries were replaced in turn, answers were cut off. Callers reached
+    draining entries by a cached list, on an open connection, or as each entry
+    listed itself while all others drained, too. The entries accepted requests
+    until their last seconds, without comparing the time that a request may take
+    with the time that they had left.
     """
 
-    def test_stream_that_outlives_the_entry(self) -> None:
-        """A stream that may last longer is refused, and never ran."""
+    def test_stream_that_may_outlast_the_entry(self) -> None:
+        """A stream that may outlast the entry is refused without a run."""
 
-        async def play(world: path_world.PathWorld) -> None:
-            for one in world.endpoints:
-                one.going.clear()
-            ended = await told_to_end(world)
-            fetched = await world.ask('/stream/a')
-            self.assertEqual(503, fetched.status)
-            self.assertEqual([], world.came)
-            await ended
+        async def scenario(harness: path_harness.PathHarness) -> None:
+            for endpoint in harness.endpoints:
+                endpoint.going.clear()
+            drain_task = await send_sigterm(harness)
+            answer = await harness.send('/stream/a')
+            self.assertEqual(503, answer.status)
+            self.assertEqual([], harness.received_requests)
+            await drain_task
 
-        path_world.run(play, own=HURRIED)
+        path_harness.run(scenario, local_node=SHORT_GRACE_NODE)
 
     def test_short_request_is_served(self) -> None:
-        """What ends in time is taken, and told to use the connection no more.
+        """A request that ends in time is served.
 
-        The entry waits for it, though no list names it any more.
+        The entry waits for it even after the last list that names it expired.
         """
 
-        async def play(world: path_world.PathWorld) -> None:
-            ended = await told_to_end(world)
-            for one in world.endpoints:
-                one.going.clear()
-            asked = asyncio.create_task(world.ask('/plain/brief/a'))
-            while not world.came:
+        async def scenario(harness: path_harness.PathHarness) -> None:
+            drain_task = await send_sigterm(harness)
+            for endpoint in harness.endpoints:
+                endpoint.going.clear()
+            pending_answer = asyncio.create_task(harness.send('/plain/brief/a'))
+            while not harness.received_requests:
                 await asyncio.sleep(0)
-            for one in world.endpoints:
-                one.going.set()
-            self.assertEqual(200, (await asked).status)
-            await ended
+            for endpoint in harness.endpoints:
+                endpoint.going.set()
+            self.assertEqual(200, (await pending_answer).status)
+            await drain_task
 
-        path_world.run(play, own=HURRIED)
+        path_harness.run(scenario, local_node=SHORT_GRACE_NODE)
 
-    def test_final_answer_before_the_end(self) -> None:
-        """A request that came before SIGTERM has no answer at the end.
+    def test_final_answer_before_shutdown(self) -> None:
+        """An unanswered request gets its final answer before the shutdown.
 
-        It was cut off, so its caller knew nothing; now it is told that the
-        request may have run.
+        It was cut off, and its caller could not tell whether it had run.
         """
 
-        async def play(world: path_world.PathWorld) -> None:
-            for one in world.endpoints:
-                one.going.clear()
-            asked = asyncio.create_task(world.ask('/plain/a'))
-            while not world.came:
+        async def scenario(harness: path_harness.PathHarness) -> None:
+            for endpoint in harness.endpoints:
+                endpoint.going.clear()
+            pending_answer = asyncio.create_task(harness.send('/plain/a'))
+            while not harness.received_requests:
                 await asyncio.sleep(0)
-            ended = await told_to_end(world)
-            self.assertEqual(504, (await asked).status)
-            await ended
+            drain_task = await send_sigterm(harness)
+            self.assertEqual(504, (await pending_answer).status)
+            await drain_task
 
-        path_world.run(play, own=HURRIED)
+        path_harness.run(scenario, local_node=SHORT_GRACE_NODE)
 
-    def test_ends_early(self) -> None:
-        """An entry with nothing in progress ends long before its last second.
+    def test_idle_entry_ends_early(self) -> None:
+        """An idle entry ends long before its grace period does.
 
-        All entries stayed for nine tenths of the grace, whatever they had to
-        do, so that none was left when they were stopped one after the other.
+        All entries stayed for nine tenths of the grace period, even if idle, so
+        that no entry was ready when they were stopped one after another.
         """
 
-        async def play(world: path_world.PathWorld) -> None:
-            ended = await told_to_end(world)
-            await ended
-            plan = world.departure.plan
+        async def scenario(harness: path_harness.PathHarness) -> None:
+            drain_task = await send_sigterm(harness)
+            await drain_task
+            plan = harness.drain_state.plan
             assert plan is not None
             now = asyncio.get_running_loop().time()
             self.assertLess(now, plan.last_answer_at)
 
-        path_world.run(play, own=PATIENT)
+        path_harness.run(scenario, local_node=LONG_GRACE_NODE)
 
-    def test_held_up_at_the_end(self) -> None:
-        """The process is held up when the time of all that it has is over.
+    def test_process_delayed_at_the_end(self) -> None:
+        """Final answers are sent even if the process is delayed at their time.
 
-        It cut its callers off, as the end came before the answers that were
-        due just before it.
+        The process was delayed until its end, and cut off its callers before
+        it sent the answers that were due just before.
         """
 
-        async def play(world: path_world.PathWorld) -> None:
-            for one in world.endpoints:
-                one.going.clear()
-            asked = asyncio.create_task(world.ask('/plain/a'))
-            while not world.came:
+        async def scenario(harness: path_harness.PathHarness) -> None:
+            for endpoint in harness.endpoints:
+                endpoint.going.clear()
+            pending_answer = asyncio.create_task(harness.send('/plain/a'))
+            while not harness.received_requests:
                 await asyncio.sleep(0)
-            ended = await told_to_end(world)
-            plan = world.departure.plan
+            drain_task = await send_sigterm(harness)
+            plan = harness.drain_state.plan
             assert plan is not None
             loop = asyncio.get_running_loop()
             loop.call_at(plan.last_answer_at - 0.05, time.sleep, 0.6)
-            self.assertEqual(504, (await asked).status)
-            await ended
+            self.assertEqual(504, (await pending_answer).status)
+            await drain_task
 
-        path_world.run(play, own=HURRIED)
+        path_harness.run(scenario, local_node=SHORT_GRACE_NODE)
 
-    def test_pipelined_behind_a_slow_one(self) -> None:
-        """Two requests came on one connection before SIGTERM.
+    def test_pipelined_request(self) -> None:
+        """A pipelined request is answered before the connection closes.
 
-        The first answer told the caller to use the connection no more, and the
-        connection ended with the second request read and never answered: each
-        answer of an entry that leaves was taken for the last, whatever waited
-        behind it.
+        The first answer of a draining entry closed the connection, though a
+        second request had been read before SIGTERM.
         """
 
-        async def play(world: path_world.PathWorld) -> None:
-            for one in world.endpoints:
-                one.going.clear()
+        async def scenario(harness: path_harness.PathHarness) -> None:
+            for endpoint in harness.endpoints:
+                endpoint.going.clear()
             reader, writer = await asyncio.open_connection(
-                path_world.HOST,
-                world.port,
+                path_harness.HOST,
+                harness.port,
             )
             writer.write(
-                path_world.request('/plain/brief/a')
-                + path_world.request('/plain/brief/b', X_Attempt_Id='r-2'),
+                path_harness.request('/plain/brief/a')
+                + path_harness.request('/plain/brief/b', X_Attempt_Id='r-2'),
             )
-            while not world.came:
+            while not harness.received_requests:
                 await asyncio.sleep(0)
-            ended = await told_to_end(world)
-            for one in world.endpoints:
-                one.going.set()
+            drain_task = await send_sigterm(harness)
+            for endpoint in harness.endpoints:
+                endpoint.going.set()
             answers = await reader.read()
             writer.close()
             self.assertEqual(2, answers.count(b'HTTP/1.1 '))
             self.assertEqual(1, answers.count(b'Connection: close'))
-            await ended
+            await drain_task
 
-        path_world.run(play, own=HURRIED)
+        path_harness.run(scenario, local_node=SHORT_GRACE_NODE)
 
 
-class TellingTest(testtools.TestCase):
-    """What others and callers are told by an entry that leaves."""
+class DrainAnnouncementTest(testtools.TestCase):
+    """What a draining entry announces to other entries and to callers."""
 
-    def test_others_and_callers(self) -> None:
-        """Others hear of it at once, and each answer ends its connection."""
+    def test_peers_and_callers(self) -> None:
+        """The drain is announced at once, and each answer closes its connection."""
 
-        async def play(world: path_world.PathWorld) -> None:
-            peers = Quiet()
-            ended = await told_to_end(world, peers)
-            self.assertEqual([members.Phase.DRAINING], peers.told)
-            fetched = await world.ask('/plain/brief/a')
-            self.assertEqual(b'close', fetched.headers.get(b'connection'))
-            await ended
+        async def scenario(harness: path_harness.PathHarness) -> None:
+            peers = NoPeers()
+            drain_task = await send_sigterm(harness, peers)
+            self.assertEqual([members.Phase.DRAINING], peers.announced_phases)
+            answer = await harness.send('/plain/brief/a')
+            self.assertEqual(b'close', answer.headers.get(b'connection'))
+            await drain_task
             self.assertRaises(
                 OSError,
                 socket.create_connection,
-                (path_world.HOST, world.port),
+                (path_harness.HOST, harness.port),
                 1,
             )
 
-        path_world.run(play, own=HURRIED)
+        path_harness.run(scenario, local_node=SHORT_GRACE_NODE)
 
-    def test_when_to_come_back(self) -> None:
-        """At once where another is ready; later where none is."""
+    def test_retry_after(self) -> None:
+        """The retry delay is shorter if another entry is ready."""
 
-        async def play(world: path_world.PathWorld) -> None:
-            ended = await told_to_end(world)
-            alone = await world.ask('/stream/a')
-            world.others_ready = 1
-            beside = await world.ask('/stream/a')
+        async def scenario(harness: path_harness.PathHarness) -> None:
+            drain_task = await send_sigterm(harness)
+            alone = await harness.send('/stream/a')
+            harness.ready_peers = 1
+            beside = await harness.send('/stream/a')
             waits = [
-                float(one.headers.get(b'retry-after') or b'-1')
-                for one in (beside, alone)
+                float(answer.headers.get(b'retry-after') or b'-1')
+                for answer in (beside, alone)
             ]
             self.assertEqual(sorted(waits), waits)
             self.assertLess(waits[0], waits[1])
-            self.assertEqual((0, 2), self.counts(world))
-            await ended
-
-        path_world.run(play, own=HURRIED)
-
-    def counts(self, world: path_world.PathWorld) -> tuple[int, int]:
-        """Return the requests taken and refused since SIGTERM."""
-        return world.departure.accepted_count, world.departure.refused_count
+            self.assertEqual((0, 2), self.request_counts(harness))
+            await drain_task
+
+        path_harness.run(scenario, local_node=SHORT_GRACE_NODE)
+
+    def request_counts(
+        self, harness: path_harness.PathHarness
+    ) -> tuple[int, int]:
+        """Return the requests accepted and refused since SIGTERM."""
+        return (
+            harness.drain_state.accepted_count,
+            harness.drain_state.refused_count,
+        )
 
-    def test_answered_before_it(self) -> None:
-        """A request that was answered before SIGTERM ends nothing again."""
+    def test_answered_before_sigterm(self) -> None:
+        """A request that was answered before SIGTERM does not disturb the drain."""
 
-        async def play(world: path_world.PathWorld) -> None:
-            self.assertEqual(200, (await world.ask('/plain/a')).status)
-            await (await told_to_end(world))
+        async def scenario(harness: path_harness.PathHarness) -> None:
+            self.assertEqual(200, (await harness.send('/plain/a')).status)
+            await (await send_sigterm(harness))
 
-        path_world.run(play, own=HURRIED)
+        path_harness.run(scenario, local_node=SHORT_GRACE_NODE)
 
 
-class ListsTest(testtools.TestCase):
-    """For how long callers keep a list, and what that means for the end."""
+class ListTtlTest(testtools.TestCase):
+    """How long callers may keep a list, and the effect on the drain."""
 
     def setUp(self) -> None:
-        """Know nothing yet."""
+        """Create an empty cluster state and a drain state."""
         super().setUp()
-        self.known = cluster_state.ClusterState(path_world.NODE)
-        self.state = departure.DrainState(path_world.NODE, self.known)
+        self.cluster = cluster_state.ClusterState(path_harness.NODE)
+        self.drain_state = departure.DrainState(path_harness.NODE, self.cluster)
 
     def configure(self, version: int, timeout: float) -> None:
         """Put a configuration with one route in force."""
-        self.known.apply_configuration(
+        self.cluster.apply_configuration(
             routing.Routing(
                 version,
-                [path_world.route('s', timeout=timeout)],
+                [path_harness.route('s', timeout=timeout)],
                 [],
                 {},
                 limits.Bounds(),
             ),
         )
 
-    def test_by_the_routes(self) -> None:
-        """Long requests make short lists."""
+    def test_ttl_by_route_timeouts(self) -> None:
+        """Longer route timeouts make the lists expire sooner."""
         self.configure(1, 6)
-        short = self.state.list_max_age(0)
+        short = self.drain_state.list_ttl_seconds(0)
         self.configure(2, 1)
-        self.assertLess(short, self.state.list_max_age(0))
+        self.assertLess(short, self.drain_state.list_ttl_seconds(0))
 
-    def test_lists_told_before(self) -> None:
-        """An entry told callers long lists, and ended early.
+    def test_lists_sent_before(self) -> None:
+        """The drain outlasts lists that were sent under older routes.
 
-        By its newest routes lists are short, and by these alone it reckoned
-        when nobody names it any more.
+        An entry ended too early: it computed the expiry of lists by its newest
+        routes alone, though it had sent longer-lived lists before.
         """
         self.configure(1, 1)
-        told = self.state.list_max_age(100)
+        ttl_seconds = self.drain_state.list_ttl_seconds(100)
         self.configure(2, 6)
-        plan = self.state.start(100)
-        self.assertGreaterEqual(plan.lists_expire_at, 100 + 3 * told)
+        plan = self.drain_state.start(100)
+        self.assertGreaterEqual(plan.lists_expire_at, 100 + 3 * ttl_seconds)
 
-    def test_before_the_first_configuration(self) -> None:
-        """Any request may be long while no route is known."""
-        unknown = self.state.list_max_age(0)
+    def test_without_configuration(self) -> None:
+        """Before a configuration is known, lists expire as for long requests."""
+        unknown = self.drain_state.list_ttl_seconds(0)
         self.configure(1, 6)
-        self.assertLessEqual(unknown, self.state.list_max_age(0))
+        self.assertLessEqual(unknown, self.drain_state.list_ttl_seconds(0))
--- a/tests/observability/test_causes_mixed.py
+++ b/tests/observability/test_causes_mixed.py
@@ -16,12 +16,12 @@
 from clementinepass.http import channel
 from clementinepass.observability import causes, request_history
 from standins import direct_endpoint
-from tests.direct import path_world
+from tests.direct import path_harness
 from tests.observability import test_causes
 
 Cause = causes.Cause
 Fault = direct_endpoint.Fault
-HOST = path_world.HOST
+HOST = path_harness.HOST
 SEED = 5
 REQUESTS = 240
 SAMPLE_SIZE = 50
@@ -82,7 +82,7 @@
         loop = asyncio.get_running_loop()
         started_at = loop.time()
         caller_channel.send(
-            path_world.request(
+            path_harness.request(
                 self.target,
                 X_Attempt_Id=self.id,
                 X_Api_Key=self.key,
@@ -164,13 +164,13 @@
         self.faults_met: list[tuple[str, Fault]] = []
         self.cut_request_ids: set[str] = set()
 
-    async def play(self, world: path_world.PathWorld) -> None:
+    async def play(self, world: path_harness.PathHarness) -> None:
         """Run all callers; a key is withdrawn, and finally the entry exits."""
         faults = {caller.id: list(caller.faults) for caller in self.callers}
         for endpoint in world.endpoints:
             endpoint.faults_by_request = faults
             endpoint.met = self.faults_met
-        routes = path_world.ROUTES
+        routes = path_harness.ROUTES
         world.configure(2, routes, keys=(b'key', b'second'))
         first = Caller(-1, random.Random(0))
         first.target, first.arrives_at, first.leaves_after = '/plain/a', 0, None
