--- a/clementinepass/cli/config_commands.py
+++ b/clementinepass/cli/config_commands.py
@@ -112,7 +112,7 @@
         state = _publisher(log).current()
     wanted = changes.Changes.between(state, sections, ())
     in_force = state.values_by_section()
-    shown = Differences(
+    summary = Differences(
         state.revision,
         tuple(_differences(in_force, wanted.set_by_section)),
         tuple(
@@ -122,17 +122,17 @@
         ),
     )
     if json:
-        output.print_json(shown)
+        output.print_json(summary)
         return
     output.print_table(
-        f'against revision {shown.revision}',
+        f'against revision {summary.revision}',
         ('section', 'key', 'in force', 'folder'),
         (
             msgspec.structs.astuple(difference)
-            for difference in shown.differences
+            for difference in summary.differences
         ),
     )
-    for name in shown.only_in_force:
+    for name in summary.only_in_force:
         output.screen.print(f'only in force: {name}', markup=False)
 
 
@@ -202,24 +202,24 @@
     """
     with exits.report_errors():
         state = _publisher(log).current()
-    shown = [
+    shown_sections = [
         SectionInForce(name, found.revision, found.values)
         for name, found in sorted(state.sections_by_name.items())
         if section in {'', name} and schema.kind_of(name) != schema.KEY_OWNER
     ]
     if json:
-        output.print_json(shown)
+        output.print_json(shown_sections)
     else:
         output.print_table(
             f'in force at revision {state.revision}',
             ('section', 'revision', 'key', 'value'),
             (
                 (section_in_force.section, section_in_force.revision, key, text)
-                for section_in_force in shown
+                for section_in_force in shown_sections
                 for key, text in (section_in_force.values or {'': ''}).items()
             ),
         )
-    if section and not shown:
+    if section and not shown_sections:
         sys.stderr.write(f'[{section}] is not in force\n')
         sys.exit(exits.REJECTED)
 
--- a/clementinepass/ini/values.py
+++ b/clementinepass/ini/values.py
@@ -25,7 +25,9 @@
     'MiB': 1024**2,
     'GiB': 1024**3,
 }
-_RATE_BY_UNIT = {f'{unit}/s': factor for unit, factor in _BYTES_BY_UNIT.items()}
+_BYTES_PER_SECOND_BY_UNIT = {
+    f'{unit}/s': factor for unit, factor in _BYTES_BY_UNIT.items()
+}
 _BOOLEAN_BY_WORD = {
     'yes': True,
     'true': True,
@@ -87,7 +89,7 @@
     )
 
 
-def _number_with_units(
+def _build_number_parser(
     units: dict[str, float],
 ) -> typing.Callable[[str], float]:
     def parse(text: str) -> float:
@@ -99,10 +101,10 @@
     return parse
 
 
-def _integer_with_units(
+def _build_integer_parser(
     units: dict[str, int],
 ) -> typing.Callable[[str], int]:
-    parse_number = _number_with_units({**units})
+    parse_number = _build_number_parser({**units})
 
     def parse(text: str) -> int:
         return round(parse_number(text))
@@ -110,7 +112,9 @@
     return parse
 
 
-def _match_parser(pattern: re.Pattern[str]) -> typing.Callable[[str], str]:
+def _build_pattern_parser(
+    pattern: re.Pattern[str],
+) -> typing.Callable[[str], str]:
     def parse(text: str) -> str:
         if pattern.fullmatch(text) is None:
             raise ValueError('does not match')
@@ -136,7 +140,7 @@
 
 
 def _parse_count(text: str) -> int:
-    return int(_match_parser(_COUNT)(text))
+    return int(_build_pattern_parser(_COUNT)(text))
 
 
 def _parse_positive(text: str) -> int:
@@ -147,7 +151,7 @@
 
 
 def _parse_percentage(text: str) -> float:
-    fraction = _number_with_units({'%': 1 / _PERCENT})(text)
+    fraction = _build_number_parser({'%': 1 / _PERCENT})(text)
     if not 0 < fraction <= 1:
         raise ValueError('outside 0% to 100%')
     return fraction
@@ -155,12 +159,14 @@
 
 #: A time in seconds, written ``250ms``, ``4s``, ``2min`` or ``1h``.
 DURATION = ValueType(
-    'a duration', '250ms', _number_with_units(_SECONDS_BY_UNIT)
+    'a duration', '250ms', _build_number_parser(_SECONDS_BY_UNIT)
 )
 #: A size in bytes, written ``64MB`` or ``64MiB``.
-SIZE = ValueType('a size', '64MB', _integer_with_units(_BYTES_BY_UNIT))
+SIZE = ValueType('a size', '64MB', _build_integer_parser(_BYTES_BY_UNIT))
 #: A rate in bytes a second, written ``100MB/s``.
-RATE = ValueType('a rate', '100MB/s', _integer_with_units(_RATE_BY_UNIT))
+RATE = ValueType(
+    'a rate', '100MB/s', _build_integer_parser(_BYTES_PER_SECOND_BY_UNIT)
+)
 #: A share above 0 and up to 1, written ``25%``.
 PERCENTAGE = ValueType('a percentage', '25%', _parse_percentage)
 #: A whole number from 0.
@@ -172,10 +178,10 @@
 #: An IP address and a port.
 ADDRESS = ValueType('an IP address and port', '127.0.0.1:7000', parse_address)
 #: A name of letters, digits, dots, dashes and underscores.
-NAME = ValueType('a name', 'kigali-1', _match_parser(_NAME))
+NAME = ValueType('a name', 'kigali-1', _build_pattern_parser(_NAME))
 #: A SHA-256 digest in lower-case hexadecimal.
 SHA256 = ValueType(
     'a SHA-256 in 64 lower-case hexadecimal digits',
     '9f86d081...',
-    _match_parser(_SHA256),
+    _build_pattern_parser(_SHA256),
 )
