--- a/tests/observability/test_causes.py
+++ b/tests/observability/test_causes.py
@@ -25,10 +25,10 @@
     pool,
     replies,
 )
-from clementinepass.observability import causes, stories
+from clementinepass.observability import causes, request_history
 from standins import direct_endpoint
 from tests.direct import path_harness
-from tests.observability import test_stories
+from tests.observability import test_request_history
 
 Cause = causes.Cause
 Fault = direct_endpoint.Fault
@@ -418,13 +418,15 @@
     return payload
 
 
-def explain_request(lines: list[bytes], request: str = 'r-1') -> stories.Story:
+def explain_request(
+    lines: list[bytes], request: str = 'r-1'
+) -> request_history.RequestHistory:
     """Return the history of a request from log lines."""
-    collection = stories.LogCollection()
+    collection = request_history.LogCollection()
     collection.add('entry-1', lines)
-    story = collection.build_story(request)
-    assert story is not None
-    return story
+    history = collection.build_history(request)
+    assert history is not None
+    return history
 
 
 class MatrixTest(testtools.TestCase):
@@ -451,7 +453,7 @@
         self.assertEqual(set(Cause), set(causes.SENTENCE_BY_CAUSE))
 
 
-line = test_stories.line
+line = test_request_history.line
 SENT = line(2, 'sent', request='r', attempt=2, endpoint='i-1')
 
 
@@ -500,12 +502,12 @@
             )
             self.assertNotEqual(Cause.UNKNOWN, self.cause(ended), outcome)
 
-    def test_lines_of_an_earlier_version(self) -> None:
+    def test_line_of_an_earlier_version(self) -> None:
         """A line 'caller left' without evidence proves no cause."""
         left = line(3, 'caller left', request='r', attempts=1, seconds=1.0)
         self.assertEqual(Cause.UNKNOWN, self.cause(SENT, left))
 
-    def test_foreign_values(self) -> None:
+    def test_unexpected_values(self) -> None:
         """Fields of unexpected types and unknown reasons prove no cause."""
         for fields in (
             {'end': 'caller_closed', 'left': 'x', 'waited': 1},
@@ -573,12 +575,12 @@
                 line(1, 'agent started', engine=engine),
                 line(second, 'ordered to load', answer='accepted'),
             ]
-            collection = stories.LogCollection()
+            collection = request_history.LogCollection()
             collection.add('entry-1', [SENT, failed, ended])
             collection.add('agent-1', agent)
-            story = collection.build_story('r')
-            assert story is not None
-            self.assertEqual(cause, story.verdict.cause)
+            history = collection.build_history('r')
+            assert history is not None
+            self.assertEqual(cause, history.verdict.cause)
 
 
 class EndTest(testtools.TestCase):
