--- a/clementinepass/agent/health.py
+++ b/clementinepass/agent/health.py
@@ -37,8 +37,8 @@
 
     def check(self) -> bool:
         """Ask the endpoint whether it answers; blocks."""
-        healthy = self._endpoint.healthy()
-        self._note(gone=not healthy and self._endpoint.gone())
+        healthy = self._endpoint.is_healthy()
+        self._note(gone=not healthy and self._endpoint.is_gone())
         return healthy
 
     def crash_of(self, failure: errors.EndpointError) -> str:
@@ -53,10 +53,10 @@
         marked as alive.
         """
         for _ in range(_LOOKS):
-            if self._endpoint.gone():
+            if self._endpoint.is_gone():
                 self._note(gone=True)
                 return self._name()
-            if self._endpoint.healthy():
+            if self._endpoint.is_healthy():
                 return ''
             # A process that is ending still has its listening socket for a
             # moment: connections are taken and reset. Taken for a failed
--- a/clementinepass/endpoints/answers.py
+++ b/clementinepass/endpoints/answers.py
@@ -21,10 +21,10 @@
 
     from clementinepass import clock
 
-_DONE = re.compile(rb'data: ?\[DONE\]')
+_END_MARK = re.compile(rb'data: ?\[DONE\]')
 _EVENT_END = re.compile(rb'\r?\n\r?\n')
 #: The longest event that is accepted, in bytes.
-_LONGEST_EVENT = 1024 * 1024
+_MAX_EVENT_BYTES = 1024 * 1024
 
 
 class BodyFaultError(Exception):
@@ -40,7 +40,7 @@
         :raises BodyFaultError: the body contradicts the protocol.
         """
 
-    def complete(self) -> bool:
+    def is_complete(self) -> bool:
         """Tell whether the end mark has been read."""
 
     def finish(self) -> None:
@@ -51,10 +51,10 @@
 
 
 #: Chooses by an answer's head what cuts its body into parts.
-ReaderFor = typing.Callable[[protocols.AnswerHead], BodyReader]
+ReaderFactory = typing.Callable[[protocols.AnswerHead], BodyReader]
 
 
-class WholeReader:
+class PlainBodyReader:
     """Hand a body on as it arrives; its length is its end mark.
 
     :param limit: the longest body that is accepted, in bytes.
@@ -76,7 +76,7 @@
             raise BodyFaultError(f'answer over {self._limit} bytes')
         return piece
 
-    def complete(self) -> bool:
+    def is_complete(self) -> bool:
         """Tell that only the length or the last chunk ends the body."""
         return False
 
@@ -90,10 +90,10 @@
     :param limit: the longest body that is accepted, in bytes.
     """
 
-    __slots__ = ('_complete', '_partial', '_whole')
+    __slots__ = ('_complete', '_partial', '_plain_reader')
 
     def __init__(self, limit: int) -> None:
-        self._whole = WholeReader(limit)
+        self._plain_reader = PlainBodyReader(limit)
         self._partial = b''
         self._complete = False
 
@@ -102,20 +102,20 @@
 
         :raises BodyFaultError: an event is too long, or follows the end mark.
         """
-        pending = self._partial + self._whole.feed(piece)
+        pending = self._partial + self._plain_reader.feed(piece)
         ready_size = 0
         for end in _EVENT_END.finditer(pending):
             if self._complete:
                 raise BodyFaultError('an event follows the end mark')
             event = pending[ready_size : end.start()]
-            self._complete = _DONE.fullmatch(event) is not None
+            self._complete = _END_MARK.fullmatch(event) is not None
             ready_size = end.end()
         self._partial = pending[ready_size:]
-        if len(self._partial) > _LONGEST_EVENT:
-            raise BodyFaultError(f'event over {_LONGEST_EVENT} bytes')
+        if len(self._partial) > _MAX_EVENT_BYTES:
+            raise BodyFaultError(f'event over {_MAX_EVENT_BYTES} bytes')
         return pending[:ready_size]
 
-    def complete(self) -> bool:
+    def is_complete(self) -> bool:
         """Tell whether the end mark has been read."""
         return self._complete
 
@@ -129,47 +129,47 @@
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
-class Expiry:
+class AnswerDeadline:
     """The moment by which an answer must be whole."""
 
     timer: clock.Clock
     deadline: float
 
-    def passed(self) -> bool:
+    def has_passed(self) -> bool:
         """Tell whether the moment has passed."""
         return self.timer.now() > self.deadline
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
-class WholeReply:
+class Reply:
     """Status and body of an answer that was read whole."""
 
     status: int
     body: bytes
 
 
-class Line:
+class AnswerConnection:
     """A connection that carries one answer, and nothing else.
 
     :param connection: the connection.
-    :param carrier: its socket, which the connection lets go of once an
+    :param sock: its socket, which the connection lets go of once an
         answer's head says that the connection ends with the answer.
     """
 
-    __slots__ = ('_carrier', '_connection')
+    __slots__ = ('_sock', '_connection')
 
     def __init__(
         self,
         connection: urllib3.connection.HTTPConnection,
-        carrier: socket.socket,
+        sock: socket.socket,
     ) -> None:
         self._connection = connection
-        self._carrier = carrier
+        self._sock = sock
 
     def shutdown(self) -> None:
         """Let both ends see an end of the connection."""
         with contextlib.suppress(OSError):
-            self._carrier.shutdown(socket.SHUT_RDWR)
+            self._sock.shutdown(socket.SHUT_RDWR)
 
     def close(self) -> None:
         """Free the connection."""
@@ -180,14 +180,14 @@
     """An answer under way over HTTP.
 
     :param response: the answer, with its body still to be read.
-    :param reader_for: chooses what cuts the body into parts.
+    :param reader_factory: chooses what cuts the body into parts.
     :param line: what it comes over.
     """
 
     __slots__ = (
         '_expiry',
-        '_given_up',
-        '_line',
+        '_aborted',
+        '_connection',
         '_lock',
         '_peer',
         '_reader',
@@ -199,11 +199,11 @@
     def __init__(
         self,
         response: urllib3.BaseHTTPResponse,
-        line: Line,
+        line: AnswerConnection,
         *,
         peer: str,
-        reader_for: ReaderFor,
-        expiry: Expiry,
+        reader_factory: ReaderFactory,
+        expiry: AnswerDeadline,
         step: str,
     ) -> None:
         #: Status and type.
@@ -213,11 +213,11 @@
         )
         self._response = response
         self._peer = peer
-        self._reader = reader_for(self.head)
+        self._reader = reader_factory(self.head)
         self._expiry = expiry
         self._step = step
-        self._line = line
-        self._given_up = False
+        self._connection = line
+        self._aborted = False
         self._lock = threading.Lock()
 
     def parts(self) -> Iterator[bytes]:
@@ -231,7 +231,7 @@
         try:
             yield from self._parts()
         except (BodyFaultError, urllib3.exceptions.HTTPError) as error:
-            raise self._failed(str(error)) from error
+            raise self._endpoint_error(str(error)) from error
         finally:
             self._close()
 
@@ -240,16 +240,16 @@
 
         A reader that is blocked wakes up with an error.
         """
-        self._given_up = True
+        self._aborted = True
         # Closing a socket does not wake a thread that reads from it;
         # shutting it down does, and only then is it safe to close it.
-        self._line.shutdown()
+        self._connection.shutdown()
         with self._lock:
             self._close()
 
     def _close(self) -> None:
         self._response.close()
-        self._line.close()
+        self._connection.close()
 
     def _parts(self) -> Iterator[bytes]:
         pieces = http_bodies.iter_body(self._response)
@@ -257,24 +257,24 @@
             part = self._reader.feed(piece)
             if part:
                 yield part
-            if self._reader.complete():
+            if self._reader.is_complete():
                 # Nothing may follow but the last chunk; an endpoint that is
                 # slow to send it must not hold up the end of the answer.
                 return
-            if self._expiry.passed():
+            if self._expiry.has_passed():
                 raise BodyFaultError('answer took too long')
         self._reader.finish()
 
     def _next_piece(self, pieces: Iterator[bytes]) -> bytes:
         """Return the next piece of the body, or nothing at its end."""
         with self._lock:
-            if self._given_up:
+            if self._aborted:
                 raise BodyFaultError('answer was given up')
             return next(pieces, b'')
 
-    def _failed(self, detail: str) -> errors.EndpointError:
+    def _endpoint_error(self, detail: str) -> errors.EndpointError:
         return errors.EndpointError(
-            'answer was given up' if self._given_up else detail,
+            'answer was given up' if self._aborted else detail,
             step=self._step,
             peer=self._peer,
             execution=errors.Execution.MAY_HAVE_RUN,
--- a/clementinepass/endpoints/engine.py
+++ b/clementinepass/endpoints/engine.py
@@ -16,7 +16,7 @@
 
 _OK = 200
 _CONFLICT = 409
-_EVENTS = 'text/event-stream'
+_EVENT_STREAM_TYPE = 'text/event-stream'
 
 
 class StatusAnswer(msgspec.Struct, frozen=True, forbid_unknown_fields=True):
@@ -51,11 +51,11 @@
         :raises EndpointError: with ``execution`` set to not run only where
             the connection was refused before anything was sent.
         """
-        answer = self._transport.call(call, self._reader_for)
+        answer = self._transport.call(call, self._select_reader)
         if call.stream and answer.head.status == _OK:
             if not _is_stream(answer.head):
                 answer.close()
-                raise self._failed('answered no stream', 'call')
+                raise self._endpoint_error('answered no stream', 'call')
         return answer
 
     def cancel(self, request_id: str) -> None:
@@ -68,7 +68,7 @@
         with contextlib.suppress(errors.EndpointError):
             self._transport.fetch(exchange)
 
-    def healthy(self) -> bool:
+    def is_healthy(self) -> bool:
         """Tell whether the engine answers at all."""
         try:
             self.status()
@@ -76,7 +76,7 @@
             return False
         return True
 
-    def gone(self) -> bool:
+    def is_gone(self) -> bool:
         """Tell whether nobody listens there any more."""
         try:
             self.status()
@@ -92,11 +92,11 @@
         exchange = transport.Exchange('GET', '/v1/status', step='status')
         reply = self._transport.fetch(exchange)
         if reply.status != _OK:
-            raise self._failed(f'answered {reply.status}', 'status')
+            raise self._endpoint_error(f'answered {reply.status}', 'status')
         try:
             answer = msgspec.json.decode(reply.body, type=StatusAnswer)
         except (msgspec.MsgspecError, ValueError, RecursionError) as error:
-            raise self._failed(str(error), 'status') from error
+            raise self._endpoint_error(str(error), 'status') from error
         return msgspec.convert(
             answer,
             protocols.EngineStatus,
@@ -145,13 +145,13 @@
                 peer=self._transport.peer,
             )
         if reply.status != _OK:
-            raise self._failed(f'answered {reply.status}', 'load')
+            raise self._endpoint_error(f'answered {reply.status}', 'load')
 
-    def _reader_for(self, head: protocols.AnswerHead) -> answers.BodyReader:
+    def _select_reader(self, head: protocols.AnswerHead) -> answers.BodyReader:
         """Choose by its type how a body is read; refusals are no streams."""
         if _is_stream(head):
             return answers.EventReader(self._transport.limits.answer_bytes)
-        return self._transport.whole_reader(head)
+        return self._transport.plain_body_reader(head)
 
     def _sized(self, parts: Iterable[bytes], size: int) -> Iterator[bytes]:
         """Yield parts, and fail where they are longer or shorter than told.
@@ -163,19 +163,19 @@
         for part in parts:
             remaining -= len(part)
             if remaining < 0:
-                raise self._wrong_size(size)
+                raise self._size_error(size)
             yield part
         if remaining:
-            raise self._wrong_size(size)
+            raise self._size_error(size)
 
-    def _wrong_size(self, size: int) -> errors.ManifestError:
+    def _size_error(self, size: int) -> errors.ManifestError:
         return errors.ManifestError(
             f'the weights are not {size} bytes long',
             step='load',
             peer=self._transport.peer,
         )
 
-    def _failed(self, detail: str, step: str) -> errors.EndpointError:
+    def _endpoint_error(self, detail: str, step: str) -> errors.EndpointError:
         return errors.EndpointError(
             detail,
             step=step,
@@ -185,4 +185,4 @@
 
 
 def _is_stream(head: protocols.AnswerHead) -> bool:
-    return head.content_type.startswith(_EVENTS)
+    return head.content_type.startswith(_EVENT_STREAM_TYPE)
--- a/clementinepass/endpoints/protocols.py
+++ b/clementinepass/endpoints/protocols.py
@@ -74,10 +74,10 @@
     def cancel(self, request_id: str) -> None:
         """Ask the endpoint to stop a request; unknown ones are ignored."""
 
-    def healthy(self) -> bool:
+    def is_healthy(self) -> bool:
         """Tell whether the endpoint answers at all."""
 
-    def gone(self) -> bool:
+    def is_gone(self) -> bool:
         """Tell whether nobody listens there any more.
 
         A slow or frozen endpoint is not gone: it is neither dead, nor did a
--- a/clementinepass/endpoints/service.py
+++ b/clementinepass/endpoints/service.py
@@ -33,12 +33,12 @@
         :raises EndpointError: with ``execution`` set to not run only where
             the connection was refused before anything was sent.
         """
-        return self._transport.call(call, self._transport.whole_reader)
+        return self._transport.call(call, self._transport.plain_body_reader)
 
     def cancel(self, request_id: str) -> None:
         """Leave the request alone: plain services have no such order."""
 
-    def healthy(self) -> bool:
+    def is_healthy(self) -> bool:
         """Tell whether the service answers at all."""
         exchange = transport.Exchange('GET', self._health_path, step='health')
         try:
@@ -47,7 +47,7 @@
             return False
         return reply.status < _SERVER_ERROR
 
-    def gone(self) -> bool:
+    def is_gone(self) -> bool:
         """Tell whether nobody listens there any more."""
         exchange = transport.Exchange('GET', self._health_path, step='health')
         try:
--- a/clementinepass/endpoints/transport.py
+++ b/clementinepass/endpoints/transport.py
@@ -22,7 +22,7 @@
 #: What a path may hold besides letters and digits; it is already quoted.
 _SAFE_IN_PATH = "%/?:@!$&'()*+,;=~"
 #: How a connection is lost, or an answer garbled, after it came to stand.
-_LOST = (
+_CONNECTION_ERRORS = (
     urllib3.exceptions.HTTPError,
     http.client.HTTPException,
     OSError,
@@ -87,13 +87,13 @@
     def call(
         self,
         call: protocols.Call,
-        reader_for: answers.ReaderFor,
+        reader_factory: answers.ReaderFactory,
     ) -> answers.HttpAnswer:
         """Send a request and return its answer once the head is there.
 
-        :param reader_for: chooses what cuts the body into parts.
+        :param reader_factory: chooses what cuts the body into parts.
         """
-        self._check(call)
+        self._validate(call)
         deadline = self._clock.now() + call.timeout
         exchange = Exchange(
             method=call.method,
@@ -105,34 +105,36 @@
                 'X-Priority': str(call.priority),
             },
             body=call.body,
-            read_timeout=self._silence(call),
+            read_timeout=self._silence_timeout(call),
         )
-        return self._begin(
+        return self._send(
             exchange,
-            reader_for,
-            answers.Expiry(self._clock, deadline),
+            reader_factory,
+            answers.AnswerDeadline(self._clock, deadline),
         )
 
-    def fetch(self, exchange: Exchange) -> answers.WholeReply:
+    def fetch(self, exchange: Exchange) -> answers.Reply:
         """Send a request and return its whole answer."""
         timeout = exchange.read_timeout or self.limits.control_timeout
-        answer = self._begin(
+        answer = self._send(
             exchange,
-            self.whole_reader,
-            answers.Expiry(self._clock, self._clock.now() + timeout),
+            self.plain_body_reader,
+            answers.AnswerDeadline(self._clock, self._clock.now() + timeout),
         )
         content = b''.join(answer.parts())
-        return answers.WholeReply(answer.head.status, content)
+        return answers.Reply(answer.head.status, content)
 
-    def whole_reader(self, head: protocols.AnswerHead) -> answers.BodyReader:
+    def plain_body_reader(
+        self, head: protocols.AnswerHead
+    ) -> answers.BodyReader:
         """Return what reads a body that ends with its length."""
-        return answers.WholeReader(self.limits.answer_bytes)
+        return answers.PlainBodyReader(self.limits.answer_bytes)
 
-    def _begin(
+    def _send(
         self,
         exchange: Exchange,
-        reader_for: answers.ReaderFor,
-        expiry: answers.Expiry,
+        reader_factory: answers.ReaderFactory,
+        expiry: answers.AnswerDeadline,
     ) -> answers.HttpAnswer:
         """Send a request on a connection of its own.
 
@@ -146,26 +148,26 @@
             connection came to stand.
         """
         connection = self._connect(exchange)
-        kept_socket = connection.sock
+        sock = connection.sock
         try:
-            response = self._ask(connection, exchange)
-        except _LOST as error:
+            response = self._request_head(connection, exchange)
+        except _CONNECTION_ERRORS as error:
             # The request may have left, in part or whole, before the
             # connection was lost or fell silent.
             connection.close()
-            raise self._may_have_run(str(error), exchange) from error
+            raise self._may_have_run_error(str(error), exchange) from error
         except BaseException:
             connection.close()
             raise
         if not http_bodies.has_detectable_end(response):
             response.close()
             connection.close()
-            raise self._may_have_run('answer has no end mark', exchange)
+            raise self._may_have_run_error('answer has no end mark', exchange)
         return answers.HttpAnswer(
             response,
-            answers.Line(connection, kept_socket),
+            answers.AnswerConnection(connection, sock),
             peer=self.peer,
-            reader_for=reader_for,
+            reader_factory=reader_factory,
             expiry=expiry,
             step=exchange.step,
         )
@@ -191,14 +193,14 @@
                 peer=self.peer,
                 execution=errors.Execution.NOT_RUN,
             ) from error
-        silence = exchange.read_timeout or self.limits.control_timeout
-        connection.timeout = silence
+        silence_timeout = exchange.read_timeout or self.limits.control_timeout
+        connection.timeout = silence_timeout
         # From here on the limit is on silence, also while we send: an engine
         # may pause its reading while it writes weights to its own memory.
-        connection.sock.settimeout(silence)
+        connection.sock.settimeout(silence_timeout)
         return connection
 
-    def _ask(
+    def _request_head(
         self,
         connection: urllib3.connection.HTTPConnection,
         exchange: Exchange,
@@ -217,7 +219,7 @@
             )
         return connection.getresponse()
 
-    def _check(self, call: protocols.Call) -> None:
+    def _validate(self, call: protocols.Call) -> None:
         """Refuse what cannot be sent, while it is certain that it wasn't.
 
         The HTTP library refuses it too, but in a way that doesn't tell
@@ -234,7 +236,7 @@
             execution=errors.Execution.NOT_RUN,
         )
 
-    def _silence(self, call: protocols.Call) -> float:
+    def _silence_timeout(self, call: protocols.Call) -> float:
         """Return how long a call may be silent.
 
         A whole answer is silent until its last token is made; a stream is
@@ -244,7 +246,7 @@
             return min(self.limits.read_timeout, call.timeout)
         return call.timeout
 
-    def _may_have_run(
+    def _may_have_run_error(
         self,
         detail: str,
         exchange: Exchange,
--- a/standins/memory_endpoints.py
+++ b/standins/memory_endpoints.py
@@ -60,11 +60,11 @@
         #: What the next calls fail with, in order.
         self.failures: collections.deque[errors.Execution] = collections.deque()
 
-    def healthy(self) -> bool:
+    def is_healthy(self) -> bool:
         """Tell whether the endpoint answers at all."""
         return not self.failures
 
-    def gone(self) -> bool:
+    def is_gone(self) -> bool:
         """Tell whether the next call would be refused."""
         refused = errors.Execution.NOT_RUN
         return bool(self.failures) and self.failures[0] is refused
--- a/tests/agent/test_health.py
+++ b/tests/agent/test_health.py
@@ -23,11 +23,11 @@
         self.listens = True
         self.looks_before_gone = -1
 
-    def healthy(self) -> bool:
+    def is_healthy(self) -> bool:
         """Tell whether it answers."""
         return self.answers and self.listens
 
-    def gone(self) -> bool:
+    def is_gone(self) -> bool:
         """Tell whether nobody listens."""
         if self.looks_before_gone == 0:
             return True
--- a/tests/endpoints/contracts.py
+++ b/tests/endpoints/contracts.py
@@ -39,12 +39,12 @@
     )
 
 
-def whole(answer: protocols.Answer) -> bytes:
+def read_body(answer: protocols.Answer) -> bytes:
     """Return an answer's whole body."""
     return b''.join(answer.parts())
 
 
-def load(engine: protocols.Engine, version: str, fencing: int) -> str:
+def load_version(engine: protocols.Engine, version: str, fencing: int) -> str:
     """Order an engine to serve a version; return its digest."""
     weights = version.encode() * 70_000
     digest = hashlib.sha256(weights).hexdigest()
@@ -58,22 +58,22 @@
 
     def test_answers(self):
         """Each caller gets the whole answer to its own prompt."""
-        load(self.engine, 'v1', 1)
+        load_version(self.engine, 'v1', 1)
         for chat in (False, True):
             call = completion(prompt='Who?', count=7, chat=chat)
             answer = self.engine.call(call)
             self.assertTrue(
                 answer.head.content_type.startswith('text/event-stream')
             )
-            body = whole(answer)
+            body = read_body(answer)
             self.assertEqual('v1', tokens.verify_stream(body, 'Who?', 7))
             call = completion(prompt='Who?', count=7, chat=chat, stream=False)
-            body = whole(self.engine.call(call))
+            body = read_body(self.engine.call(call))
             self.assertEqual('v1', tokens.verify_whole(body, 'Who?', 7))
 
     def test_parts_are_whole_events(self):
         """A part never ends within an event."""
-        load(self.engine, 'v1', 1)
+        load_version(self.engine, 'v1', 1)
         for part in self.engine.call(completion()).parts():
             self.assertTrue(part.endswith(b'\n\n'))
 
@@ -82,19 +82,19 @@
         self.assertEqual('', self.engine.status().version)
         answer = self.engine.call(completion())
         self.assertEqual(503, answer.head.status)
-        self.assertTrue(whole(answer))
+        self.assertTrue(read_body(answer))
         self.assertEqual({}, self.runs_by_id())
 
     def test_refuses_a_malformed_body(self):
         """A body that is no completion is refused and not run."""
-        load(self.engine, 'v1', 1)
+        load_version(self.engine, 'v1', 1)
         call = protocols.Call('r1', 'POST', _PLAIN, b'{')
         self.assertEqual(400, self.engine.call(call).head.status)
         self.assertEqual({}, self.runs_by_id())
 
     def test_load(self):
         """What was ordered is what the engine says that it serves."""
-        digest = load(self.engine, 'v1', 3)
+        digest = load_version(self.engine, 'v1', 3)
         status = self.engine.status()
         self.assertEqual(
             ('v1', digest, 3),
@@ -108,14 +108,16 @@
         refuses, and goes on to serve the newer version. The same number
         again is a repeated order, whose first answer was lost: it is obeyed.
         """
-        load(self.engine, 'v2', 8)
-        self.assertRaises(errors.StaleOrderError, load, self.engine, 'v1', 7)
+        load_version(self.engine, 'v2', 8)
+        self.assertRaises(
+            errors.StaleOrderError, load_version, self.engine, 'v1', 7
+        )
         self.assertEqual('v2', self.engine.status().version)
-        load(self.engine, 'v2', 8)
+        load_version(self.engine, 'v2', 8)
 
     def test_wrong_digest(self):
         """Weights were corrupted on the way: nothing of them is served."""
-        load(self.engine, 'v1', 1)
+        load_version(self.engine, 'v1', 1)
         error = self.assertRaises(
             errors.EndpointError,
             self.engine.load,
@@ -130,7 +132,7 @@
 
     def test_wrong_size(self):
         """Parts that are not as long as announced are never loaded."""
-        load(self.engine, 'v1', 1)
+        load_version(self.engine, 'v1', 1)
         for parts in ([b'ab'], [b'ab', b'cd']):
             digest = hashlib.sha256(b''.join(parts)).hexdigest()
             self.assertRaises(
@@ -147,7 +149,7 @@
     def test_reports_success_and_serves_something_else(self):
         """An engine says that it obeyed and didn't: its status shows it."""
         self.serve_other()
-        load(self.engine, 'v1', 1)
+        load_version(self.engine, 'v1', 1)
         self.assertNotEqual('v1', self.engine.status().version)
 
     def test_ends_on_the_version_begun_with(self):
@@ -156,14 +158,14 @@
         The answer ends on the version that it began with; the next one is
         of the new version as a whole.
         """
-        load(self.engine, 'v1', 1)
+        load_version(self.engine, 'v1', 1)
         answer = self.engine.call(completion(count=60))
         parts = answer.parts()
         first = next(parts)
-        load(self.engine, 'v2', 2)
+        load_version(self.engine, 'v2', 2)
         body = first + b''.join(parts)
         self.assertEqual('v1', tokens.verify_stream(body, 'Which lamp?', 60))
-        body = whole(self.engine.call(completion()))
+        body = read_body(self.engine.call(completion()))
         self.assertEqual('v2', tokens.verify_stream(body, 'Which lamp?', 5))
 
     def test_cancel(self):
@@ -171,7 +173,7 @@
 
         Other requests go on, and cancelling an unknown one does nothing.
         """
-        load(self.engine, 'v1', 1)
+        load_version(self.engine, 'v1', 1)
         parts = self.engine.call(completion('r1', count=9000)).parts()
         other = self.engine.call(completion('r2'))
         next(parts)
@@ -179,11 +181,11 @@
         self.engine.cancel('unknown')
         error = self.assertRaises(errors.EndpointError, list, parts)
         self.assertEqual(errors.Execution.MAY_HAVE_RUN, error.execution)
-        tokens.verify_stream(whole(other), 'Which lamp?', 5)
+        tokens.verify_stream(read_body(other), 'Which lamp?', 5)
 
     def test_given_up(self):
         """An answer that is given up ends with an error, not as if whole."""
-        load(self.engine, 'v1', 1)
+        load_version(self.engine, 'v1', 1)
         answer = self.engine.call(completion(count=9000))
         parts = answer.parts()
         next(parts)
@@ -192,9 +194,9 @@
 
     def test_counts_runs(self):
         """Runs are counted by the request's id."""
-        load(self.engine, 'v1', 1)
+        load_version(self.engine, 'v1', 1)
         for request_id in ('r1', 'r2', 'r1'):
-            whole(self.engine.call(completion(request_id)))
+            read_body(self.engine.call(completion(request_id)))
         self.assertEqual({'r1': 2, 'r2': 1}, self.runs_by_id())
 
 
@@ -208,7 +210,7 @@
             answer = self.service.call(call)
             self.assertEqual(200, answer.head.status)
             named = msgspec.json.decode(
-                whole(answer), type=service.ServiceAnswer
+                read_body(answer), type=service.ServiceAnswer
             )
             expected = service.ServiceAnswer('PUT', '/a/b', 'r1', run, 4)
             self.assertEqual(expected, named)
@@ -216,4 +218,4 @@
     def test_cancel(self):
         """A plain service knows no such order; nothing happens."""
         self.service.cancel('r1')
-        self.assertTrue(self.service.healthy())
+        self.assertTrue(self.service.is_healthy())
--- a/tests/endpoints/test_answers.py
+++ b/tests/endpoints/test_answers.py
@@ -51,12 +51,12 @@
         """The end mark's text within an event does not end the stream."""
         reader = answers.EventReader(_LIMIT)
         reader.feed(b'data: "data: [DONE]"\n\n')
-        self.assertFalse(reader.complete())
+        self.assertFalse(reader.is_complete())
         self.assertRaises(answers.BodyFaultError, reader.finish)
         reader.feed(b'data: [DONE]\r\n\r')
-        self.assertFalse(reader.complete())
+        self.assertFalse(reader.is_complete())
         reader.feed(b'\n')
-        self.assertTrue(reader.complete())
+        self.assertTrue(reader.is_complete())
         reader.finish()
 
     def test_faults(self):
--- a/tests/endpoints/test_engine.py
+++ b/tests/endpoints/test_engine.py
@@ -16,7 +16,9 @@
 from tests import serving, tables
 from tests.endpoints import contracts
 
-_QUICK = transport.Limits(read_timeout=2, control_timeout=2, load_timeout=3)
+_SHORT_LIMITS = transport.Limits(
+    read_timeout=2, control_timeout=2, load_timeout=3
+)
 
 
 class MemoryEngineTest(contracts.EngineContract, testtools.TestCase):
@@ -52,12 +54,12 @@
         answer = urllib3.request('GET', f'http://{self.address}/v1/runs')
         return msgspec.json.decode(answer.data, type=standin.RunsAnswer).runs
 
-    def show(self, kind, **details):
+    def inject_fault(self, kind, **details):
         fault = serving.fault(kind, **details)
         serving.order(self.address, faults=(fault,))
 
     def serve_other(self):
-        self.show('serve_other')
+        self.inject_fault('serve_other')
 
 
 class HttpEngineTest(contracts.EngineContract, EngineCase):
@@ -65,13 +67,13 @@
 
     def test_full(self):
         """With its queue full, an engine refuses and does not run."""
-        contracts.load(self.engine, 'v1', 1)
+        contracts.load_version(self.engine, 'v1', 1)
         running = [
             self.engine.call(contracts.completion(f'r{number}', count=50_000))
             for number in range(2)
         ]
         waiting = threading.Thread(
-            target=self.run_to_the_end,
+            target=self.complete_call,
             args=(contracts.completion('r2', stream=False),),
         )
         waiting.start()
@@ -84,8 +86,8 @@
         waiting.join()
         self.assertNotIn('r3', self.runs_by_id())
 
-    def run_to_the_end(self, call):
-        contracts.whole(self.engine.call(call))
+    def complete_call(self, call):
+        contracts.read_body(self.engine.call(call))
 
 
 class IgnoringEngineTest(EngineCase):
@@ -95,8 +97,8 @@
 
     def test_obeys_an_old_order(self):
         """Only what the engine says it serves shows the old order."""
-        contracts.load(self.engine, 'v2', 8)
-        contracts.load(self.engine, 'v1', 7)
+        contracts.load_version(self.engine, 'v2', 8)
+        contracts.load_version(self.engine, 'v1', 7)
         status = self.engine.status()
         self.assertEqual(('v1', 0), (status.version, status.fencing))
 
@@ -105,14 +107,14 @@
 class EngineFaultTest(EngineCase):
     """Faults between the adapter and the engine."""
 
-    limits = _QUICK
+    limits = _SHORT_LIMITS
 
     def setUp(self):
         super().setUp()
-        contracts.load(self.engine, 'v1', 1)
+        contracts.load_version(self.engine, 'v1', 1)
 
     def attempt(self, call):
-        return contracts.whole(self.engine.call(call))
+        return contracts.read_body(self.engine.call(call))
 
     @tables.cases(
         dropped=('drop_before', {}),
@@ -125,7 +127,7 @@
     def test_stream(self, case):
         """A stream that is cut is an error, however much of it came."""
         kind, details = case
-        self.show(kind, **details)
+        self.inject_fault(kind, **details)
         error = self.assertRaises(
             errors.EndpointError, self.attempt, contracts.completion()
         )
@@ -143,7 +145,7 @@
     def test_whole(self, case):
         """A whole answer that is cut is an error."""
         kind, details = case
-        self.show(kind, **details)
+        self.inject_fault(kind, **details)
         call = contracts.completion(stream=False, timeout=0.4)
         error = self.assertRaises(errors.EndpointError, self.attempt, call)
         self.assertEqual(errors.Execution.MAY_HAVE_RUN, error.execution)
@@ -158,9 +160,9 @@
     def test_load(self, case):
         """An order fails, and may have taken effect; the status tells."""
         kind, version, details = case
-        self.show(kind, method='PUT', **details)
+        self.inject_fault(kind, method='PUT', **details)
         error = self.assertRaises(
-            errors.EndpointError, contracts.load, self.engine, 'v2', 2
+            errors.EndpointError, contracts.load_version, self.engine, 'v2', 2
         )
         self.assertEqual(errors.Execution.MAY_HAVE_RUN, error.execution)
         self.assertEqual(version, self.engine.status().version)
@@ -176,7 +178,7 @@
     )
     def test_malformed_status(self, body):
         """A status that contradicts the protocol is an error."""
-        self.show('replace', body=body)
+        self.inject_fault('replace', body=body)
         error = self.assertRaises(errors.EndpointError, self.engine.status)
         self.assertEqual('status', error.step)
 
@@ -188,28 +190,28 @@
 
     def test_answers_no_stream(self):
         """A stream was asked for, and something else is answered."""
-        self.show('replace', body='{}')
+        self.inject_fault('replace', body='{}')
         self.assertRaises(
             errors.EndpointError, self.attempt, contracts.completion()
         )
 
     def test_health(self):
         """An engine that fails is not healthy, and recovers."""
-        self.show('status')
-        self.assertFalse(self.engine.healthy())
-        self.assertTrue(self.engine.healthy())
+        self.inject_fault('status')
+        self.assertFalse(self.engine.is_healthy())
+        self.assertTrue(self.engine.is_healthy())
 
     @tables.cases(
         call=lambda adapter: adapter.call(contracts.completion()),
         status=lambda adapter: adapter.status(),
-        load=lambda adapter: contracts.load(adapter, 'v1', 1),
+        load=lambda adapter: contracts.load_version(adapter, 'v1', 1),
     )
     def test_refused(self, attempt):
         """Nothing listens: only then is it certain that nothing was run."""
-        adapter = engine.HttpEngine(serving.closed_address(), _QUICK)
+        adapter = engine.HttpEngine(serving.closed_address(), _SHORT_LIMITS)
         error = self.assertRaises(errors.EndpointError, attempt, adapter)
         self.assertEqual(errors.Execution.NOT_RUN, error.execution)
-        self.assertFalse(adapter.healthy())
+        self.assertFalse(adapter.is_healthy())
         adapter.cancel('r1')
 
     @tables.cases(
@@ -253,8 +255,8 @@
         The gate gives the answer up from another thread. The reader must
         wake up at once, long before its own timeout.
         """
-        contracts.load(self.engine, 'v1', 1)
-        self.show('stall', parts=1, seconds=60)
+        contracts.load_version(self.engine, 'v1', 1)
+        self.inject_fault('stall', parts=1, seconds=60)
         answer = self.engine.call(contracts.completion())
         parts = answer.parts()
         next(parts)
--- a/tests/endpoints/test_service.py
+++ b/tests/endpoints/test_service.py
@@ -14,7 +14,9 @@
 from tests import serving, tables
 from tests.endpoints import contracts
 
-_QUICK = transport.Limits(read_timeout=2, control_timeout=2, answer_bytes=1000)
+_SHORT_LIMITS = transport.Limits(
+    read_timeout=2, control_timeout=2, answer_bytes=1000
+)
 _CALL = protocols.Call('r1', 'POST', '/dispatch', b'{}', timeout=2)
 
 
@@ -34,7 +36,7 @@
         super().setUp()
         application = standin.ServiceHandlers().application()
         self.address = serving.serve(self, application)
-        self.service = service.HttpService(self.address, _QUICK)
+        self.service = service.HttpService(self.address, _SHORT_LIMITS)
 
     @tables.cases(
         dropped=('drop_before', 1, {}),
@@ -60,7 +62,7 @@
         self.assertIn(f'"run":{next_run},'.encode(), self.attempt())
 
     def attempt(self):
-        return contracts.whole(self.service.call(_CALL))
+        return contracts.read_body(self.service.call(_CALL))
 
     def test_status_is_handed_on(self):
         """A service's own refusal is its answer."""
@@ -100,16 +102,16 @@
             '127.0.0.1:{0}'.format(server.server_address[1])
         )
         for _ in range(2):
-            self.assertTrue(adapter.healthy())
+            self.assertTrue(adapter.is_healthy())
         self.assertEqual(2, len(connections))
         for _ in range(3):
             call = protocols.Call('r1', 'GET', '/', b'')
-            contracts.whole(adapter.call(call))
+            contracts.read_body(adapter.call(call))
         self.assertEqual(5, len(connections))
 
     def test_refused(self):
         """Nothing listens: only then is it certain that nothing was run."""
-        gone = service.HttpService(serving.closed_address(), _QUICK)
+        gone = service.HttpService(serving.closed_address(), _SHORT_LIMITS)
         error = self.assertRaises(errors.EndpointError, gone.call, _CALL)
         self.assertEqual(errors.Execution.NOT_RUN, error.execution)
-        self.assertFalse(gone.healthy())
+        self.assertFalse(gone.is_healthy())
--- a/tests/standins/test_programs.py
+++ b/tests/standins/test_programs.py
@@ -59,7 +59,7 @@
             'engine', '--serves', 'v1', '--crash-on', 'boom'
         )
         adapter = engine.HttpEngine(address)
-        contracts.whole(adapter.call(contracts.completion()))
+        contracts.read_body(adapter.call(contracts.completion()))
         error = self.assertRaises(
             errors.EndpointError,
             adapter.call,
