--- a/clementinepass/endpoints/answers.py
+++ b/clementinepass/endpoints/answers.py
@@ -1,4 +1,4 @@
-"""Answers of endpoints, read part by part and whole or not at all."""
+"""Endpoints' answers, streamed in parts and checked for completeness."""
 
 from __future__ import annotations
 
@@ -23,41 +23,43 @@
 
 _END_MARK = re.compile(rb'data: ?\[DONE\]')
 _EVENT_END = re.compile(rb'\r?\n\r?\n')
-#: The longest event that is accepted, in bytes.
+#: Maximum length of one server-sent event.
 _MAX_EVENT_BYTES = 1024 * 1024
 
 
 class BodyFaultError(Exception):
-    """A body contradicts the protocol; only used in this package."""
+    """A body violates the protocol; raised only within this package."""
 
 
 class BodyReader(typing.Protocol):
-    """Cut a body into the parts that are handed on."""
+    """Parser that splits a body into the parts passed to the caller."""
 
     def feed(self, piece: bytes) -> bytes:
-        """Take what arrived and return what can be handed on.
+        """Add received bytes and return those ready to be passed on.
 
-        :raises BodyFaultError: the body contradicts the protocol.
+        :raises BodyFaultError: the body violates the protocol.
         """
 
     def is_complete(self) -> bool:
-        """Tell whether the end mark has been read."""
+        """Return whether the end mark has been read."""
 
     def finish(self) -> None:
-        """Check, at the end of the body, that nothing is missing.
+        """Check at the end of the body that it is complete.
 
         :raises BodyFaultError: the end mark is missing.
         """
 
 
-#: Chooses by an answer's head what cuts its body into parts.
+#: Function that returns the body reader for an answer's head.
 ReaderFactory = typing.Callable[[protocols.AnswerHead], BodyReader]
 
 
 class PlainBodyReader:
-    """Hand a body on as it arrives; its length is its end mark.
+    """Reader that passes a body on as it arrives.
 
-    :param limit: the longest body that is accepted, in bytes.
+    The end of the body is detected by HTTP: its length or the last chunk.
+
+    :param limit: maximum length of the body in bytes.
     """
 
     __slots__ = ('_limit', '_size')
@@ -67,27 +69,27 @@
         self._size = 0
 
     def feed(self, piece: bytes) -> bytes:
-        """Return the piece.
+        """Return the piece unchanged.
 
         :raises BodyFaultError: the body is too long.
         """
         self._size += len(piece)
         if self._size > self._limit:
-            raise BodyFaultError(f'answer over {self._limit} bytes')
+            raise BodyFaultError(f'answer exceeds {self._limit} bytes')
         return piece
 
     def is_complete(self) -> bool:
-        """Tell that only the length or the last chunk ends the body."""
+        """Return false: only the length or the last chunk ends the body."""
         return False
 
     def finish(self) -> None:
-        """Accept the end: the length or the last chunk has proved it."""
+        """Accept the end; the length or the last chunk has confirmed it."""
 
 
 class EventReader:
-    """Hand whole server-sent events on, up to the end mark ``[DONE]``.
+    """Reader of complete server-sent events up to the end mark ``[DONE]``.
 
-    :param limit: the longest body that is accepted, in bytes.
+    :param limit: maximum length of the body in bytes.
     """
 
     __slots__ = ('_complete', '_partial', '_plain_reader')
@@ -98,9 +100,10 @@
         self._complete = False
 
     def feed(self, piece: bytes) -> bytes:
-        """Return the events that are whole now.
+        """Add received bytes and return the events completed by them.
 
-        :raises BodyFaultError: an event is too long, or follows the end mark.
+        :raises BodyFaultError: the body or an event is too long, or an event
+            follows the end mark.
         """
         pending = self._partial + self._plain_reader.feed(piece)
         ready_size = 0
@@ -112,17 +115,17 @@
             ready_size = end.end()
         self._partial = pending[ready_size:]
         if len(self._partial) > _MAX_EVENT_BYTES:
-            raise BodyFaultError(f'event over {_MAX_EVENT_BYTES} bytes')
+            raise BodyFaultError(f'event exceeds {_MAX_EVENT_BYTES} bytes')
         return pending[:ready_size]
 
     def is_complete(self) -> bool:
-        """Tell whether the end mark has been read."""
+        """Return whether the end mark has been read."""
         return self._complete
 
     def finish(self) -> None:
         """Check that the end mark has been read.
 
-        :raises BodyFaultError: it has not.
+        :raises BodyFaultError: the end mark is missing.
         """
         if not self._complete:
             raise BodyFaultError('stream ended without its end mark')
@@ -130,30 +133,31 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class AnswerDeadline:
-    """The moment by which an answer must be whole."""
+    """Time by which an answer must be complete."""
 
     timer: clock.Clock
     deadline: float
 
     def has_passed(self) -> bool:
-        """Tell whether the moment has passed."""
+        """Return whether the deadline has passed."""
         return self.timer.now() > self.deadline
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Reply:
-    """Status and body of an answer that was read whole."""
+    """A complete answer."""
 
     status: int
     body: bytes
 
 
 class AnswerConnection:
-    """A connection that carries one answer, and nothing else.
+    """Connection used for a single answer.
 
-    :param connection: the connection.
-    :param sock: its socket, which the connection lets go of once an
-        answer's head says that the connection ends with the answer.
+    :param connection: the HTTP connection.
+    :param sock: the connection's socket, kept separately because the
+        connection drops its reference once an answer's head says
+        ``Connection: close``.
     """
 
     __slots__ = ('_sock', '_connection')
@@ -167,21 +171,24 @@
         self._sock = sock
 
     def shutdown(self) -> None:
-        """Let both ends see an end of the connection."""
+        """Shut down both directions of the socket."""
         with contextlib.suppress(OSError):
             self._sock.shutdown(socket.SHUT_RDWR)
 
     def close(self) -> None:
-        """Free the connection."""
+        """Close the connection."""
         self._connection.close()
 
 
 class HttpAnswer:
-    """An answer under way over HTTP.
-
-    :param response: the answer, with its body still to be read.
-    :param reader_factory: chooses what cuts the body into parts.
-    :param line: what it comes over.
+    """HTTP answer whose body is still being received.
+
+    :param response: the response, with its body unread.
+    :param connection: the connection that the response arrives on.
+    :param peer: the endpoint's address, for error messages.
+    :param reader_factory: returns the reader that splits the body.
+    :param expiry: the deadline for the complete answer.
+    :param step: the caller's current step, for error messages.
     """
 
     __slots__ = (
@@ -199,14 +206,14 @@
     def __init__(
         self,
         response: urllib3.BaseHTTPResponse,
-        line: AnswerConnection,
+        connection: AnswerConnection,
         *,
         peer: str,
         reader_factory: ReaderFactory,
         expiry: AnswerDeadline,
         step: str,
     ) -> None:
-        #: Status and type.
+        #: Status and content type.
         self.head = protocols.AnswerHead(
             status=response.status,
             content_type=response.headers.get('Content-Type', ''),
@@ -216,16 +223,16 @@
         self._reader = reader_factory(self.head)
         self._expiry = expiry
         self._step = step
-        self._connection = line
+        self._connection = connection
         self._aborted = False
         self._lock = threading.Lock()
 
     def parts(self) -> Iterator[bytes]:
-        """Yield the body piece by piece as it arrives.
+        """Yield the body in parts as they arrive.
 
-        For a stream of events each piece is one or more whole events.
+        Each part of an event stream is one or more complete events.
 
-        :raises EndpointError: the endpoint failed, fell silent, or ended the
+        :raises EndpointError: the endpoint failed, timed out, or ended the
             body without its end mark.
         """
         try:
@@ -236,13 +243,13 @@
             self._close()
 
     def close(self) -> None:
-        """Give the connection up; safe from another thread.
+        """Abort the answer; thread-safe.
 
-        A reader that is blocked wakes up with an error.
+        A thread that is blocked reading the body gets an error.
         """
         self._aborted = True
         # Closing a socket does not wake a thread that reads from it;
-        # shutting it down does, and only then is it safe to close it.
+        # shutting it down does, and closing it is safe only afterwards.
         self._connection.shutdown()
         with self._lock:
             self._close()
@@ -258,15 +265,15 @@
             if part:
                 yield part
             if self._reader.is_complete():
-                # Nothing may follow but the last chunk; an endpoint that is
-                # slow to send it must not hold up the end of the answer.
+                # Only the last chunk may follow; an endpoint that is slow to
+                # send it must not delay the end of the answer.
                 return
             if self._expiry.has_passed():
                 raise BodyFaultError('answer took too long')
         self._reader.finish()
 
     def _next_piece(self, pieces: Iterator[bytes]) -> bytes:
-        """Return the next piece of the body, or nothing at its end."""
+        """Return the next piece of the body; empty at the end."""
         with self._lock:
             if self._aborted:
                 raise BodyFaultError('answer was given up')
--- a/clementinepass/endpoints/engine.py
+++ b/clementinepass/endpoints/engine.py
@@ -1,4 +1,4 @@
-"""Adapter for model engines."""
+"""HTTP client for model engines."""
 
 from __future__ import annotations
 
@@ -20,7 +20,7 @@
 
 
 class StatusAnswer(msgspec.Struct, frozen=True, forbid_unknown_fields=True):
-    """What an engine sends of itself."""
+    """JSON body of an engine's status answer."""
 
     version: str
     digest: str
@@ -31,9 +31,10 @@
 
 
 class HttpEngine:
-    """Speak a model engine's HTTP protocol.
+    """HTTP client of one model engine.
 
     :param address: the engine's address, ``host:port``.
+    :param limits: timeouts and size limits of calls.
     """
 
     __slots__ = ('_transport',)
@@ -46,30 +47,32 @@
         self._transport = transport.Transport(address, limits)
 
     def call(self, call: protocols.Call) -> answers.HttpAnswer:
-        """Send a request and return its answer once the head is there.
+        """Send a request and return its answer once the head has arrived.
 
-        :raises EndpointError: with ``execution`` set to not run only where
-            the connection was refused before anything was sent.
+        :raises EndpointError: ``execution`` is ``NOT_RUN`` only if the call
+            failed before anything was sent.
         """
         answer = self._transport.call(call, self._select_reader)
         if call.stream and answer.head.status == _OK:
             if not _is_stream(answer.head):
                 answer.close()
-                raise self._endpoint_error('answered no stream', 'call')
+                raise self._endpoint_error(
+                    'answer is not an event stream', 'call'
+                )
         return answer
 
     def cancel(self, request_id: str) -> None:
-        """Ask the engine to stop a request; unknown ones are ignored."""
+        """Cancel a request; the engine ignores unknown request ids."""
         name = urllib.parse.quote(request_id, safe='')
         path = f'/v1/requests/{name}'
         exchange = transport.Exchange('DELETE', path, step='cancel')
-        # An engine that cannot be asked runs on; the answer is dropped all
-        # the same, so that there is nothing that a caller could do about it.
+        # If the engine is unreachable, the request runs on, but its answer is
+        # discarded anyway, so the caller has nothing to handle.
         with contextlib.suppress(errors.EndpointError):
             self._transport.fetch(exchange)
 
     def is_healthy(self) -> bool:
-        """Tell whether the engine answers at all."""
+        """Return whether the engine answers status requests."""
         try:
             self.status()
         except errors.EndpointError:
@@ -77,7 +80,7 @@
         return True
 
     def is_gone(self) -> bool:
-        """Tell whether nobody listens there any more."""
+        """Return whether no process accepts connections at the address."""
         try:
             self.status()
         except errors.EndpointError as error:
@@ -85,9 +88,10 @@
         return False
 
     def status(self) -> protocols.EngineStatus:
-        """Read back what the engine serves now.
+        """Return the engine's current version and load.
 
-        :raises EndpointError: the engine did not answer.
+        :raises EndpointError: the engine did not answer, or its answer is
+            malformed.
         """
         exchange = transport.Exchange('GET', '/v1/status', step='status')
         reply = self._transport.fetch(exchange)
@@ -111,12 +115,14 @@
         size: int,
         parts: Iterable[bytes],
     ) -> None:
-        """Send a whole version's weights and order the engine to serve it.
+        """Send a version's weights and order the engine to serve them.
 
-        Requests in progress end on the version they began with.
+        Requests in progress finish on the version that they started with.
 
-        :param digest: the SHA-256 of the whole, in hexadecimal.
-        :param size: the length of the whole in bytes.
+        :param digest: SHA-256 of the weights, in hexadecimal.
+        :param fencing: the fencing number of the lease behind the order.
+        :param size: length of the weights in bytes.
+        :param parts: the weights, in order.
         :raises StaleOrderError: the fencing number is too old.
         :raises EndpointError: the order may have taken effect.
         :raises ManifestError: the parts are not ``size`` bytes long.
@@ -148,16 +154,22 @@
             raise self._endpoint_error(f'answered {reply.status}', 'load')
 
     def _select_reader(self, head: protocols.AnswerHead) -> answers.BodyReader:
-        """Choose by its type how a body is read; refusals are no streams."""
+        """Return the reader for the body's content type.
+
+        Error answers to streaming requests are not event streams.
+        """
         if _is_stream(head):
             return answers.EventReader(self._transport.limits.answer_bytes)
         return self._transport.plain_body_reader(head)
 
     def _sized(self, parts: Iterable[bytes], size: int) -> Iterator[bytes]:
-        """Yield parts, and fail where they are longer or shorter than told.
+        """Yield the parts, checking that they add up to ``size`` bytes.
+
+        A body shorter than its ``Content-Length`` would leave the engine
+        waiting; the excess of a longer one would be parsed as the next
+        request.
 
-        A body shorter than its announced length would leave the engine
-        waiting; a longer one would be taken for the next request.
+        :raises ManifestError: the parts are longer or shorter.
         """
         remaining = size
         for part in parts:
--- a/clementinepass/endpoints/protocols.py
+++ b/clementinepass/endpoints/protocols.py
@@ -1,4 +1,4 @@
-"""What the agent asks of the endpoint that it stands before."""
+"""Interfaces of the endpoints that an agent forwards requests to."""
 
 from __future__ import annotations
 
@@ -8,13 +8,13 @@
 
 
 class EngineStatus(msgspec.Struct, frozen=True):
-    """What a model engine says of itself."""
+    """Status reported by a model engine."""
 
-    #: The version that it serves; empty for none.
+    #: The version being served; empty for none.
     version: str
-    #: The SHA-256 of the weights that it serves, in hexadecimal.
+    #: SHA-256 of the served weights, in hexadecimal.
     digest: str
-    #: The largest fencing number seen, 0 where the engine ignores them.
+    #: The largest fencing number seen; 0 if the engine ignores them.
     fencing: int
     running: int
     waiting: int
@@ -22,74 +22,74 @@
 
 
 class Call(msgspec.Struct, frozen=True):
-    """One request to an endpoint."""
+    """Request to an endpoint."""
 
     request_id: str
     method: str
     path: str
     body: bytes
     content_type: str = 'application/json'
-    #: Seconds that remain for the whole answer.
+    #: Seconds left to receive the complete answer.
     timeout: float = 60
     #: Whether the answer is a stream of server-sent events.
     stream: bool = False
-    #: The engine's priority; a lower number goes first.
+    #: Scheduling priority at the engine; lower numbers run first.
     priority: int = 0
 
 
 class AnswerHead(msgspec.Struct, frozen=True):
-    """Status and type of an answer, before its body."""
+    """Status and content type of an answer."""
 
     status: int
     content_type: str
 
 
 class Answer(typing.Protocol):
-    """An answer under way."""
+    """Answer whose body is still being received."""
 
     head: AnswerHead
 
     def parts(self) -> typing.Iterator[bytes]:
-        """Yield the body piece by piece as it arrives.
+        """Yield the body in parts as they arrive.
 
-        For a stream of events each piece is one or more whole events.
+        Each part of an event stream is one or more complete events.
 
-        :raises EndpointError: the endpoint failed or fell silent.
+        :raises EndpointError: the endpoint failed or timed out.
         """
 
     def close(self) -> None:
-        """Give the connection up; safe from another thread."""
+        """Abort the answer; thread-safe."""
 
 
 class Endpoint(typing.Protocol):
     """A model engine or a plain service."""
 
     def call(self, call: Call) -> Answer:
-        """Send a request and return its answer once the head is there.
+        """Send a request and return its answer once the head has arrived.
 
-        :raises EndpointError: with ``execution`` set to not run only where
-            the connection was refused before anything was sent.
+        :raises EndpointError: ``execution`` is ``NOT_RUN`` only if the call
+            failed before anything was sent.
         """
 
     def cancel(self, request_id: str) -> None:
-        """Ask the endpoint to stop a request; unknown ones are ignored."""
+        """Cancel a request; unknown request ids are ignored."""
 
     def is_healthy(self) -> bool:
-        """Tell whether the endpoint answers at all."""
+        """Return whether the endpoint answers health checks."""
 
     def is_gone(self) -> bool:
-        """Tell whether nobody listens there any more.
+        """Return whether no process accepts connections at the address.
 
-        A slow or frozen endpoint is not gone: it is neither dead, nor did a
-        request kill it.
+        A slow or frozen endpoint is not gone: its process has not died, so no
+        request can have crashed it.
         """
 
 
 class Engine(Endpoint, typing.Protocol):
-    """A model engine: an endpoint that takes orders about weights."""
+    """Model engine: an endpoint that loads weights on request."""
 
     def status(self) -> EngineStatus:
-        """Read back what the engine serves now.
+        """Return the engine's current version and load.
 
         :raises EndpointError: the engine did not answer.
         """
@@ -102,12 +102,14 @@
         size: int,
         parts: typing.Iterable[bytes],
     ) -> None:
-        """Send a whole version's weights and order the engine to serve it.
+        """Send a version's weights and order the engine to serve them.
 
-        Requests in progress end on the version they began with.
+        Requests in progress finish on the version that they started with.
 
-        :param digest: the SHA-256 of the whole, in hexadecimal.
-        :param size: the length of the whole in bytes.
+        :param digest: SHA-256 of the weights, in hexadecimal.
+        :param fencing: the fencing number of the lease behind the order.
+        :param size: length of the weights in bytes.
+        :param parts: the weights, in order.
         :raises StaleOrderError: the fencing number is too old.
         :raises EndpointError: the order may have taken effect.
         """
--- a/clementinepass/endpoints/service.py
+++ b/clementinepass/endpoints/service.py
@@ -1,4 +1,4 @@
-"""Adapter for plain services."""
+"""HTTP client for plain services."""
 
 from __future__ import annotations
 
@@ -9,10 +9,11 @@
 
 
 class HttpService:
-    """Call a plain service over HTTP.
+    """HTTP client of one plain service.
 
     :param address: the service's address, ``host:port``.
-    :param health_path: what is asked for to see whether it answers at all.
+    :param limits: timeouts and size limits of calls.
+    :param health_path: the path requested by health checks.
     """
 
     __slots__ = ('_health_path', '_transport')
@@ -28,18 +29,18 @@
         self._health_path = health_path
 
     def call(self, call: protocols.Call) -> answers.HttpAnswer:
-        """Send a request and return its answer once the head is there.
+        """Send a request and return its answer once the head has arrived.
 
-        :raises EndpointError: with ``execution`` set to not run only where
-            the connection was refused before anything was sent.
+        :raises EndpointError: ``execution`` is ``NOT_RUN`` only if the call
+            failed before anything was sent.
         """
         return self._transport.call(call, self._transport.plain_body_reader)
 
     def cancel(self, request_id: str) -> None:
-        """Leave the request alone: plain services have no such order."""
+        """Do nothing: plain services do not support cancellation."""
 
     def is_healthy(self) -> bool:
-        """Tell whether the service answers at all."""
+        """Return whether the service answers without a server error."""
         exchange = transport.Exchange('GET', self._health_path, step='health')
         try:
             reply = self._transport.fetch(exchange)
@@ -48,7 +49,7 @@
         return reply.status < _SERVER_ERROR
 
     def is_gone(self) -> bool:
-        """Tell whether nobody listens there any more."""
+        """Return whether no process accepts connections at the address."""
         exchange = transport.Exchange('GET', self._health_path, step='health')
         try:
             self._transport.fetch(exchange)
--- a/clementinepass/endpoints/transport.py
+++ b/clementinepass/endpoints/transport.py
@@ -1,4 +1,4 @@
-"""HTTP calls to endpoints, shared by the adapters."""
+"""HTTP client for endpoints, shared by the adapters."""
 
 from __future__ import annotations
 
@@ -19,9 +19,9 @@
     from collections.abc import Iterable, Mapping
 
 _STEP = 'call'
-#: What a path may hold besides letters and digits; it is already quoted.
+#: Characters of a path that are not quoted; the path is quoted already.
 _SAFE_IN_PATH = "%/?:@!$&'()*+,;=~"
-#: How a connection is lost, or an answer garbled, after it came to stand.
+#: Errors of an open connection: it was lost, or the answer is malformed.
 _CONNECTION_ERRORS = (
     urllib3.exceptions.HTTPError,
     http.client.HTTPException,
@@ -33,14 +33,14 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Limits:
-    """Bounds on calls to one endpoint.
-
-    :param connect_timeout: seconds until a connection must stand.
-    :param read_timeout: seconds of silence until a call is given up.
-    :param control_timeout: seconds for a status or a cancellation, which an
-        endpoint that lives answers at once.
-    :param load_timeout: seconds for an order to load a version.
-    :param answer_bytes: the longest answer that is accepted.
+    """Limits of calls to one endpoint.
+
+    :param connect_timeout: seconds within which a connection must be opened.
+    :param read_timeout: seconds without a received byte until a call fails.
+    :param control_timeout: seconds for status requests and cancellations,
+        which a live endpoint answers at once.
+    :param load_timeout: seconds for loading a version.
+    :param answer_bytes: maximum length of an answer.
     """
 
     connect_timeout: float = 2
@@ -52,7 +52,12 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Exchange:
-    """One request as it is sent."""
+    """HTTP request to send.
+
+    :param step: the caller's current step, for error messages.
+    :param read_timeout: seconds without a received byte until the request
+        fails; 0 for ``Limits.control_timeout``.
+    """
 
     method: str
     path: str
@@ -63,9 +68,9 @@
 
 
 class Transport:
-    """Send each call once, and hand back its answer as it arrives.
+    """HTTP client of one endpoint; never sends a request twice.
 
-    Safe to use from many threads.
+    Instances are thread-safe.
 
     :param address: the endpoint's address, ``host:port``.
     """
@@ -80,7 +85,7 @@
     ) -> None:
         #: The endpoint's address, ``host:port``.
         self.peer = address
-        #: Bounds on the calls.
+        #: Limits of the calls.
         self.limits = limits or Limits()
         self._clock = timer or clock.MonotonicClock()
 
@@ -89,9 +94,10 @@
         call: protocols.Call,
         reader_factory: answers.ReaderFactory,
     ) -> answers.HttpAnswer:
-        """Send a request and return its answer once the head is there.
+        """Send a request and return its answer once the head has arrived.
 
-        :param reader_factory: chooses what cuts the body into parts.
+        :param reader_factory: returns the reader that splits the body.
+        :raises EndpointError: the call failed; see :meth:`_send`.
         """
         self._validate(call)
         deadline = self._clock.now() + call.timeout
@@ -114,7 +120,10 @@
         )
 
     def fetch(self, exchange: Exchange) -> answers.Reply:
-        """Send a request and return its whole answer."""
+        """Send a request and return its complete answer.
+
+        :raises EndpointError: no complete answer arrived.
+        """
         timeout = exchange.read_timeout or self.limits.control_timeout
         answer = self._send(
             exchange,
@@ -127,7 +136,7 @@
     def plain_body_reader(
         self, head: protocols.AnswerHead
     ) -> answers.BodyReader:
-        """Return what reads a body that ends with its length."""
+        """Return a reader for a body that is not an event stream."""
         return answers.PlainBodyReader(self.limits.answer_bytes)
 
     def _send(
@@ -136,24 +145,24 @@
         reader_factory: answers.ReaderFactory,
         expiry: answers.AnswerDeadline,
     ) -> answers.HttpAnswer:
-        """Send a request on a connection of its own.
+        """Send a request over a new connection.
 
-        An endpoint that closes an idle connection at the moment at which a
-        request is written to it would leave us with "may have run" for a call
-        that it never saw, and a call that isn't idempotent would be lost for
-        no fault; or it would be taken for dead because of its status. So no
-        connection is used twice.
+        Connections are not reused. If an endpoint closed an idle connection
+        just as a request was written to it, the call would count as "may have
+        run" although the endpoint never received it: a call that is not
+        idempotent would be lost without a fault, and a status request would
+        make the endpoint look dead.
 
-        :raises EndpointError: there was no answer; not run only where no
-            connection came to stand.
+        :raises EndpointError: no answer arrived; ``execution`` is ``NOT_RUN``
+            only if no connection could be opened.
         """
         connection = self._connect(exchange)
         sock = connection.sock
         try:
             response = self._request_head(connection, exchange)
         except _CONNECTION_ERRORS as error:
-            # The request may have left, in part or whole, before the
-            # connection was lost or fell silent.
+            # The request may have been sent, partly or completely, before the
+            # connection was lost or timed out.
             connection.close()
             raise self._may_have_run_error(str(error), exchange) from error
         except BaseException:
@@ -162,7 +171,9 @@
         if not http_bodies.has_detectable_end(response):
             response.close()
             connection.close()
-            raise self._may_have_run_error('answer has no end mark', exchange)
+            raise self._may_have_run_error(
+                'answer has neither a length nor chunks', exchange
+            )
         return answers.HttpAnswer(
             response,
             answers.AnswerConnection(connection, sock),
@@ -176,7 +187,7 @@
         self,
         exchange: Exchange,
     ) -> urllib3.connection.HTTPConnection:
-        """Open a connection; a failure is certain to have run nothing."""
+        """Open a connection; on failure, nothing has been sent."""
         host, _, port = self.peer.rpartition(':')
         connection = urllib3.connection.HTTPConnection(
             host.strip('[]'),
@@ -195,8 +206,8 @@
             ) from error
         silence_timeout = exchange.read_timeout or self.limits.control_timeout
         connection.timeout = silence_timeout
-        # From here on the limit is on silence, also while we send: an engine
-        # may pause its reading while it writes weights to its own memory.
+        # The timeout now limits silence, also while sending: an engine may
+        # stop reading while it writes weights to its own memory.
         connection.sock.settimeout(silence_timeout)
         return connection
 
@@ -205,9 +216,9 @@
         connection: urllib3.connection.HTTPConnection,
         exchange: Exchange,
     ) -> urllib3.BaseHTTPResponse:
-        """Send a request and return its answer's head."""
-        # An endpoint that refuses a long body closes its end before all of it
-        # was sent; the refusal may still be there to be read.
+        """Send a request and return the response once its head arrives."""
+        # An endpoint that rejects a long body closes its side before the body
+        # has been sent completely; its error answer may still be readable.
         with contextlib.suppress(BrokenPipeError):
             connection.request(
                 exchange.method,
@@ -220,10 +231,12 @@
         return connection.getresponse()
 
     def _validate(self, call: protocols.Call) -> None:
-        """Refuse what cannot be sent, while it is certain that it wasn't.
+        """Reject a call that cannot be sent over HTTP before connecting.
+
+        The HTTP library rejects it too, but its error does not tell whether
+        anything was sent before.
 
-        The HTTP library refuses it too, but in a way that doesn't tell
-        whether anything was sent before.
+        :raises EndpointError: the call is invalid and was not sent.
         """
         texts = (call.method, call.path, call.request_id, call.content_type)
         if _METHOD.fullmatch(call.method) and call.path.startswith('/'):
@@ -237,10 +250,10 @@
         )
 
     def _silence_timeout(self, call: protocols.Call) -> float:
-        """Return how long a call may be silent.
+        """Return the seconds that a call may pass without receiving a byte.
 
-        A whole answer is silent until its last token is made; a stream is
-        not, but for the time that it waits for its turn.
+        An answer that is not streamed sends nothing until its last token is
+        generated; a stream is silent only while it is queued.
         """
         if call.stream:
             return min(self.limits.read_timeout, call.timeout)
--- a/tests/endpoints/test_answers.py
+++ b/tests/endpoints/test_answers.py
@@ -1,4 +1,4 @@
-"""Tests of the reading of answers, with arbitrary bytes."""
+"""Tests of reading answers, also malformed ones."""
 
 from __future__ import annotations
 
@@ -28,14 +28,14 @@
 
 
 class EventReaderTest(testtools.TestCase):
-    """Events are cut where they end, however they arrive."""
+    """Events are split correctly, however their bytes arrive."""
 
     @hypothesis.settings(max_examples=300, derandomize=True, database=None)
     @hypothesis.given(_PIECES)
     def test_any_pieces(self, pieces):
-        """Nothing is lost, doubled or handed on before it is whole."""
+        """No byte is lost or repeated, and no partial event is returned."""
         reader = answers.EventReader(_LIMIT)
-        handed_on = b''
+        output = b''
         received = b''
         for piece in pieces:
             received += piece
@@ -44,11 +44,11 @@
             except answers.BodyFaultError:
                 return
             self.assertTrue(not part or part.endswith(b'\n'))
-            handed_on += part
-        self.assertTrue(received.startswith(handed_on))
+            output += part
+        self.assertTrue(received.startswith(output))
 
-    def test_end_mark_in_a_text(self):
-        """The end mark's text within an event does not end the stream."""
+    def test_end_mark_within_an_event(self):
+        """The end mark's text inside an event does not end the stream."""
         reader = answers.EventReader(_LIMIT)
         reader.feed(b'data: "data: [DONE]"\n\n')
         self.assertFalse(reader.is_complete())
@@ -60,7 +60,7 @@
         reader.finish()
 
     def test_faults(self):
-        """Endless events, endless bodies and later events are refused."""
+        """Too long events and bodies, and events after the end mark, fail."""
         for body in (
             b'a' * (_LIMIT + 1),
             b'data: [DONE]\n\ndata: more\n\n',
@@ -72,7 +72,7 @@
 
 
 class RawAnswerTest(testtools.TestCase):
-    """Answers that a broken engine, or something between, might send."""
+    """Answers as a faulty engine or network device may send them."""
 
     def setUp(self):
         super().setUp()
@@ -89,13 +89,13 @@
         return b''.join(self.engine.call(call).parts())
 
     def test_end_mark_without_last_chunk(self):
-        """All has come but the last chunk: the answer is whole."""
+        """An answer that lacks only the last chunk is complete."""
         body = b'data: [DONE]\n\n'
         chunk = b'e\r\n' + body + b'\r\n'
         self.assertEqual(body, self.attempt(_HEAD + _CHUNKED + chunk))
 
     def test_last_chunk_without_end_mark(self):
-        """The HTTP answer is whole, and the stream in it isn't."""
+        """A complete HTTP body with an incomplete event stream is an error."""
         error = self.assertRaises(
             errors.EndpointError,
             self.attempt,
@@ -104,7 +104,7 @@
         self.assertIn('end mark', error.detail)
 
     def test_no_length(self):
-        """A body that ends with its connection proves nothing."""
+        """A body that ends with its connection may be truncated: an error."""
         self.assertRaises(
             errors.EndpointError, self.attempt, _HEAD + b'\r\ndata: [DONE]\n\n'
         )
@@ -115,6 +115,6 @@
         strategies.binary(max_size=200),
     )
     def test_any_bytes(self, head, garbage):
-        """Whatever arrives ends in an answer or in an error of ours."""
+        """Arbitrary bytes give an answer or an ``EndpointError``."""
         with contextlib.suppress(errors.EndpointError):
             self.attempt(head + garbage)
--- a/tests/endpoints/test_engine.py
+++ b/tests/endpoints/test_engine.py
@@ -1,4 +1,4 @@
-"""Tests of model engines: their contract, and their adapter under faults."""
+"""Tests of the engine adapter: contract and faults."""
 
 from __future__ import annotations
 
@@ -22,7 +22,7 @@
 
 
 class MemoryEngineTest(contracts.EngineContract, testtools.TestCase):
-    """The fake in memory keeps to the contract."""
+    """The in-memory fake fulfils the contract."""
 
     def setUp(self):
         super().setUp()
@@ -36,7 +36,7 @@
 
 
 class EngineCase(testtools.TestCase):
-    """Serves a stand-in and has an adapter for it."""
+    """Test case that runs a stand-in engine and an adapter for it."""
 
     limits = transport.Limits()
     fencing = standin.Fencing.CHECK
@@ -63,23 +63,25 @@
 
 
 class HttpEngineTest(contracts.EngineContract, EngineCase):
-    """The adapter and the stand-in keep to the contract together."""
+    """The adapter fulfils the contract against the stand-in."""
 
-    def test_full(self):
-        """With its queue full, an engine refuses and does not run."""
+    def test_queue_full(self):
+        """An engine whose queue is full answers 429 and runs nothing."""
         contracts.load_version(self.engine, 'v1', 1)
         running = [
-            self.engine.call(contracts.completion(f'r{number}', count=50_000))
+            self.engine.call(
+                contracts.completion_call(f'r{number}', count=50_000)
+            )
             for number in range(2)
         ]
         waiting = threading.Thread(
             target=self.complete_call,
-            args=(contracts.completion('r2', stream=False),),
+            args=(contracts.completion_call('r2', stream=False),),
         )
         waiting.start()
         while not self.engine.status().waiting:
             threading.Event().wait(0.005)
-        answer = self.engine.call(contracts.completion('r3'))
+        answer = self.engine.call(contracts.completion_call('r3'))
         self.assertEqual(429, answer.head.status)
         for answer in running:
             answer.close()
@@ -90,13 +92,13 @@
         contracts.read_body(self.engine.call(call))
 
 
-class IgnoringEngineTest(EngineCase):
-    """An engine that ignores fencing numbers obeys any order."""
+class EngineWithoutFencingTest(EngineCase):
+    """An engine that ignores fencing numbers executes any order."""
 
     fencing = standin.Fencing.IGNORE
 
-    def test_obeys_an_old_order(self):
-        """Only what the engine says it serves shows the old order."""
+    def test_stale_order(self):
+        """A stale order succeeds; only the status shows its effect."""
         contracts.load_version(self.engine, 'v2', 8)
         contracts.load_version(self.engine, 'v1', 7)
         status = self.engine.status()
@@ -105,7 +107,7 @@
 
 @tables.expand
 class EngineFaultTest(EngineCase):
-    """Faults between the adapter and the engine."""
+    """Faults of the engine and of the connection to it."""
 
     limits = _SHORT_LIMITS
 
@@ -125,11 +127,11 @@
         stalled=('stall', {'parts': 2, 'seconds': 5}),
     )
     def test_stream(self, case):
-        """A stream that is cut is an error, however much of it came."""
+        """A truncated stream is an error, however much of it arrived."""
         kind, details = case
         self.inject_fault(kind, **details)
         error = self.assertRaises(
-            errors.EndpointError, self.attempt, contracts.completion()
+            errors.EndpointError, self.attempt, contracts.completion_call()
         )
         self.assertEqual(errors.Execution.MAY_HAVE_RUN, error.execution)
         self.assertEqual(self.address, error.peer)
@@ -142,11 +144,11 @@
         stalled=('stall', {'seconds': 5}),
         wrong_length=('wrong_length', {}),
     )
-    def test_whole(self, case):
-        """A whole answer that is cut is an error."""
+    def test_not_streamed(self, case):
+        """A truncated answer that is not streamed is an error."""
         kind, details = case
         self.inject_fault(kind, **details)
-        call = contracts.completion(stream=False, timeout=0.4)
+        call = contracts.completion_call(stream=False, timeout=0.4)
         error = self.assertRaises(errors.EndpointError, self.attempt, call)
         self.assertEqual(errors.Execution.MAY_HAVE_RUN, error.execution)
 
@@ -158,7 +160,7 @@
         status=('status', 'v1', {'status': 500}),
     )
     def test_load(self, case):
-        """An order fails, and may have taken effect; the status tells."""
+        """A failed load may have taken effect; the status shows whether."""
         kind, version, details = case
         self.inject_fault(kind, method='PUT', **details)
         error = self.assertRaises(
@@ -177,37 +179,37 @@
         '"waiting":0,"capacity":1,"colour":"red"}',
     )
     def test_malformed_status(self, body):
-        """A status that contradicts the protocol is an error."""
+        """A status that violates the protocol is an error."""
         self.inject_fault('replace', body=body)
         error = self.assertRaises(errors.EndpointError, self.engine.status)
         self.assertEqual('status', error.step)
 
-    def test_takes_too_long(self):
-        """A stream that never falls silent and never ends is given up."""
-        call = contracts.completion(count=9000, timeout=0.3)
+    def test_deadline(self):
+        """A stream that keeps sending past its deadline is aborted."""
+        call = contracts.completion_call(count=9000, timeout=0.3)
         error = self.assertRaises(errors.EndpointError, self.attempt, call)
         self.assertEqual('answer took too long', error.detail)
 
-    def test_answers_no_stream(self):
-        """A stream was asked for, and something else is answered."""
+    def test_not_an_event_stream(self):
+        """An answer of another type to a streaming request is an error."""
         self.inject_fault('replace', body='{}')
         self.assertRaises(
-            errors.EndpointError, self.attempt, contracts.completion()
+            errors.EndpointError, self.attempt, contracts.completion_call()
         )
 
     def test_health(self):
-        """An engine that fails is not healthy, and recovers."""
+        """An engine that answers with an error is unhealthy until it recovers."""
         self.inject_fault('status')
         self.assertFalse(self.engine.is_healthy())
         self.assertTrue(self.engine.is_healthy())
 
     @tables.cases(
-        call=lambda adapter: adapter.call(contracts.completion()),
+        call=lambda adapter: adapter.call(contracts.completion_call()),
         status=lambda adapter: adapter.status(),
         load=lambda adapter: contracts.load_version(adapter, 'v1', 1),
     )
-    def test_refused(self, attempt):
-        """Nothing listens: only then is it certain that nothing was run."""
+    def test_connection_refused(self, attempt):
+        """Only a refused connection proves that nothing was run."""
         adapter = engine.HttpEngine(serving.closed_address(), _SHORT_LIMITS)
         error = self.assertRaises(errors.EndpointError, attempt, adapter)
         self.assertEqual(errors.Execution.NOT_RUN, error.execution)
@@ -221,13 +223,13 @@
         other_host=protocols.Call('r', 'GET', 'http://127.0.0.1:1/', b''),
         space_in_path=protocols.Call('r', 'GET', '/a\nb', b''),
     )
-    def test_unsendable(self, call):
-        """A call that HTTP cannot carry is refused before it is sent."""
+    def test_unsendable_call(self, call):
+        """A call that is invalid in HTTP is rejected before it is sent."""
         error = self.assertRaises(errors.EndpointError, self.engine.call, call)
         self.assertEqual(errors.Execution.NOT_RUN, error.execution)
 
-    def test_parts_fail(self):
-        """The weights fail while they are sent: the order has no effect."""
+    def test_weights_read_error(self):
+        """If reading the weights fails while sending, nothing is loaded."""
 
         def parts():
             yield b'a'
@@ -246,18 +248,19 @@
         self.assertEqual('v1', self.engine.status().version)
 
 
-class GiveUpTest(EngineCase):
-    """Answers are given up from another thread."""
+class CloseTest(EngineCase):
+    """Answers are closed from another thread."""
 
     def test_wakes_a_blocked_reader(self):
-        """A connection goes silent while its reader waits for more.
+        """Closing an answer wakes a thread that is blocked reading it.
 
-        The gate gives the answer up from another thread. The reader must
-        wake up at once, long before its own timeout.
+        The gate closes the answer of a silent connection from another
+        thread. The reader must get its error at once, not only after its own
+        timeout.
         """
         contracts.load_version(self.engine, 'v1', 1)
         self.inject_fault('stall', parts=1, seconds=60)
-        answer = self.engine.call(contracts.completion())
+        answer = self.engine.call(contracts.completion_call())
         parts = answer.parts()
         next(parts)
         outcomes = []
--- a/tests/endpoints/test_service.py
+++ b/tests/endpoints/test_service.py
@@ -1,4 +1,4 @@
-"""Tests of plain services: their contract, and their adapter under faults."""
+"""Tests of the adapter for plain services: contract and faults."""
 
 from __future__ import annotations
 
@@ -21,7 +21,7 @@
 
 
 class MemoryServiceTest(contracts.ServiceContract, testtools.TestCase):
-    """The fake in memory keeps to the contract."""
+    """The in-memory fake fulfils the contract."""
 
     def setUp(self):
         super().setUp()
@@ -30,7 +30,7 @@
 
 @tables.expand
 class HttpServiceTest(contracts.ServiceContract, testtools.TestCase):
-    """The adapter and the stand-in keep to the contract together."""
+    """The adapter fulfils the contract against the stand-in."""
 
     def setUp(self):
         super().setUp()
@@ -49,10 +49,10 @@
         oversized=('replace', 2, {'body': 'a' * 1001}),
     )
     def test_fault(self, case):
-        """An answer is lost, and nobody can tell whether the call was run.
+        """A lost answer leaves open whether the call was run.
 
-        The error says so whether it was or not, and the call is not sent
-        again: the next run is the one that the caller orders.
+        The error says so in either case, and the adapter does not send the
+        call again: the next run is the one that the caller requests.
         """
         kind, next_run, details = case
         fault = serving.fault(kind, **details)
@@ -64,18 +64,18 @@
     def attempt(self):
         return contracts.read_body(self.service.call(_CALL))
 
-    def test_status_is_handed_on(self):
-        """A service's own refusal is its answer."""
+    def test_status_is_passed_on(self):
+        """An error status of the service is returned as its answer."""
         fault = serving.fault('status', status=404)
         serving.order(self.address, faults=(fault,))
         self.assertEqual(404, self.service.call(_CALL).head.status)
 
-    def test_own_connection(self):
-        """A service closes the connections that it keeps idle.
+    def test_connections_are_not_reused(self):
+        """Calls and health checks open new connections.
 
-        A call that is written to one of them at that moment may have run,
-        for all that its sender can tell, and a health check that is would
-        take the service for dead. So neither uses a kept connection.
+        A service may close an idle connection just as a request is written to
+        it. The sender could not tell whether a call was run, and a health
+        check would take the service for dead.
         """
         connections = []
 
@@ -109,9 +109,11 @@
             contracts.read_body(adapter.call(call))
         self.assertEqual(5, len(connections))
 
-    def test_refused(self):
-        """Nothing listens: only then is it certain that nothing was run."""
-        gone = service.HttpService(serving.closed_address(), _SHORT_LIMITS)
-        error = self.assertRaises(errors.EndpointError, gone.call, _CALL)
+    def test_connection_refused(self):
+        """Only a refused connection proves that nothing was run."""
+        unreachable = service.HttpService(
+            serving.closed_address(), _SHORT_LIMITS
+        )
+        error = self.assertRaises(errors.EndpointError, unreachable.call, _CALL)
         self.assertEqual(errors.Execution.NOT_RUN, error.execution)
-        self.assertFalse(gone.is_healthy())
+        self.assertFalse(unreachable.is_healthy())
--- a/tests/standins/test_programs.py
+++ b/tests/standins/test_programs.py
@@ -59,15 +59,15 @@
             'engine', '--serves', 'v1', '--crash-on', 'boom'
         )
         adapter = engine.HttpEngine(address)
-        contracts.read_body(adapter.call(contracts.completion()))
+        contracts.read_body(adapter.call(contracts.completion_call()))
         error = self.assertRaises(
             errors.EndpointError,
             adapter.call,
-            contracts.completion(prompt='it goes boom'),
+            contracts.completion_call(prompt='it goes boom'),
         )
         self.assertEqual(errors.Execution.MAY_HAVE_RUN, error.execution)
         self.assertNotEqual(0, process.wait(_END_TIMEOUT))
         error = self.assertRaises(
-            errors.EndpointError, adapter.call, contracts.completion()
+            errors.EndpointError, adapter.call, contracts.completion_call()
         )
         self.assertEqual(errors.Execution.NOT_RUN, error.execution)
