--- a/clementinepass/endpoints/transport.py
+++ b/clementinepass/endpoints/transport.py
@@ -157,7 +157,7 @@
             only if no connection could be opened.
         """
         connection = self._connect(exchange)
-        sock = connection.sock
+        kept_socket = connection.sock
         try:
             response = self._request_head(connection, exchange)
         except _CONNECTION_ERRORS as error:
@@ -176,7 +176,7 @@
             )
         return answers.HttpAnswer(
             response,
-            answers.AnswerConnection(connection, sock),
+            answers.AnswerConnection(connection, kept_socket),
             peer=self.peer,
             reader_factory=reader_factory,
             expiry=expiry,
