--- a/clementinepass/entry/assembly.py
+++ b/clementinepass/entry/assembly.py
@@ -141,7 +141,7 @@
         self._entry.leave()
         logger.bind(step='drain').info('leaving')
         leaving = self._entry.leaving
-        while leaving.accepts(self._clock.now()):
+        while leaving.accepts_requests(self._clock.now()):
             await asyncio.sleep(_POLL)
         deadline = self._clock.now() + self._settings.daemon.drain_grace
         while self._entry.in_progress and self._clock.now() < deadline:
--- a/clementinepass/entry/entry.py
+++ b/clementinepass/entry/entry.py
@@ -115,7 +115,7 @@
         #: The configuration in force.
         self.catalogue = catalogues.Catalogue.from_state(follower.current)
         #: Whether and how long new requests are taken.
-        self.leaving = entry_ranking.Leaving(max_age=limits.max_age)
+        self.leaving = entry_ranking.EntryDrain(max_age=limits.max_age)
         #: Takes each request from admission to its final answer.
         self.dispatcher = dispatcher.Dispatcher(
             identity.id,
@@ -173,8 +173,8 @@
 
     def leave(self) -> None:
         """Announce that this entry leaves; it goes on accepting a while."""
-        self.leaving.begin(self._clock.now())
-        self.view.entry_leaving(self.id)
+        self.leaving.announce(self._clock.now())
+        self.view.mark_entry_draining(self.id)
         self._tell()
 
     def desk_for(self, target: str) -> desk.Desk:
@@ -260,12 +260,12 @@
 
     def silent(self, agent: str) -> None:
         """Note that an agent's heartbeats have stopped."""
-        self.view.silent(agent)
+        self.view.mark_silent(agent)
         self._refresh_all()
 
     def gone(self, agent: str) -> None:
         """Note that an agent's process is no longer there."""
-        self.view.gone(agent)
+        self.view.mark_gone(agent)
         self._refresh_all()
 
     # What connections to other entries show.
@@ -279,18 +279,18 @@
         process = f'{entry}#{state.incarnation}'
         if self._processes_by_entry.get(entry) != process:
             self._processes_by_entry[entry] = process
-            self.view.entry_started(entry)
+            self.view.mark_entry_started(entry)
             self._shares.set_entries(
                 frozenset(self._processes_by_entry.values()),
             )
-        self.view.entry_reached(entry)
+        self.view.mark_entry_reachable(entry)
         if state.leaving:
-            self.view.entry_leaving(entry)
+            self.view.mark_entry_draining(entry)
         self._shares.receive(process, state)
 
     def entry_lost(self, entry: str) -> None:
         """Note that another entry can't be reached."""
-        self.view.entry_unreachable(entry, self._clock.now())
+        self.view.mark_entry_unreachable(entry, self._clock.now())
         if self._processes_by_entry.pop(entry, None) is not None:
             self._shares.set_entries(
                 frozenset(self._processes_by_entry.values()),
@@ -313,7 +313,7 @@
         return entry_messages.EntryState(
             sequence=self._sequence,
             incarnation=self._identity.incarnation,
-            leaving=self.leaving.announced,
+            leaving=self.leaving.is_announced,
             revision=self.revision(),
             shares=self._shares.reports_since(known),
         )
@@ -408,7 +408,7 @@
                     error.detail,
                 )
             else:
-                self.view.listed(instances)
+                self.view.update_list(instances)
                 self._listed = True
                 self._meet_peers()
             await asyncio.sleep(
--- a/clementinepass/entry/fleet.py
+++ b/clementinepass/entry/fleet.py
@@ -62,7 +62,7 @@
 
     def reported(self, agent: str, state: messages.AgentState) -> None:
         """Take in an agent's state."""
-        self._view.reported(agent, to_report(state))
+        self._view.add_report(agent, to_report(state))
         own = self.in_flight.count(agent)
         self._others_by_agent[agent] = max(state.running - own, 0)
         self._since_report_by_agent[agent] = 0
--- a/clementinepass/entry/http.py
+++ b/clementinepass/entry/http.py
@@ -221,7 +221,7 @@
         caller = msgspec.structs.replace(caller, body=body)
         request = self._reader.read(caller, catalogue, team)
         responder.sender = instruments.Sender.of(request)
-        if not self._entry.leaving.accepts(self._clock.now()):
+        if not self._entry.leaving.accepts_requests(self._clock.now()):
             raise self._overloaded(request, problem.Reason.LEAVING)
         if not self._places.acquire(blocking=False):
             # Load: more requests than places. Harm: a refusal that waits for
@@ -497,7 +497,7 @@
     return _Status(
         entry.id,
         entry.revision(),
-        entry.leaving.announced,
+        entry.leaving.is_announced,
         entry.in_progress,
         entry.view.entries(),
         entry.agent_status(),
--- a/clementinepass/membership/entries.py
+++ b/clementinepass/membership/entries.py
@@ -60,7 +60,7 @@
 
 
 @dataclasses.dataclass(slots=True)
-class Leaving:
+class EntryDrain:
     """Tell how long a leaving entry still takes callers' requests.
 
     Callers that asked just before it announced its leaving may keep its
@@ -69,23 +69,23 @@
 
     max_age: float = DEFAULT_MAX_AGE
     margin: float = DEFAULT_MARGIN
-    _began: float | None = None
+    _announced_at: float | None = None
 
     @property
-    def announced(self) -> bool:
+    def is_announced(self) -> bool:
         """Tell whether the entry has announced that it leaves."""
-        return self._began is not None
+        return self._announced_at is not None
 
-    def begin(self, now: float) -> None:
+    def announce(self, now: float) -> None:
         """Announce it; a second announcement changes nothing."""
-        if self._began is None:
-            self._began = now
+        if self._announced_at is None:
+            self._announced_at = now
 
-    def accepts(self, now: float) -> bool:
+    def accepts_requests(self, now: float) -> bool:
         """Tell whether new requests are still taken."""
-        if self._began is None:
+        if self._announced_at is None:
             return True
-        return now < self._began + self.max_age + self.margin
+        return now < self._announced_at + self.max_age + self.margin
 
 
 def _distance(
--- a/clementinepass/membership/view.py
+++ b/clementinepass/membership/view.py
@@ -15,7 +15,7 @@
 
 #: Seconds for which an entry that could not be reached isn't offered to
 #: callers.  As long as the list may lag; then the list decides again.
-ENTRY_UNREACHABLE_FOR = 30.0
+ENTRY_UNREACHABLE_SECONDS = 30.0
 
 
 class AgentPhase(enum.Enum):
@@ -77,21 +77,21 @@
     drained_incarnation: int = -1
 
     @property
-    def draining(self) -> bool:
+    def is_draining(self) -> bool:
         """Tell whether it announced that it drains, and is still the same."""
         if self.report is None:
             return False
         return self.drained_incarnation >= self.report.incarnation
 
     @property
-    def may_get_work(self) -> bool:
+    def is_available(self) -> bool:
         """Tell whether new work may go there."""
         if self.report is None or self.liveness is not Liveness.ATTACHED:
             return False
         if self.instance.state is protocols.InstanceState.LEAVING:
             return False
-        serving = self.report.phase is AgentPhase.SERVING
-        return serving and not self.draining
+        is_serving = self.report.phase is AgentPhase.SERVING
+        return is_serving and not self.is_draining
 
 
 class MembershipView:
@@ -104,71 +104,73 @@
     __slots__ = (
         '_agents_by_id',
         '_entries_by_id',
-        '_leaving_entries',
+        '_draining_entries',
         '_unreachable_until_by_entry',
     )
 
     def __init__(self) -> None:
         self._agents_by_id: dict[str, _Agent] = {}
         self._entries_by_id: dict[str, protocols.Instance] = {}
-        self._leaving_entries: set[str] = set()
+        self._draining_entries: set[str] = set()
         self._unreachable_until_by_entry: dict[str, float] = {}
 
-    def listed(self, instances: typing.Iterable[protocols.Instance]) -> None:
+    def update_list(
+        self, instances: typing.Iterable[protocols.Instance]
+    ) -> None:
         """Take in a whole instance list."""
         by_id = {instance.id: instance for instance in instances}
-        self._take_agents(by_id)
+        self._update_agents(by_id)
         # A leaving entry stays announced until the list has dropped it: a
         # lagging list goes on showing it as live.
-        self._leaving_entries -= self._entries_by_id.keys() - by_id.keys()
+        self._draining_entries -= self._entries_by_id.keys() - by_id.keys()
         self._entries_by_id = {
             instance.id: instance
             for instance in by_id.values()
             if instance.role is protocols.Role.ENTRY
         }
 
-    def reported(self, agent: str, report: AgentReport) -> None:
+    def add_report(self, agent: str, report: AgentReport) -> None:
         """Take in what an attached agent said of itself.
 
         Reports of an older process, or out of order, change nothing.
         """
-        known = self._agents_by_id.get(agent)
-        if known is None:
+        member = self._agents_by_id.get(agent)
+        if member is None:
             return
-        if known.report is not None and _order(report) < _order(known.report):
+        if member.report is not None and _order(report) < _order(member.report):
             return
-        known.report = report
-        known.liveness = Liveness.ATTACHED
+        member.report = report
+        member.liveness = Liveness.ATTACHED
         if report.phase is AgentPhase.DRAINING:
-            known.drained_incarnation = report.incarnation
+            member.drained_incarnation = report.incarnation
 
-    def silent(self, agent: str) -> None:
+    def mark_silent(self, agent: str) -> None:
         """Note that an agent's heartbeats stopped."""
-        known = self._agents_by_id.get(agent)
-        if known is not None and known.liveness is Liveness.ATTACHED:
-            known.liveness = Liveness.SILENT
+        member = self._agents_by_id.get(agent)
+        if member is not None and member.liveness is Liveness.ATTACHED:
+            member.liveness = Liveness.SILENT
 
-    def gone(self, agent: str) -> None:
+    def mark_gone(self, agent: str) -> None:
         """Note that an agent's process is no longer there."""
-        known = self._agents_by_id.get(agent)
-        if known is not None:
-            known.liveness = Liveness.GONE
+        member = self._agents_by_id.get(agent)
+        if member is not None:
+            member.liveness = Liveness.GONE
 
-    def entry_leaving(self, entry: str) -> None:
+    def mark_entry_draining(self, entry: str) -> None:
         """Note that an entry, this one or another, announced it leaves."""
-        self._leaving_entries.add(entry)
+        self._draining_entries.add(entry)
 
-    def entry_started(self, entry: str) -> None:
+    def mark_entry_started(self, entry: str) -> None:
         """Note that a new process of an entry was met."""
-        self._leaving_entries.discard(entry)
+        self._draining_entries.discard(entry)
         self._unreachable_until_by_entry.pop(entry, None)
 
-    def entry_unreachable(self, entry: str, now: float) -> None:
+    def mark_entry_unreachable(self, entry: str, now: float) -> None:
         """Note that an entry could not be reached."""
-        until = now + ENTRY_UNREACHABLE_FOR
+        until = now + ENTRY_UNREACHABLE_SECONDS
         self._unreachable_until_by_entry[entry] = until
 
-    def entry_reached(self, entry: str) -> None:
+    def mark_entry_reachable(self, entry: str) -> None:
         """Note that an entry answered."""
         self._unreachable_until_by_entry.pop(entry, None)
 
@@ -187,20 +189,20 @@
                 report=agent.report,
             )
             for agent in self._agents_by_id.values()
-            if agent.may_get_work
+            if agent.is_available
             and agent.report is not None
             and agent.report.serves == target
         )
 
     def liveness(self, agent: str) -> Liveness:
         """Return what the connection to an agent shows."""
-        known = self._agents_by_id.get(agent)
-        return Liveness.GONE if known is None else known.liveness
+        member = self._agents_by_id.get(agent)
+        return Liveness.GONE if member is None else member.liveness
 
     def report(self, agent: str) -> AgentReport | None:
         """Return what an agent said of itself last."""
-        known = self._agents_by_id.get(agent)
-        return None if known is None else known.report
+        member = self._agents_by_id.get(agent)
+        return None if member is None else member.report
 
     def entries(self) -> tuple[protocols.Instance, ...]:
         """Return all listed entries, for connections between entries."""
@@ -217,22 +219,22 @@
     def _may_be_offered(self, entry: protocols.Instance, now: float) -> bool:
         if entry.state is protocols.InstanceState.LEAVING:
             return False
-        if entry.id in self._leaving_entries:
+        if entry.id in self._draining_entries:
             return False
         return self._unreachable_until_by_entry.get(entry.id, now) <= now
 
-    def _take_agents(
+    def _update_agents(
         self,
         instances_by_id: dict[str, protocols.Instance],
     ) -> None:
         for instance in instances_by_id.values():
             if instance.role is not protocols.Role.AGENT:
                 continue
-            known = self._agents_by_id.setdefault(
+            member = self._agents_by_id.setdefault(
                 instance.id,
                 _Agent(instance),
             )
-            known.instance = instance
+            member.instance = instance
         for agent_id in tuple(self._agents_by_id):
             attached = (
                 self._agents_by_id[agent_id].liveness is Liveness.ATTACHED
--- a/tests/entry/test_fleet.py
+++ b/tests/entry/test_fleet.py
@@ -45,7 +45,7 @@
         )
         self.targets = {f'agent-{n}': 'quick' for n in range(4)}
         self.targets |= {f'agent-{n}': 'slow' for n in range(4, 8)}
-        view.listed(
+        view.update_list(
             protocols.Instance(
                 id=agent,
                 role=protocols.Role.AGENT,
--- a/tests/membership/test_view.py
+++ b/tests/membership/test_view.py
@@ -69,8 +69,8 @@
         super().setUp()
         self.view = _serving_view()
 
-    def _names(self) -> list[str]:
-        return [each.agent for each in self.view.candidates('m')]
+    def _candidate_names(self) -> list[str]:
+        return [candidate.agent for candidate in self.view.candidates('m')]
 
     def test_draining_goes_before_the_list(self) -> None:
         """An agent announces its drain 30 s before the list shows it.
@@ -80,45 +80,69 @@
         process of the same instance reports.
         """
         draining = _report(sequence=3, phase=view.AgentPhase.DRAINING)
-        self.view.reported('a1', draining)
-        self.view.listed([_agent('a1')])
-        self.view.reported('a1', _report(sequence=2))
-        self.view.reported('a1', _report(sequence=4))
-        self.assertEqual([], self._names())
-        self.view.reported('a1', _report(incarnation=2))
-        self.assertEqual(['a1'], self._names())
+        self.view.add_report('a1', draining)
+        self.view.update_list([_agent('a1')])
+        self.view.add_report('a1', _report(sequence=2))
+        self.view.add_report('a1', _report(sequence=4))
+        self.assertEqual([], self._candidate_names())
+        self.view.add_report('a1', _report(incarnation=2))
+        self.assertEqual(['a1'], self._candidate_names())
 
     def test_events(self) -> None:
         """Each thing that ends or allows work at an agent."""
         starting = _report(sequence=2, phase=view.AgentPhase.STARTING)
-        stories = (
-            ('serves', lambda it: None, True),
-            ('silent', lambda it: it.silent('a1'), False),
-            ('gone', lambda it: it.gone('a1'), False),
-            ('starting', lambda it: it.reported('a1', starting), False),
-            ('leaving', lambda it: it.listed([_agent('a1', LEAVING)]), False),
-            ('dropped from a lagging list', lambda it: it.listed([]), True),
-            ('stranger silent', lambda it: it.silent('zz'), True),
-            ('stranger', lambda it: it.reported('z', _report()), True),
+        cases = (
+            ('serves', lambda membership: None, True),
+            ('silent', lambda membership: membership.mark_silent('a1'), False),
+            ('gone', lambda membership: membership.mark_gone('a1'), False),
+            (
+                'starting',
+                lambda membership: membership.add_report('a1', starting),
+                False,
+            ),
+            (
+                'leaving',
+                lambda membership: membership.update_list(
+                    [_agent('a1', LEAVING)]
+                ),
+                False,
+            ),
+            (
+                'dropped from a lagging list',
+                lambda membership: membership.update_list([]),
+                True,
+            ),
+            (
+                'stranger silent',
+                lambda membership: membership.mark_silent('zz'),
+                True,
+            ),
+            (
+                'stranger',
+                lambda membership: membership.add_report('z', _report()),
+                True,
+            ),
         )
-        for story, happen, serves in stories:
-            with self.subTest(story):
+        for name, change, is_candidate in cases:
+            with self.subTest(name):
                 self.view = _serving_view()
-                happen(self.view)
-                self.assertEqual(['a1'] if serves else [], self._names())
+                change(self.view)
+                self.assertEqual(
+                    ['a1'] if is_candidate else [], self._candidate_names()
+                )
 
     def test_silent_then_back(self) -> None:
         """A connection falls silent and a new one shows the same process."""
-        self.view.silent('a1')
+        self.view.mark_silent('a1')
         self.assertEqual(view.Liveness.SILENT, self.view.liveness('a1'))
-        self.view.reported('a1', _report())
-        self.assertEqual(['a1'], self._names())
+        self.view.add_report('a1', _report())
+        self.assertEqual(['a1'], self._candidate_names())
 
     def test_gone_and_unlisted_is_forgotten(self) -> None:
         """An agent without connection or listing isn't connected to."""
-        self.view.gone('a1')
+        self.view.mark_gone('a1')
         self.assertEqual(1, len(self.view.agents()))
-        self.view.listed([])
+        self.view.update_list([])
         self.assertEqual((), self.view.agents())
 
     def test_other_targets(self) -> None:
@@ -135,31 +159,31 @@
         The list lags: it shows the entry as live after its announcement,
         until it drops it; a new process there is offered again.
         """
-        known = view.MembershipView()
+        membership = view.MembershipView()
         listed = [_entry('e1'), _entry('e2'), _entry('e3', LEAVING)]
-        known.listed(listed)
-        known.entry_leaving('e1')
-        known.listed(listed)
-        self.assertEqual(['e2'], _ids(known.offered_entries(0)))
-        known.entry_unreachable('e2', 0)
-        self.assertEqual([], _ids(known.offered_entries(29)))
-        self.assertEqual(['e2'], _ids(known.offered_entries(30)))
-        known.entry_started('e1')
-        self.assertEqual(['e1', 'e2'], _ids(known.offered_entries(30)))
-        self.assertEqual(3, len(known.entries()))
+        membership.update_list(listed)
+        membership.mark_entry_draining('e1')
+        membership.update_list(listed)
+        self.assertEqual(['e2'], _ids(membership.offered_entries(0)))
+        membership.mark_entry_unreachable('e2', 0)
+        self.assertEqual([], _ids(membership.offered_entries(29)))
+        self.assertEqual(['e2'], _ids(membership.offered_entries(30)))
+        membership.mark_entry_started('e1')
+        self.assertEqual(['e1', 'e2'], _ids(membership.offered_entries(30)))
+        self.assertEqual(3, len(membership.entries()))
 
     def test_leaving_before_the_list_shows_it(self) -> None:
         """An entry that leaves while the list doesn't show it yet."""
-        known = view.MembershipView()
-        known.entry_leaving('e1')
-        known.listed([_entry('e2')])
-        known.listed([_entry('e1'), _entry('e2')])
-        self.assertEqual(['e2'], _ids(known.offered_entries(0)))
+        membership = view.MembershipView()
+        membership.mark_entry_draining('e1')
+        membership.update_list([_entry('e2')])
+        membership.update_list([_entry('e1'), _entry('e2')])
+        self.assertEqual(['e2'], _ids(membership.offered_entries(0)))
 
     def test_rank(self) -> None:
         """Near ones first, callers spread evenly, few moves on a change."""
         listed = [
-            *(_entry(f'n{each}') for each in range(3)),
+            *(_entry(f'n{index}') for index in range(3)),
             _entry('other-domain', domain='north-2'),
             _entry('far', region='south', domain='south-1'),
         ]
@@ -176,20 +200,20 @@
 
     def test_leaving_accepts_for_kept_answers(self) -> None:
         """Callers with an old answer are served until it has run out."""
-        leaving = entries.Leaving(max_age=10, margin=5)
-        self.assertTrue(leaving.accepts(100))
-        leaving.begin(100)
-        leaving.begin(110)
-        self.assertTrue(leaving.announced)
-        self.assertTrue(leaving.accepts(114.9))
-        self.assertFalse(leaving.accepts(115))
+        drain = entries.EntryDrain(max_age=10, margin=5)
+        self.assertTrue(drain.accepts_requests(100))
+        drain.announce(100)
+        drain.announce(110)
+        self.assertTrue(drain.is_announced)
+        self.assertTrue(drain.accepts_requests(114.9))
+        self.assertFalse(drain.accepts_requests(115))
 
 
 def _serving_view() -> view.MembershipView:
-    known = view.MembershipView()
-    known.listed([_agent('a1')])
-    known.reported('a1', _report())
-    return known
+    membership = view.MembershipView()
+    membership.update_list([_agent('a1')])
+    membership.add_report('a1', _report())
+    return membership
 
 
 def _ids(instances: tuple[protocols.Instance, ...]) -> list[str]:
