--- a/clementinepass/membership/__init__.py
+++ b/clementinepass/membership/__init__.py
@@ -1,1 +1,1 @@
-"""Members: entries, agents, leaving and liveness."""
+"""Membership: agents, entries, their liveness and draining."""
--- a/clementinepass/membership/entries.py
+++ b/clementinepass/membership/entries.py
@@ -1,4 +1,4 @@
-"""Rank entries for a caller, and leave in step with kept answers."""
+"""Ranking of entries for callers, and draining of an entry."""
 
 from __future__ import annotations
 
@@ -9,15 +9,15 @@
 
 from clementinepass.platform import protocols
 
-#: Seconds for which a caller may keep the ranked entries.
+#: Seconds for which a caller may cache the ranked entries.
 DEFAULT_MAX_AGE = 10
-#: Seconds beyond ``max-age`` for which a leaving entry goes on accepting:
-#: covers the answer's way to the caller and clocks that run apart.
+#: Seconds after ``max-age`` for which a draining entry still accepts requests;
+#: covers the transit of the ranking to the caller and clock drift.
 DEFAULT_MARGIN = 5.0
 
 
 class OfferedEntry(typing.NamedTuple):
-    """One address for a caller to use."""
+    """Entry offered to a caller."""
 
     address: str
     failure_domain: str
@@ -31,15 +31,17 @@
     failure_domain: str,
     region: str,
 ) -> tuple[OfferedEntry, ...]:
-    """Order entries: nearest first, callers spread among equally near ones.
+    """Return the entries, nearest first, in an order of the caller's own.
 
-    Rendezvous hashing gives each caller an order of its own that changes
-    only where an entry comes or goes, so a team's callers don't all move
-    when one entry is replaced.
+    Rendezvous hashing spreads callers among equally near entries. A caller's
+    order changes only where an entry is added or removed, so a team's
+    callers do not all move when one entry is replaced.
 
-    :param caller: what tells callers apart, such as address and team.
-    :param failure_domain: the caller's, or that of the entry asked.
-    :param region: likewise.
+    :param caller: identifies the caller, for example by address and team.
+    :param failure_domain: the caller's failure domain, or that of the entry
+        that answers.
+    :param region: the caller's region, or that of the entry that answers.
+    :returns: the ranked entries.
     """
     ranked = sorted(
         entries,
@@ -61,10 +63,14 @@
 
 @dataclasses.dataclass(slots=True)
 class EntryDrain:
-    """Tell how long a leaving entry still takes callers' requests.
+    """Period in which a draining entry still accepts requests.
 
-    Callers that asked just before it announced its leaving may keep its
-    address for ``max_age``; refusing them would fail requests for nothing.
+    Callers that fetched the ranking just before the drain was announced may
+    cache the entry's address for ``max_age``; rejecting them would fail
+    requests needlessly.
+
+    :param max_age: seconds for which callers may cache the ranking.
+    :param margin: seconds added to ``max_age``.
     """
 
     max_age: float = DEFAULT_MAX_AGE
@@ -73,16 +79,16 @@
 
     @property
     def is_announced(self) -> bool:
-        """Tell whether the entry has announced that it leaves."""
+        """Return whether the entry has announced that it drains."""
         return self._announced_at is not None
 
     def announce(self, now: float) -> None:
-        """Announce it; a second announcement changes nothing."""
+        """Start the drain at ``now``; repeated calls have no effect."""
         if self._announced_at is None:
             self._announced_at = now
 
     def accepts_requests(self, now: float) -> bool:
-        """Tell whether new requests are still taken."""
+        """Return whether the entry still accepts new requests."""
         if self._announced_at is None:
             return True
         return now < self._announced_at + self.max_age + self.margin
--- a/clementinepass/membership/view.py
+++ b/clementinepass/membership/view.py
@@ -1,8 +1,9 @@
-"""Merge the lagging instance list with what the connections show.
+"""Membership merged from the lagging instance list and the connections.
 
-The list says who should exist and where; a connection says who is there and
-what it does.  What a process says of itself goes before what the list says
-of it, but for one thing: an instance that either calls leaving is leaving.
+The list says which instances should exist and where; a connection shows
+whether a process is alive and what it does. A process's own report takes
+precedence over the list, with one exception: an instance is draining if
+either of them says so.
 """
 
 from __future__ import annotations
@@ -13,13 +14,13 @@
 
 from clementinepass.platform import protocols
 
-#: Seconds for which an entry that could not be reached isn't offered to
-#: callers.  As long as the list may lag; then the list decides again.
+#: Seconds for which an unreachable entry is not offered to callers. The list
+#: may lag by that long; after it, the list alone decides again.
 ENTRY_UNREACHABLE_SECONDS = 30.0
 
 
 class AgentPhase(enum.Enum):
-    """What an agent says it is doing."""
+    """Phase reported by an agent."""
 
     STARTING = 'starting'
     SERVING = 'serving'
@@ -27,29 +28,29 @@
 
 
 class Liveness(enum.Enum):
-    """What the connection to a process shows."""
+    """Liveness of a process, judged by the connection to it."""
 
-    #: Attached, and its heartbeats come.
+    #: Connected, and heartbeats arrive.
     ATTACHED = 'attached'
-    #: Its heartbeats stopped; a new connection is being tried.
+    #: Heartbeats have stopped; a new connection is being tried.
     SILENT = 'silent'
-    #: Gone: connections are refused, or nothing came for long.
+    #: Connections are refused, or nothing was received for long.
     GONE = 'gone'
 
 
 @dataclasses.dataclass(slots=True, frozen=True)
 class AgentReport:
-    """What an agent said of itself, last."""
+    """State that an agent reports."""
 
     incarnation: int
-    #: Grows with each change within an incarnation.
+    #: Increases with each change within an incarnation.
     sequence: int
     phase: AgentPhase
     #: ``engine`` or ``service``.
     kind: str
-    #: The name of the model or service behind it.
+    #: The name of the model or service that the endpoint serves.
     serves: str
-    #: The version that it serves; empty for none and for services.
+    #: The version being served; empty for none and for services.
     version: str
     running: int
     capacity: int
@@ -57,7 +58,7 @@
 
 @dataclasses.dataclass(slots=True, frozen=True)
 class Candidate:
-    """An endpoint that may get new work."""
+    """Endpoint that may be sent new requests."""
 
     agent: str
     address: str
@@ -68,24 +69,24 @@
 
 @dataclasses.dataclass(slots=True)
 class _Agent:
-    """What is known of one agent."""
+    """State of one agent."""
 
     instance: protocols.Instance
     report: AgentReport | None = None
     liveness: Liveness = Liveness.GONE
-    #: The newest incarnation that announced that it drains.
+    #: The latest incarnation that announced a drain.
     drained_incarnation: int = -1
 
     @property
     def is_draining(self) -> bool:
-        """Tell whether it announced that it drains, and is still the same."""
+        """Return whether the current incarnation has announced a drain."""
         if self.report is None:
             return False
         return self.drained_incarnation >= self.report.incarnation
 
     @property
     def is_available(self) -> bool:
-        """Tell whether new work may go there."""
+        """Return whether the endpoint may be sent new requests."""
         if self.report is None or self.liveness is not Liveness.ATTACHED:
             return False
         if self.instance.state is protocols.InstanceState.LEAVING:
@@ -95,10 +96,11 @@
 
 
 class MembershipView:
-    """Know agents and entries; used by one owner, without a lock.
+    """View of all agents and entries; not thread-safe.
 
-    A list that does not answer is simply not passed in: the last one stays,
-    and connections go on telling who is alive.
+    While the list is unavailable, the owner does not call
+    :meth:`update_list`: the last list stays in force, and connections still
+    determine liveness.
     """
 
     __slots__ = (
@@ -117,11 +119,11 @@
     def update_list(
         self, instances: typing.Iterable[protocols.Instance]
     ) -> None:
-        """Take in a whole instance list."""
+        """Replace the instance list by a newer complete one."""
         by_id = {instance.id: instance for instance in instances}
         self._update_agents(by_id)
-        # A leaving entry stays announced until the list has dropped it: a
-        # lagging list goes on showing it as live.
+        # An entry counts as draining until the list drops it, since a lagging
+        # list still shows it as live.
         self._draining_entries -= self._entries_by_id.keys() - by_id.keys()
         self._entries_by_id = {
             instance.id: instance
@@ -130,9 +132,9 @@
         }
 
     def add_report(self, agent: str, report: AgentReport) -> None:
-        """Take in what an attached agent said of itself.
+        """Apply the report of a connected agent.
 
-        Reports of an older process, or out of order, change nothing.
+        Reports from an older incarnation, or out of order, are ignored.
         """
         member = self._agents_by_id.get(agent)
         if member is None:
@@ -145,41 +147,41 @@
             member.drained_incarnation = report.incarnation
 
     def mark_silent(self, agent: str) -> None:
-        """Note that an agent's heartbeats stopped."""
+        """Record that an agent's heartbeats have stopped."""
         member = self._agents_by_id.get(agent)
         if member is not None and member.liveness is Liveness.ATTACHED:
             member.liveness = Liveness.SILENT
 
     def mark_gone(self, agent: str) -> None:
-        """Note that an agent's process is no longer there."""
+        """Record that an agent's process no longer exists."""
         member = self._agents_by_id.get(agent)
         if member is not None:
             member.liveness = Liveness.GONE
 
     def mark_entry_draining(self, entry: str) -> None:
-        """Note that an entry, this one or another, announced it leaves."""
+        """Record that an entry, local or remote, has announced a drain."""
         self._draining_entries.add(entry)
 
     def mark_entry_started(self, entry: str) -> None:
-        """Note that a new process of an entry was met."""
+        """Record that an entry runs as a new process."""
         self._draining_entries.discard(entry)
         self._unreachable_until_by_entry.pop(entry, None)
 
     def mark_entry_unreachable(self, entry: str, now: float) -> None:
-        """Note that an entry could not be reached."""
+        """Record that an entry could not be reached."""
         until = now + ENTRY_UNREACHABLE_SECONDS
         self._unreachable_until_by_entry[entry] = until
 
     def mark_entry_reachable(self, entry: str) -> None:
-        """Note that an entry answered."""
+        """Record that an entry has answered."""
         self._unreachable_until_by_entry.pop(entry, None)
 
     def agents(self) -> tuple[protocols.Instance, ...]:
-        """Return the agents to be connected to."""
+        """Return the agents to connect to."""
         return tuple(agent.instance for agent in self._agents_by_id.values())
 
     def candidates(self, target: str) -> tuple[Candidate, ...]:
-        """Return the endpoints of a target that may get new work."""
+        """Return the endpoints of a target that may be sent new requests."""
         return tuple(
             Candidate(
                 agent=agent.instance.id,
@@ -195,17 +197,17 @@
         )
 
     def liveness(self, agent: str) -> Liveness:
-        """Return what the connection to an agent shows."""
+        """Return an agent's liveness; ``GONE`` for unknown agents."""
         member = self._agents_by_id.get(agent)
         return Liveness.GONE if member is None else member.liveness
 
     def report(self, agent: str) -> AgentReport | None:
-        """Return what an agent said of itself last."""
+        """Return an agent's last report, if any."""
         member = self._agents_by_id.get(agent)
         return None if member is None else member.report
 
     def entries(self) -> tuple[protocols.Instance, ...]:
-        """Return all listed entries, for connections between entries."""
+        """Return all listed entries, for connections among entries."""
         return tuple(self._entries_by_id.values())
 
     def offered_entries(self, now: float) -> tuple[protocols.Instance, ...]:
@@ -239,7 +241,7 @@
             attached = (
                 self._agents_by_id[agent_id].liveness is Liveness.ATTACHED
             )
-            # A lagging list may not show an agent whose connection works.
+            # A lagging list may lack an agent whose connection works.
             if agent_id not in instances_by_id and not attached:
                 del self._agents_by_id[agent_id]
 
--- a/tests/membership/__init__.py
+++ b/tests/membership/__init__.py
@@ -1,1 +1,1 @@
-"""Tests of the membership view and of the ranking of entries."""
+"""Tests of the membership view and of ranking entries."""
--- a/tests/membership/test_view.py
+++ b/tests/membership/test_view.py
@@ -1,4 +1,4 @@
-"""Tests of the view merged from list and connections, and of the ranking."""
+"""Tests of the membership view, and of ranking and draining entries."""
 
 from __future__ import annotations
 
@@ -62,22 +62,22 @@
 
 
 class AgentsTest(testtools.TestCase):
-    """Work goes only where a live process says that it serves."""
+    """Only agents that are alive and report serving are candidates."""
 
     def setUp(self) -> None:
-        """Start with one agent that serves."""
+        """Create a view with one agent that serves."""
         super().setUp()
         self.view = _serving_view()
 
     def _candidate_names(self) -> list[str]:
         return [candidate.agent for candidate in self.view.candidates('m')]
 
-    def test_draining_goes_before_the_list(self) -> None:
-        """An agent announces its drain 30 s before the list shows it.
+    def test_announced_drain_overrides_the_list(self) -> None:
+        """A draining agent is not a candidate while the list shows it as live.
 
-        The list goes on saying live, and a report that was sent before the
-        announcement arrives after it.  No new work goes there, until a new
-        process of the same instance reports.
+        The agent announces its drain 30 s before the list shows it, and a
+        report sent before the announcement arrives after it. The agent is a
+        candidate again only once a new process of the instance reports.
         """
         draining = _report(sequence=3, phase=view.AgentPhase.DRAINING)
         self.view.add_report('a1', draining)
@@ -88,8 +88,8 @@
         self.view.add_report('a1', _report(incarnation=2))
         self.assertEqual(['a1'], self._candidate_names())
 
-    def test_events(self) -> None:
-        """Each thing that ends or allows work at an agent."""
+    def test_availability(self) -> None:
+        """Events that make an agent a candidate or exclude it."""
         starting = _report(sequence=2, phase=view.AgentPhase.STARTING)
         cases = (
             ('serves', lambda membership: None, True),
@@ -131,33 +131,33 @@
                     ['a1'] if is_candidate else [], self._candidate_names()
                 )
 
-    def test_silent_then_back(self) -> None:
-        """A connection falls silent and a new one shows the same process."""
+    def test_silent_agent_recovers(self) -> None:
+        """A report from the same process ends the silence of an agent."""
         self.view.mark_silent('a1')
         self.assertEqual(view.Liveness.SILENT, self.view.liveness('a1'))
         self.view.add_report('a1', _report())
         self.assertEqual(['a1'], self._candidate_names())
 
-    def test_gone_and_unlisted_is_forgotten(self) -> None:
-        """An agent without connection or listing isn't connected to."""
+    def test_gone_and_unlisted_agent_is_removed(self) -> None:
+        """An agent that is neither connected nor listed is removed."""
         self.view.mark_gone('a1')
         self.assertEqual(1, len(self.view.agents()))
         self.view.update_list([])
         self.assertEqual((), self.view.agents())
 
-    def test_other_targets(self) -> None:
-        """Only endpoints of the wanted target are candidates."""
+    def test_other_target(self) -> None:
+        """Only endpoints of the requested target are candidates."""
         self.assertEqual((), self.view.candidates('other'))
 
 
 class EntriesTest(testtools.TestCase):
-    """Callers are offered entries that stay."""
+    """Callers are offered only entries that are live and reachable."""
 
     def test_offered(self) -> None:
-        """A leaving entry drops out at once although the list shows it.
+        """A draining entry is not offered, although the list shows it as live.
 
-        The list lags: it shows the entry as live after its announcement,
-        until it drops it; a new process there is offered again.
+        The list lags: it shows the entry as live after the announcement of
+        its drain. A new process of the entry is offered again.
         """
         membership = view.MembershipView()
         listed = [_entry('e1'), _entry('e2'), _entry('e3', LEAVING)]
@@ -172,8 +172,8 @@
         self.assertEqual(['e1', 'e2'], _ids(membership.offered_entries(30)))
         self.assertEqual(3, len(membership.entries()))
 
-    def test_leaving_before_the_list_shows_it(self) -> None:
-        """An entry that leaves while the list doesn't show it yet."""
+    def test_drain_of_an_unlisted_entry(self) -> None:
+        """An entry that drains before the list shows it is not offered."""
         membership = view.MembershipView()
         membership.mark_entry_draining('e1')
         membership.update_list([_entry('e2')])
@@ -181,7 +181,10 @@
         self.assertEqual(['e2'], _ids(membership.offered_entries(0)))
 
     def test_rank(self) -> None:
-        """Near ones first, callers spread evenly, few moves on a change."""
+        """Near entries come first, callers spread evenly, and few move.
+
+        Removing an entry changes the first choice of its own callers only.
+        """
         listed = [
             *(_entry(f'n{index}') for index in range(3)),
             _entry('other-domain', domain='north-2'),
@@ -198,8 +201,8 @@
         self.assertEqual(0, moved)
         self.assertLess(max(counts.values()), 1.2 * 300)
 
-    def test_leaving_accepts_for_kept_answers(self) -> None:
-        """Callers with an old answer are served until it has run out."""
+    def test_drain_accepts_cached_rankings(self) -> None:
+        """Callers with a cached ranking are served until it has expired."""
         drain = entries.EntryDrain(max_age=10, margin=5)
         self.assertTrue(drain.accepts_requests(100))
         drain.announce(100)
