--- a/clementinepass/endpoints/answers.py
+++ b/clementinepass/endpoints/answers.py
@@ -187,12 +187,12 @@
     :param connection: the connection that the response arrives on.
     :param peer: the endpoint's address, for error messages.
     :param reader_factory: returns the reader that splits the body.
-    :param expiry: the deadline for the complete answer.
+    :param deadline: the deadline for the complete answer.
     :param step: the caller's current step, for error messages.
     """
 
     __slots__ = (
-        '_expiry',
+        '_deadline',
         '_aborted',
         '_connection',
         '_lock',
@@ -210,7 +210,7 @@
         *,
         peer: str,
         reader_factory: ReaderFactory,
-        expiry: AnswerDeadline,
+        deadline: AnswerDeadline,
         step: str,
     ) -> None:
         #: Status and content type.
@@ -221,7 +221,7 @@
         self._response = response
         self._peer = peer
         self._reader = reader_factory(self.head)
-        self._expiry = expiry
+        self._deadline = deadline
         self._step = step
         self._connection = connection
         self._aborted = False
@@ -268,7 +268,7 @@
                 # Only the last chunk may follow; an endpoint that is slow to
                 # send it must not delay the end of the answer.
                 return
-            if self._expiry.has_passed():
+            if self._deadline.has_passed():
                 raise BodyFaultError('answer took too long')
         self._reader.finish()
 
--- a/clementinepass/endpoints/transport.py
+++ b/clementinepass/endpoints/transport.py
@@ -143,7 +143,7 @@
         self,
         exchange: Exchange,
         reader_factory: answers.ReaderFactory,
-        expiry: answers.AnswerDeadline,
+        deadline: answers.AnswerDeadline,
     ) -> answers.HttpAnswer:
         """Send a request over a new connection.
 
@@ -179,7 +179,7 @@
             answers.AnswerConnection(connection, kept_socket),
             peer=self.peer,
             reader_factory=reader_factory,
-            expiry=expiry,
+            deadline=deadline,
             step=exchange.step,
         )
 
