--- a/clementinepass/direct/agent.py
+++ b/clementinepass/direct/agent.py
@@ -53,42 +53,42 @@
 _SHORT_IDLE_WAIT_SECONDS = 0.3
 
 
-class Boundary(typing.NamedTuple):
+class PlatformAdapters(typing.NamedTuple):
     """Adapters to the users' platform that an agent needs.
 
-    :param origin: creates a source from the origin's address.
+    :param make_origin_source: creates a source from the origin's address.
     """
 
     store: records.Store
     engine: weights.Engine
-    origin: Callable[[str], weights.Source]
-    readers: intake.Decoders
+    make_origin_source: Callable[[str], weights.Source]
+    decoders: intake.Decoders
 
 
 class Agent:
     """The agent process beside one engine.
 
     :param local_node: the local node.
-    :param boundary: adapters to the engine, the origin and the store.
+    :param adapters: adapters to the engine, the origin and the store.
     """
 
     def __init__(
         self,
         local_node: node.Node,
-        boundary: Boundary,
+        adapters: PlatformAdapters,
         registry: aioprometheus.Registry,
         rng: random.Random,
     ) -> None:
         self._local_node = local_node
-        self._boundary = boundary
+        self._adapters = adapters
         self._rng = rng
         self.cluster = cluster_state.ClusterState(local_node)
-        record_intake = intake.Intake(self.cluster, boundary.readers)
-        self._followers = record_intake.create_followers(boundary.store, rng)
+        record_intake = intake.Intake(self.cluster, adapters.decoders)
+        self._followers = record_intake.create_followers(adapters.store, rng)
         self._neighbours = neighbours.Neighbours(
             local_node,
             self.cluster,
-            boundary.origin,
+            adapters.make_origin_source,
         )
         self._piece_server = piece_server.PieceServer(
             self,
@@ -105,7 +105,7 @@
         self._version_selector = version_selector.VersionSelector(
             local_node, self.cluster, self._neighbours
         )
-        self._loader = loading.Loader(boundary.engine, self)
+        self._loader = loading.Loader(adapters.engine, self)
         #: Metrics of the cluster state.
         self.gauges = gauges.Gauges(
             registry,
@@ -177,7 +177,7 @@
         if not self.has_loaded(version):
             return None
         try:
-            return await self._boundary.engine.staged_piece(model, number)
+            return await self._adapters.engine.staged_piece(model, number)
         except errors.PeerUnavailableError as error:
             logger.bind(piece=number).info('not handed out: {}', error)
             return None
@@ -232,7 +232,7 @@
 
     async def _read_store(self) -> None:
         """Read the newest records and the list of entries from the store."""
-        store = self._boundary.store
+        store = self._adapters.store
         try:
             for topic, follower in self._followers.items():
                 follower.apply(await store.newest(topic))
@@ -294,7 +294,7 @@
 
     async def _check_engine(self) -> None:
         """Query the engine, and load the newest complete version when due."""
-        report = await self._boundary.engine.report()
+        report = await self._adapters.engine.report()
         self._log_new_error('')
         self._record_report(report)
         engine = self._neighbours.engine()
@@ -334,7 +334,7 @@
         deadline = loop.time() + seconds
         while active and loop.time() < deadline:
             await asyncio.sleep(_POLL_SECONDS)
-            report = await self._boundary.engine.report()
+            report = await self._adapters.engine.report()
             active = report.active
             self._announcer.report_load(active, report.queued)
 
--- a/clementinepass/machines.py
+++ b/clementinepass/machines.py
@@ -128,11 +128,11 @@
     from clementinepass.direct import agent  # noqa: PLC0415
     from clementinepass.platform import engine  # noqa: PLC0415
 
-    boundary = agent.Boundary(
+    boundary = agent.PlatformAdapters(
         store=store.HttpStore(local_node.store),
         engine=engine.HttpEngine(local_node.endpoint),
-        origin=engine.HttpOrigin,
-        readers=_readers(),
+        make_origin_source=engine.HttpOrigin,
+        decoders=_readers(),
     )
     metrics_registry = aioprometheus.Registry()
     process = agent.Agent(
--- a/standins/machines.py
+++ b/standins/machines.py
@@ -259,11 +259,11 @@
         one: weights_origin.LoadingEngine,
     ) -> None:
         own = self._node(ip, endpoint=one.address, service='pool')
-        boundary = agent.Boundary(
+        boundary = agent.PlatformAdapters(
             store=store.HttpStore(own.store),
             engine=engine.HttpEngine(own.endpoint),
-            origin=engine.HttpOrigin,
-            readers=READERS,
+            make_origin_source=engine.HttpOrigin,
+            decoders=READERS,
         )
         process = agent.Agent(
             own,
