--- a/clementinepass/direct/uplink.py
+++ b/clementinepass/direct/uplink.py
@@ -66,8 +66,8 @@
         """
         async with self._lock:
             reply.start(_OK, headers)
-            for start in range(0, len(piece), _PART_BYTES):
-                part = piece[start : start + _PART_BYTES]
+            for offset in range(0, len(piece), _PART_BYTES):
+                part = piece[offset : offset + _PART_BYTES]
                 reply.write(part)
                 await self._wait_until_sent(len(part))
             reply.end()
