--- a/tests/observability/test_causes_mixed.py
+++ b/tests/observability/test_causes_mixed.py
@@ -1,7 +1,7 @@
-"""Causes of requests that fail side by side, held against what others saw.
+"""Causes of concurrent failures, compared with records of both sides.
 
-Callers and endpoints keep what they did and saw; the entry's lines are all
-that the cause is worked out from.
+Callers and endpoints record what they do and see; the reported cause is derived
+from the entry's log lines alone.
 """
 
 from __future__ import annotations
@@ -24,64 +24,64 @@
 HOST = path_world.HOST
 SEED = 5
 REQUESTS = 240
-DRAWN = 50
-#: Seconds over which requests come; the entry ends this much later.
-SPREAD = 2.0
-AFTER = 1.0
+SAMPLE_SIZE = 50
+#: Seconds over which requests arrive, and from then until the entry exits.
+ARRIVAL_SECONDS = 2.0
+SHUTDOWN_DELAY_SECONDS = 1.0
 TARGETS = ('/stream/a', '/stream/once/a', '/plain/a', '/once/a')
-ONCE = ('/stream/once/a', '/once/a')
-TARGETS_AND_NONE = (*TARGETS, *TARGETS, '/none/a')
+ONCE_TARGETS = ('/stream/once/a', '/once/a')
+TARGETS_WITH_UNKNOWN = (*TARGETS, *TARGETS, '/none/a')
 KEYS = ('key',) * 10 + ('second', 'wrong')
-#: What the last fault that an attempt ran into proves, as its caller got no
-#: answer of the endpoint's.
+#: The cause by the last fault of an attempt that ran, where the caller received
+#: no answer from the endpoint.
 CAUSE_BY_FAULT = {
-    Fault.LOST: Cause.ENDPOINT_ENDED,
-    Fault.CUT: Cause.ENDPOINT_ENDED,
-    Fault.GAP: Cause.ENDPOINT_SPOILT,
-    Fault.UNSTAMPED: Cause.ENDPOINT_SPOILT,
-    Fault.ENCODED: Cause.ENDPOINT_SPOILT,
+    Fault.LOST: Cause.ENDPOINT_CLOSED,
+    Fault.CUT: Cause.ENDPOINT_CLOSED,
+    Fault.GAP: Cause.ENDPOINT_MALFORMED,
+    Fault.UNSTAMPED: Cause.ENDPOINT_MALFORMED,
+    Fault.ENCODED: Cause.ENDPOINT_MALFORMED,
     Fault.MUTE: Cause.ENDPOINT_SILENT,
     Fault.ERROR: Cause.ENDPOINT_FAILED,
 }
-#: All but the one after which an endpoint gets no requests of anybody.
+#: All faults but the one after which an endpoint gets no more requests at all.
 FAULTS = (Fault.FULL, *CAUSE_BY_FAULT)
 
 
-class Seen:
-    """One caller: what it means to do, and what it did and saw.
+class Caller:
+    """A caller with its random plan and a record of what it saw.
 
-    :param leaves_after: seconds; ``None`` for one that waits.
+    It disconnects after ``leaves_after`` seconds, or waits if that is ``None``.
     """
 
     def __init__(self, number: int, rng: random.Random) -> None:
         self.id = f'r{number}'
-        self.target = rng.choice(TARGETS_AND_NONE)
+        self.target = rng.choice(TARGETS_WITH_UNKNOWN)
         self.key = rng.choice(KEYS)
         self.faults = rng.choices(FAULTS, k=rng.randrange(4))
-        self.comes_at = rng.uniform(0, SPREAD)
+        self.arrives_at = rng.uniform(0, ARRIVAL_SECONDS)
         self.deadline_ms = rng.choice((400, 9000, 9000))
         self.leaves_after: float | None = None
-        self.resets = rng.random() < 0.5
+        self.leaves_by_reset = rng.random() < 0.5
         if self.deadline_ms > 1000 and rng.random() < 0.4:
-            # One that may be answered at the moment at which it leaves has
-            # two endings, each seen by one side first.
+            # If an answer could arrive while the caller disconnects, each
+            # side could see a different end: no endpoint answers it.
             self.leaves_after = rng.uniform(0.1, 0.4)
-            self.target, self.key = rng.choice(ONCE), 'key'
+            self.target, self.key = rng.choice(ONCE_TARGETS), 'key'
             self.faults = [Fault.MUTE]
-        #: The status that it saw, whether the answer was whole, whether it
-        #: went before that, and after how many seconds it was over.
+        #: The status, the duration in seconds, whether the answer was
+        #: complete, and whether the caller disconnected before that.
         self.status = 0
         self.seconds: float = 0
-        self.whole = False
-        self.left = False
+        self.is_complete = False
+        self.has_left = False
 
-    async def ask(self, port: int) -> None:
-        """Send the request and keep what comes of it."""
-        await asyncio.sleep(self.comes_at)
-        used = await channel.Channel.connect(HOST, port, 5)
+    async def run(self, port: int) -> None:
+        """Send the request and record the outcome."""
+        await asyncio.sleep(self.arrives_at)
+        caller_channel = await channel.Channel.connect(HOST, port, 5)
         loop = asyncio.get_running_loop()
-        begun = loop.time()
-        used.send(
+        started_at = loop.time()
+        caller_channel.send(
             path_world.request(
                 self.target,
                 X_Attempt_Id=self.id,
@@ -91,123 +91,137 @@
         )
         try:
             async with asyncio.timeout(self.leaves_after):
-                await self._read(used)
+                await self._read(caller_channel)
         except TimeoutError:
-            self.left = True
+            self.has_left = True
         except channel.ChannelBrokenError:
-            """The answer isn't whole, and that is all that it knows."""
-        self.seconds = loop.time() - begun
-        self._end(used)
-
-    async def _read(self, used: channel.Channel) -> None:
-        self.status = (await used.read_head()).status
-        while await used.read():
-            """Read to the end."""
-        self.whole = True
-
-    def _end(self, used: channel.Channel) -> None:
-        if self.left and self.resets:
-            peer = used._transport.get_extra_info('socket')
+            """The caller knows only that the answer is incomplete."""
+        self.seconds = loop.time() - started_at
+        self._end(caller_channel)
+
+    async def _read(self, caller_channel: channel.Channel) -> None:
+        self.status = (await caller_channel.read_head()).status
+        while await caller_channel.read():
+            """Read the answer to its end."""
+        self.is_complete = True
+
+    def _end(self, caller_channel: channel.Channel) -> None:
+        if self.has_left and self.leaves_by_reset:
+            peer = caller_channel._transport.get_extra_info('socket')
             peer.setsockopt(
                 socket.SOL_SOCKET,
                 socket.SO_LINGER,
-                test_causes.RESET_AT_END,
+                test_causes.LINGER_RESET,
             )
-        used.abort()
+        caller_channel.abort()
 
-    def truth(self, met: list[Fault], *, cut: bool) -> Cause | None:
-        """Return the cause, by what it and the endpoints saw.
+    def expected_cause(
+        self, faults_met: list[Fault], *, was_cut: bool
+    ) -> Cause | None:
+        """Return the cause according to the caller and the endpoints.
 
-        :param met: what went wrong at endpoints, in order.
-        :param cut: whether its connection ended with the entry.
-        :returns: ``None`` for a request that was answered.
+        :param faults_met: faults of the endpoints on this request, in order.
+        :param was_cut: whether the connection ended when the entry exited.
+        :returns: the cause; ``None`` if the request was answered.
         """
-        if self.left:
-            return Cause.CONNECTION_RESET if self.resets else Cause.CALLER_LEFT
-        if cut:
-            return Cause.CUT_AT_END
-        if self.whole and self.status in _CAUSE_BY_STATUS:
+        if self.has_left:
+            return (
+                Cause.CONNECTION_RESET
+                if self.leaves_by_reset
+                else Cause.CALLER_LEFT
+            )
+        if was_cut:
+            return Cause.CUT_AT_SHUTDOWN
+        if self.is_complete and self.status in _CAUSE_BY_STATUS:
             return _CAUSE_BY_STATUS[self.status]
-        if self.whole and self.status == 401:
-            known = self.key == 'second'
-            return Cause.KEY_WITHDRAWN if known else Cause.UNKNOWN_KEY
-        if not self.whole and self.seconds * 1000 >= self.deadline_ms:
+        if self.is_complete and self.status == 401:
+            was_configured = self.key == 'second'
+            return Cause.KEY_WITHDRAWN if was_configured else Cause.UNKNOWN_KEY
+        if not self.is_complete and self.seconds * 1000 >= self.deadline_ms:
             return Cause.DEADLINE
-        ran = [one for one in met if one in CAUSE_BY_FAULT]
-        return CAUSE_BY_FAULT[ran[-1]]
+        faults_of_runs = [
+            fault for fault in faults_met if fault in CAUSE_BY_FAULT
+        ]
+        return CAUSE_BY_FAULT[faults_of_runs[-1]]
 
 
 _CAUSE_BY_STATUS: dict[int, Cause | None] = {
     200: None,
     404: Cause.UNKNOWN_ROUTE,
     500: Cause.ENDPOINT_FAILED,
-    503: Cause.TURNED_AWAY,
+    503: Cause.REJECTED,
     504: Cause.DEADLINE,
 }
 
 
-class Mixed:
-    """Many callers at once, and what became of each."""
+class MixedWorkload:
+    """Many concurrent callers and the records of their requests."""
 
     def __init__(self, seed: int) -> None:
         rng = random.Random(seed)
-        self.callers = [Seen(number, rng) for number in range(REQUESTS)]
-        #: Faults that requests met, at any endpoint, in order.
-        self.met: list[tuple[str, Fault]] = []
-        self.cut: set[str] = set()
+        self.callers = [Caller(number, rng) for number in range(REQUESTS)]
+        #: Request ids and faults, from all endpoints, in order.
+        self.faults_met: list[tuple[str, Fault]] = []
+        self.cut_request_ids: set[str] = set()
 
     async def play(self, world: path_world.PathWorld) -> None:
-        """Play it: a key is taken away, and the entry ends at last."""
-        faults = {one.id: list(one.faults) for one in self.callers}
-        for one in world.endpoints:
-            one.faults_by_request = faults
-            one.met = self.met
+        """Run all callers; a key is withdrawn, and finally the entry exits."""
+        faults = {caller.id: list(caller.faults) for caller in self.callers}
+        for endpoint in world.endpoints:
+            endpoint.faults_by_request = faults
+            endpoint.met = self.faults_met
         routes = path_world.ROUTES
         world.configure(2, routes, keys=(b'key', b'second'))
-        first = Seen(-1, random.Random(0))
-        first.target, first.comes_at, first.leaves_after = '/plain/a', 0, None
-        await first.ask(world.port)
+        first = Caller(-1, random.Random(0))
+        first.target, first.arrives_at, first.leaves_after = '/plain/a', 0, None
+        await first.run(world.port)
         world.configure(3, routes)
-        asked = {
-            asyncio.create_task(one.ask(world.port)): one
-            for one in self.callers
+        caller_by_task = {
+            asyncio.create_task(caller.run(world.port)): caller
+            for caller in self.callers
         }
-        _, left = await asyncio.wait(asked, timeout=SPREAD + AFTER)
-        self.cut = {asked[one].id for one in left}
+        _, unfinished = await asyncio.wait(
+            caller_by_task, timeout=ARRIVAL_SECONDS + SHUTDOWN_DELAY_SECONDS
+        )
+        self.cut_request_ids = {caller_by_task[task].id for task in unfinished}
         await world.front.close()
-        await asyncio.gather(*left)
+        await asyncio.gather(*unfinished)
 
-    def truths(self) -> dict[str, Cause]:
-        """Return the cause of each request that failed, by its id."""
+    def expected_causes(self) -> dict[str, Cause]:
+        """Return the expected causes of failed requests by request id."""
         found = {
-            one.id: one.truth(
-                [fault for name, fault in self.met if name == one.id],
-                cut=one.id in self.cut,
+            caller.id: caller.expected_cause(
+                [fault for name, fault in self.faults_met if name == caller.id],
+                was_cut=caller.id in self.cut_request_ids,
             )
-            for one in self.callers
+            for caller in self.callers
         }
         return {name: cause for name, cause in found.items() if cause}
 
 
 class MixedTest(testtools.TestCase):
-    """Fifty of the requests that failed, drawn by a seed."""
+    """Causes of a random sample of fifty failed requests."""
 
     def test_causes(self) -> None:
-        """None is told a wrong cause, and at most five are not known."""
-        mixed = Mixed(SEED)
-        collected = stories.Collected()
-        collected.add('entry-1', test_causes.written(mixed.play))
-        truths = mixed.truths()
-        drawn = random.Random(SEED).sample(sorted(truths), DRAWN)
+        """No cause is wrong, and at most five are unknown."""
+        mixed = MixedWorkload(SEED)
+        collection = stories.LogCollection()
+        collection.add('entry-1', test_causes.capture_lines(mixed.play))
+        expected_causes = mixed.expected_causes()
+        sampled_ids = random.Random(SEED).sample(
+            sorted(expected_causes), SAMPLE_SIZE
+        )
         wrong: list[typing.Any] = []
         unknown = []
-        for name in drawn:
-            story = collected.story(name)
-            cause = Cause.NOT_KNOWN if story is None else story.verdict.cause
-            if cause is Cause.NOT_KNOWN:
-                unknown.append((name, truths[name], story))
-            elif cause is not truths[name]:
-                wrong.append((name, truths[name], story))
+        for name in sampled_ids:
+            story = collection.build_story(name)
+            cause = Cause.UNKNOWN if story is None else story.verdict.cause
+            if cause is Cause.UNKNOWN:
+                unknown.append((name, expected_causes[name], story))
+            elif cause is not expected_causes[name]:
+                wrong.append((name, expected_causes[name], story))
         self.assertEqual([], wrong)
         self.assertLessEqual(len(unknown), 5, unknown)
-        self.assertGreater(len({truths[name] for name in drawn}), 8)
+        self.assertGreater(
+            len({expected_causes[name] for name in sampled_ids}), 8
+        )
