--- a/tests/direct/path_world.py
+++ b/tests/direct/path_harness.py
@@ -1,4 +1,4 @@
-"""An entry's path between a caller and scripted endpoints, on loopback."""
+"""A request handler between a caller and scripted endpoints, on loopback."""
 
 from __future__ import annotations
 
@@ -48,8 +48,8 @@
 
 
 def route(name: str, **changes: typing.Any) -> routing.Route:
-    """Return a route for a prefix of the same name."""
-    usual: dict[str, typing.Any] = {
+    """Return a route whose prefix is its name."""
+    defaults: dict[str, typing.Any] = {
         'name': name,
         'host': b'h',
         'prefix': f'/{name}/'.encode(),
@@ -61,7 +61,7 @@
         'max_runs': 2,
         'is_resumable': True,
     }
-    return routing.Route(**{**usual, **changes})
+    return routing.Route(**{**defaults, **changes})
 
 
 ROUTES = (
@@ -76,51 +76,51 @@
 )
 
 
-class PathWorld:
-    """A path, its front and some endpoints."""
+class PathHarness:
+    """A request handler with its front and some endpoints."""
 
-    def __init__(self, count: int = 2, own: node.Node = NODE) -> None:
+    def __init__(self, count: int = 2, local_node: node.Node = NODE) -> None:
         self.endpoints = [
             direct_endpoint.DirectEndpoint(f'i-{number}')
             for number in range(count)
         ]
-        self.cluster = cluster_state.ClusterState(own)
-        self.departure = departure.DrainState(own, self.cluster)
-        #: Other entries that callers may be sent to.
-        self.others_ready = 0
+        self.cluster = cluster_state.ClusterState(local_node)
+        self.drain_state = departure.DrainState(local_node, self.cluster)
+        #: Number of other entries that callers may be sent to.
+        self.ready_peers = 0
         log = request_log.RequestLog(aioprometheus.Registry())
-        spelling = dialect.HeaderDialect()
-        self.sender = attempt.Sender(self.cluster, spelling, log)
-        self.path = path.RequestHandler(
-            own,
+        header_dialect = dialect.HeaderDialect()
+        self.sender = attempt.Sender(self.cluster, header_dialect, log)
+        self.request_handler = path.RequestHandler(
+            local_node,
             self.cluster,
-            spelling,
+            header_dialect,
             self.sender,
             log,
             lambda: 1,
-            self.departure,
-            lambda: self.others_ready,
+            self.drain_state,
+            lambda: self.ready_peers,
             random.Random(3),
         )
-        self.front = front.Front(self.path.serve)
+        self.front = front.Front(self.request_handler.serve)
         self.port = 0
         self._callers: pool.Pool | None = None
 
     async def __aenter__(self) -> typing.Self:
-        """Listen and believe in all endpoints."""
-        for one in self.endpoints:
-            await one.__aenter__()
-            self.listed(one)
+        """Start to listen, list all endpoints and apply a configuration."""
+        for endpoint in self.endpoints:
+            await endpoint.__aenter__()
+            self.list_endpoint(endpoint)
         self.configure(1, ROUTES)
         self.port = await self.front.listen(HOST, 0)
         self._callers = pool.Pool(HOST, self.port)
         return self
 
-    async def __aexit__(self, *raised: object) -> None:
-        """Close everything."""
+    async def __aexit__(self, *exc_info: object) -> None:
+        """Close the front and the endpoints."""
         await self.front.close()
-        for one in self.endpoints:
-            await one.__aexit__()
+        for endpoint in self.endpoints:
+            await endpoint.__aexit__()
 
     def configure(
         self,
@@ -139,42 +139,42 @@
             ),
         )
 
-    def listed(
+    def list_endpoint(
         self,
-        one: direct_endpoint.DirectEndpoint,
+        endpoint: direct_endpoint.DirectEndpoint,
         **changes: typing.Any,
     ) -> None:
-        """Believe what an endpoint says of itself."""
-        usual = endpoints.Listing(
-            one.id,
+        """Apply the record of an endpoint."""
+        listing = endpoints.Listing(
+            endpoint.id,
             'pool',
-            one.address,
+            endpoint.address,
             'north-1',
             16,
             draining=False,
-            heartbeat=len(one.came),
+            heartbeat=len(endpoint.came),
             weights=endpoints.Weights(1, 0, 2),
         )
-        self.cluster.update_listing(usual._replace(**changes))
+        self.cluster.update_listing(listing._replace(**changes))
 
-    def kept(self, endpoint_id: str) -> list[channel.Channel]:
-        """Return the idle connections that are kept to an endpoint."""
-        kept = self.sender._pools_by_id[endpoint_id]
-        return list(kept.connections._idle)
+    def idle_connections(self, endpoint_id: str) -> list[channel.Channel]:
+        """Return the idle connections to an endpoint."""
+        endpoint_pool = self.sender._pools_by_id[endpoint_id]
+        return list(endpoint_pool.connections._idle)
 
-    def fail_first(self, *faults: direct_endpoint.Fault) -> None:
-        """Let the first endpoints that are asked fail, whichever they are."""
+    def set_shared_faults(self, *faults: direct_endpoint.Fault) -> None:
+        """Let the first attempts fail, at whichever endpoints they arrive."""
         shared = list(faults)
-        for one in self.endpoints:
-            one.faults = shared
+        for endpoint in self.endpoints:
+            endpoint.faults = shared
 
-    async def ask(
+    async def send(
         self,
         target: str,
         body: bytes = b'body',
         **headers: str,
     ) -> pool.Answer:
-        """Send a request as a caller and return the whole answer."""
+        """Send a request as a caller and return the complete answer."""
         assert self._callers is not None
         return await pool.fetch(
             self._callers,
@@ -183,19 +183,23 @@
         )
 
     @property
-    def ran(self) -> list[messages.Request]:
-        """Return the requests that ran, at any endpoint."""
-        return [request for one in self.endpoints for request in one.ran]
+    def executed_requests(self) -> list[messages.Request]:
+        """Return the requests that ran at any endpoint."""
+        return [
+            request for endpoint in self.endpoints for request in endpoint.ran
+        ]
 
     @property
-    def came(self) -> list[messages.Request]:
+    def received_requests(self) -> list[messages.Request]:
         """Return the requests that reached any endpoint."""
-        return [request for one in self.endpoints for request in one.came]
+        return [
+            request for endpoint in self.endpoints for request in endpoint.came
+        ]
 
 
 def request(target: str, body: bytes = b'body', **headers: str) -> bytes:
-    """Return a caller's request; a header of no text is left out."""
-    usual = {
+    """Return a caller's request; headers with empty values are left out."""
+    defaults = {
         'Host': 'h',
         'X_Attempt_Id': 'r-1',
         'X_Deadline_Ms': '9000',
@@ -203,21 +207,24 @@
     }
     pairs = [
         (name.replace('_', '-').encode(), field.encode())
-        for name, field in {**usual, **headers}.items()
+        for name, field in {**defaults, **headers}.items()
         if field
     ]
     return messages.request_bytes(b'POST', target.encode(), pairs, body)
 
 
 def run(
-    play: typing.Callable[[PathWorld], typing.Awaitable[None]],
+    scenario: typing.Callable[[PathHarness], typing.Awaitable[None]],
     count: int = 2,
-    own: node.Node = NODE,
+    local_node: node.Node = NODE,
 ) -> None:
-    """Play in a world of some endpoints."""
+    """Run a scenario in a harness with some endpoints."""
 
     async def played() -> None:
-        async with PathWorld(count, own) as world, asyncio.timeout(30):
-            await play(world)
+        async with (
+            PathHarness(count, local_node) as harness,
+            asyncio.timeout(30),
+        ):
+            await scenario(harness)
 
     asyncio.run(played())
--- a/tests/direct/test_machines.py
+++ b/tests/direct/test_machines.py
@@ -123,9 +123,9 @@
                 if first.callers_address
                 in second.listed_addresses(plan.started_at + step * 0.01)
             ]
-            kept = max(offered) + _LIST_LIFETIME_FACTOR * second.list_max_age(
-                plan.started_at
-            )
+            kept = max(
+                offered
+            ) + _LIST_LIFETIME_FACTOR * second.list_ttl_seconds(plan.started_at)
             self.assertGreaterEqual(
                 plan.lists_expire_at, min(kept, plan.last_answer_at)
             )
