--- a/clementinepass/direct/agent.py
+++ b/clementinepass/direct/agent.py
@@ -227,7 +227,9 @@
     async def _announce_congestion(self) -> None:
         """Announce to entries whether the link to this machine is congested."""
         while True:
-            self._announcer.update_congestion(is_slow=self._loader.is_congested)
+            self._announcer.update_congestion(
+                is_congested=self._loader.is_congested
+            )
             await asyncio.sleep(_POLL_SECONDS)
 
     async def _read_store(self) -> None:
@@ -297,7 +299,7 @@
         report = await self._adapters.engine.report()
         self._log_new_error('')
         self._record_report(report)
-        engine = self._neighbours.engine()
+        engine = self._neighbours.engine_configuration()
         if engine is None or report.is_busy:
             return
         version = self._loader.newest_complete(engine.model)
@@ -307,7 +309,9 @@
             self._announcer.announce_loading(version)
             await self._wait_until_idle(engine, version, report.active)
             if not await self._loader.load(engine.model, version):
-                self._announcer.announce_weights(report.weights, report.started)
+                self._announcer.announce_weights(
+                    report.weights, report.started_ms
+                )
 
     async def _wait_until_idle(
         self,
@@ -393,7 +397,7 @@
         self._announcer.report_load(report.active, report.queued)
         if previous is not None and _has_same_weights(previous, report):
             return
-        self._announcer.announce_weights(report.weights, report.started)
+        self._announcer.announce_weights(report.weights, report.started_ms)
         logger.bind(
             version=report.weights.version,
             layers=report.weights.end - report.weights.first,
@@ -406,6 +410,6 @@
     report: weights.EngineReport,
 ) -> bool:
     """Return whether an engine holds the same weights since the same start."""
-    if previous.started != report.started:
+    if previous.started_ms != report.started_ms:
         return False
     return previous.weights == report.weights
--- a/clementinepass/direct/announcer.py
+++ b/clementinepass/direct/announcer.py
@@ -29,7 +29,7 @@
         '_congestion_sent_at',
         '_local_node',
         '_peers',
-        '_started',
+        '_started_ms',
         '_weights',
     )
 
@@ -38,13 +38,13 @@
         self._peers = peers
         self._weights: endpoints.Weights | None = None
         #: When the engine that holds the weights was started.
-        self._started = incarnations.UNKNOWN_START
+        self._started_ms = incarnations.UNKNOWN_START
         #: Monotonic seconds of the last announcement that the link is
         #: congested; ``None`` while entries consider it uncongested.
         self._congestion_sent_at: float | None = None
 
     def announce_weights(
-        self, weights: endpoints.Weights, started: int
+        self, weights: endpoints.Weights, started_ms: int
     ) -> None:
         """Announce the engine's weights and when it was started.
 
@@ -52,7 +52,7 @@
         it to the newest start that they know.
         """
         self._weights = weights
-        self._started = started
+        self._started_ms = started_ms
         self._schedule_announcements()
 
     def announce_loading(self, version: int) -> None:
@@ -61,7 +61,9 @@
         It finishes running requests and takes no new ones meanwhile; a request
         sent to it would have to wait for all of that.
         """
-        self.announce_weights(endpoints.Weights(version, 0, 0), self._started)
+        self.announce_weights(
+            endpoints.Weights(version, 0, 0), self._started_ms
+        )
 
     async def withdraw_loading(self, weights: endpoints.Weights) -> None:
         """Withdraw the announcement of loading when this agent shuts down.
@@ -73,10 +75,10 @@
         """
         if self._weights is None or self._weights == weights:
             return
-        self.announce_weights(weights, self._started)
+        self.announce_weights(weights, self._started_ms)
         await asyncio.sleep(_REPETITIONS * _REPETITION_SECONDS)
 
-    def update_congestion(self, *, is_slow: bool) -> None:
+    def update_congestion(self, *, is_congested: bool) -> None:
         """Announce congestion repeatedly while it lasts, and once its end.
 
         On a link narrowed to a tenth, requests queued behind pieces and reached
@@ -84,7 +86,7 @@
         """
         now = asyncio.get_running_loop().time()
         sent_at = self._congestion_sent_at
-        if not is_slow:
+        if not is_congested:
             self._congestion_sent_at = None
             if sent_at is not None:
                 self._schedule_announcements()
@@ -97,7 +99,7 @@
         now = asyncio.get_running_loop().time()
         due = self._peers.subscribers.due(now)
         if due:
-            load = heartbeats.EngineLoad(active, queued, self._started)
+            load = heartbeats.EngineLoad(active, queued, self._started_ms)
             self._peers.send_load(due, load)
 
     def _schedule_announcements(self) -> None:
@@ -109,7 +111,7 @@
             self._weights.first,
             self._weights.end,
             self._congestion_sent_at is not None,
-            self._started,
+            self._started_ms,
         )
         self._peers.engine_statuses = (announcement,)
         loop = asyncio.get_running_loop()
--- a/clementinepass/direct/fetching.py
+++ b/clementinepass/direct/fetching.py
@@ -93,8 +93,8 @@
             asyncio.get_running_loop().time(),
         )
         #: Bytes received from the origin and from agents.
-        self.from_origin = 0
-        self.from_agents = 0
+        self.bytes_from_origin = 0
+        self.bytes_from_agents = 0
 
     async def run(self) -> None:
         """Fetch all missing pieces; end early if another version is wanted."""
@@ -150,27 +150,28 @@
         reports would cost an additional request and response, each of which
         queues behind a piece on the link.
         """
-        from_origin = [
+        origin_groups = [
             planned_group
             for planned_group in plan.groups
             if piece_chains.ORIGIN in planned_group.sources
         ]
-        entering = [
+        entering_groups = [
             planned_group
             for planned_group in plan.groups
-            if planned_group.enters_region and planned_group not in from_origin
+            if planned_group.enters_region
+            and planned_group not in origin_groups
         ]
         limit = _MAX_IN_FLIGHT_ONE_AGENT
-        if self._request_entering(from_origin, now):
+        if self._request_entering(origin_groups, now):
             limit = _MAX_IN_FLIGHT_BESIDE if plan.has_spare_bandwidth else 0
-        elif self._request_entering(entering, now):
+        elif self._request_entering(entering_groups, now):
             limit = _MAX_IN_FLIGHT_BESIDE
-        for relayed in plan.groups:
-            if not relayed.enters_region and limit:
+        for group in plan.groups:
+            if not group.enters_region and limit:
                 group_limit = min(
-                    self._limit_in_flight(_max_in_flight([relayed])), limit
+                    self._limit_in_flight(_max_in_flight([group])), limit
                 )
-                self._request_group(relayed, group_limit, now)
+                self._request_group(group, group_limit, now)
 
     def _request_entering(
         self, groups: list[piece_chains.PieceGroup], now: float
@@ -182,7 +183,10 @@
         limit = self._limit_in_flight(_max_in_flight(groups))
         for group in groups:
             self._request_group(group, limit, now)
-        return any(self._is_delivering(entering, now) for entering in groups)
+        return any(
+            self._is_delivering(entering_group, now)
+            for entering_group in groups
+        )
 
     def _request_group(
         self, group: piece_chains.PieceGroup, limit: int, now: float
@@ -254,12 +258,14 @@
         for number in ordered:
             if remaining <= 0:
                 return
-            holders = [
+            suppliers_with_piece = [
                 supplier for supplier in sources if number in supplier.available
             ]
-            if holders:
+            if suppliers_with_piece:
                 self._request_piece(
-                    min(holders, key=_next_piece_seconds), number, now
+                    min(suppliers_with_piece, key=_next_piece_seconds),
+                    number,
+                    now,
                 )
                 remaining -= 1
 
@@ -309,7 +315,7 @@
     ) -> list[suppliers.Supplier]:
         """Return the sources whose available pieces to follow."""
         fallback_suppliers = self._suppliers.usable(plan.fallback_ips, now)[:1]
-        followed = [
+        tracked_suppliers = [
             *self._suppliers.usable(plan.sources, now),
             *fallback_suppliers,
         ]
@@ -318,12 +324,12 @@
             > _LOST_SECONDS + plan.position * _LOST_SECONDS_PER_AGENT
         ):
             others = (*plan.all_peer_ips, piece_chains.ORIGIN)
-            followed.extend(
+            tracked_suppliers.extend(
                 supplier
                 for supplier in self._suppliers.usable(others, now)
-                if supplier not in followed
+                if supplier not in tracked_suppliers
             )
-        return followed
+        return tracked_suppliers
 
     def _missing_not_in_flight(self) -> list[int]:
         """Return the numbers of the pieces to request, in planned order."""
@@ -514,9 +520,9 @@
         )
         self._update_congestion(supplier, piece)
         if supplier.ip == piece_chains.ORIGIN:
-            self.from_origin += len(piece.payload or b'')
+            self.bytes_from_origin += len(piece.payload or b'')
         else:
-            self.from_agents += len(piece.payload or b'')
+            self.bytes_from_agents += len(piece.payload or b'')
 
     def _update_congestion(
         self,
--- a/clementinepass/direct/loading.py
+++ b/clementinepass/direct/loading.py
@@ -131,8 +131,8 @@
             logger.bind(
                 version=version,
                 missing=len(version_pieces.missing),
-                from_origin=fetcher.from_origin,
-                from_agents=fetcher.from_agents,
+                from_origin=fetcher.bytes_from_origin,
+                from_agents=fetcher.bytes_from_agents,
                 seconds=round(
                     asyncio.get_running_loop().time() - started_at, 3
                 ),
@@ -191,7 +191,7 @@
         begun none either, and accepted the order with pieces missing.
         """
         latest = await self._engine.report()
-        return latest.started != report.started
+        return latest.started_ms != report.started_ms
 
     async def _ensure_pieces(self, model: str, version: int) -> pieces.Pieces:
         existing = self.pieces_of(model, version)
--- a/clementinepass/direct/neighbours.py
+++ b/clementinepass/direct/neighbours.py
@@ -47,7 +47,7 @@
         #: By IP address for agents, and by ``host:port`` for the origin.
         self._sources_by_address: dict[str, weights.Source] = {}
 
-    def engine(self) -> routing.Engine | None:
+    def engine_configuration(self) -> routing.Engine | None:
         """Return the configuration of the service's engines, if it is known."""
         active_routing = self._cluster.routing
         if active_routing is None:
@@ -64,7 +64,7 @@
 
     def plan_input(self, version: int) -> piece_chains.PlanInput:
         """Return the input for choosing the sources of pieces."""
-        engine = self.engine()
+        engine = self.engine_configuration()
         active_routing = self._cluster.routing
         origin = None if active_routing is None else active_routing.origin
         origin_mbps = 0 if origin is None else origin.link_mbps
--- a/clementinepass/direct/peer_source.py
+++ b/clementinepass/direct/peer_source.py
@@ -11,11 +11,11 @@
 from clementinepass.http import channel, messages, pool
 
 _OK = 200
-_AVAILABILITY_SECONDS = 3.0
+_AVAILABILITY_TIMEOUT_SECONDS = 3.0
 #: Timeout in seconds for a piece from another agent: earlier ones are sent
 #: first, and on a link narrowed to a tenth, five of them take that long.
-_PIECE_SECONDS = 4.0
-_MANIFEST_SECONDS = 2.5
+_PIECE_TIMEOUT_SECONDS = 4.0
+_MANIFEST_TIMEOUT_SECONDS = 2.5
 #: Maximum number of connections to one agent.
 _MAX_CONNECTIONS = 8
 
@@ -49,7 +49,7 @@
         :raises MalformedMessageError: the response can't be decoded.
         """
         target = f'/{piece_protocol.MANIFESTS}/{model}/{version}'
-        body = await self._fetch_body(target, _MANIFEST_SECONDS)
+        body = await self._fetch_body(target, _MANIFEST_TIMEOUT_SECONDS)
         if body is None:
             return None
         digests = self._decode(body, tuple[str, ...])
@@ -71,7 +71,7 @@
         :raises MalformedMessageError: the response can't be decoded.
         """
         target = f'/{piece_protocol.NUMBERS}/{model}/{version}/{known_count}'
-        body = await self._fetch_body(target, _AVAILABILITY_SECONDS)
+        body = await self._fetch_body(target, _AVAILABILITY_TIMEOUT_SECONDS)
         if body is None:
             return weights.Availability()
         reply = self._decode(body, piece_protocol.AvailabilityReply)
@@ -94,7 +94,7 @@
         :raises PeerUnavailableError: the agent doesn't answer.
         """
         target = f'/{piece_protocol.PIECES}/{model}/{version}/{number}'
-        response = await self._request(target, _PIECE_SECONDS)
+        response = await self._request(target, _PIECE_TIMEOUT_SECONDS)
         headers = response.headers
         return weights.Piece(
             response.body if response.status == _OK else None,
--- a/clementinepass/direct/suppliers.py
+++ b/clementinepass/direct/suppliers.py
@@ -61,7 +61,7 @@
 
     __slots__ = (
         'available',
-        'backoff',
+        'backoff_seconds',
         'failures',
         'has_delivered',
         'in_flight',
@@ -92,7 +92,7 @@
         self.waiting_since: float | None = None
         self.skipped_until = float('-inf')
         #: Seconds for which the source is skipped when it fails the next time.
-        self.backoff = _FIRST_SKIP_SECONDS
+        self.backoff_seconds = _FIRST_SKIP_SECONDS
         #: Monotonic seconds of the last piece, or of the first request before
         #: there was one; ``None`` before the first request.
         self.last_piece_at: float | None = None
@@ -218,8 +218,8 @@
         """
         seconds = _SKIP_SECONDS
         if self.failures >= _MAX_FAILURES:
-            seconds = min(self.backoff, _SKIP_SECONDS)
-            self.backoff = seconds * 2
+            seconds = min(self.backoff_seconds, _SKIP_SECONDS)
+            self.backoff_seconds = seconds * 2
         self.skipped_until = now + seconds
         self.failures = 0
         self.is_slow = False
--- a/clementinepass/direct/version_selector.py
+++ b/clementinepass/direct/version_selector.py
@@ -60,7 +60,7 @@
 
     def has_version_or_newer(self, version: int) -> bool:
         """Return whether all layers of a version or a newer one are loaded."""
-        engine = self._neighbours.engine()
+        engine = self._neighbours.engine_configuration()
         engine_weights = self.engine_weights
         if engine is None or engine_weights is None:
             return False
@@ -74,7 +74,7 @@
 
         The version is 0 if there is nothing to fetch.
         """
-        engine = self._neighbours.engine()
+        engine = self._neighbours.engine_configuration()
         if engine is None:
             return '', 0
         version = self._target_version(engine, loader)
@@ -88,7 +88,7 @@
 
         The version is 0 if there is none or its manifest is here.
         """
-        engine = self._neighbours.engine()
+        engine = self._neighbours.engine_configuration()
         if engine is None:
             return '', 0
         desired_version = self._cluster.newest_desired_version(engine.model)
@@ -104,7 +104,7 @@
 
     def is_in_use(self, version: int) -> bool:
         """Return whether a version is desired or held by some engine."""
-        engine = self._neighbours.engine()
+        engine = self._neighbours.engine_configuration()
         if engine is None:
             return False
         endpoints = self._neighbours.service_endpoints()
--- a/clementinepass/direct/weights.py
+++ b/clementinepass/direct/weights.py
@@ -17,7 +17,7 @@
     :param orders: how many orders the engine has begun since its start.
     :param active: how many requests are running.
     :param queued: how many requests wait in the engine.
-    :param started: when the engine started, as its listing states it.
+    :param started_ms: when the engine started, as its listing states it.
     """
 
     weights: endpoints.Weights
@@ -25,7 +25,7 @@
     orders: int
     active: int
     queued: int
-    started: int = incarnations.UNKNOWN_START
+    started_ms: int = incarnations.UNKNOWN_START
 
 
 class Piece(typing.NamedTuple):
--- a/tests/direct/test_announcer.py
+++ b/tests/direct/test_announcer.py
@@ -80,7 +80,7 @@
         def scenario(agent_announcer: announcer.Announcer) -> None:
             agent_announcer.announce_weights(HELD, incarnations.UNKNOWN_START)
             agent_announcer.announce_loading(3)
-            agent_announcer.update_congestion(is_slow=True)
+            agent_announcer.update_congestion(is_congested=True)
 
         announcements = self.announce(scenario)
         self.assertEqual(
@@ -98,7 +98,7 @@
         def scenario(agent_announcer: announcer.Announcer) -> None:
             agent_announcer.announce_weights(HELD, 1000)
             agent_announcer.announce_loading(3)
-            agent_announcer.update_congestion(is_slow=True)
+            agent_announcer.update_congestion(is_congested=True)
 
         announcements = self.announce(scenario)
         self.assertEqual(
@@ -115,9 +115,9 @@
 
         def scenario(agent_announcer: announcer.Announcer) -> None:
             agent_announcer.announce_weights(HELD, incarnations.UNKNOWN_START)
-            agent_announcer.update_congestion(is_slow=True)
-            agent_announcer.update_congestion(is_slow=False)
-            agent_announcer.update_congestion(is_slow=False)
+            agent_announcer.update_congestion(is_congested=True)
+            agent_announcer.update_congestion(is_congested=False)
+            agent_announcer.update_congestion(is_congested=False)
 
         announcements = self.announce(scenario)
         self.assertFalse(announcements[-1].congested)
