--- a/clementinepass/direct/agent.py
+++ b/clementinepass/direct/agent.py
@@ -346,11 +346,11 @@
         """Return the seconds until the engine must have loaded a version.
 
         The deadline of the loaded weights counts as well as that of the new
-        version. It is the earlier one if a version was dropped for a newer one.
-        When that happened four seconds after a version was named, engines
-        spread their turns over the time until the newer version's deadline,
-        although the weights that they held could be used only until that of the
-        dropped version.
+        version. If a version was dropped for a newer one, the loaded weights
+        have the earlier deadline. When a version was dropped four seconds after
+        it was named, engines spread their turns over the time until the newer
+        version's deadline, although the weights that they held could be used
+        only until the deadline of the dropped version.
         """
         now = asyncio.get_running_loop().time()
         engine_weights = self._version_selector.engine_weights
--- a/clementinepass/direct/announcer.py
+++ b/clementinepass/direct/announcer.py
@@ -11,7 +11,7 @@
 if typing.TYPE_CHECKING:
     from clementinepass.direct import gossip, node
 
-#: How often an announcement is sent, since datagrams may be lost.
+#: How many times an announcement is sent, since datagrams may be lost.
 _REPETITIONS = 3
 _REPETITION_SECONDS = 0.15
 #: Seconds between announcements that the link is congested.
@@ -95,7 +95,7 @@
             self._schedule_announcements()
 
     def report_load(self, active: int, queued: int) -> None:
-        """Report the engine's requests to the entries that use it."""
+        """Report the engine's load to the entries that subscribe to it."""
         now = asyncio.get_running_loop().time()
         due = self._peers.subscribers.due(now)
         if due:
--- a/clementinepass/direct/fetching.py
+++ b/clementinepass/direct/fetching.py
@@ -39,13 +39,13 @@
 #: sources report: the next one and the one behind it.
 _MAX_IN_FLIGHT_AHEAD = 2
 #: Seconds without a piece after which the origin and all agents are used as
-#: sources, and the additional seconds for each agent that comes before in the
-#: chain. The delays let the origin send to only two agents; if all agents used
-#: it, none would finish in time.
+#: sources, and the additional seconds for each agent that comes before this one
+#: in the chain. The delays let the origin send to only two agents; if all
+#: agents used it, none would finish in time.
 _LOST_SECONDS = 8.0
 _LOST_SECONDS_PER_AGENT = 1.0
-#: Pieces that a source may have more than this agent. A larger difference shows
-#: that the local link is slow.
+#: How many more pieces than this agent a source may have. A larger difference
+#: shows that the local link is slow.
 _MAX_PIECES_AHEAD = 4
 #: Transfer time in seconds of a piece from an agent above which a link counts
 #: as congested.
@@ -61,7 +61,7 @@
 
 
 class FetchContext(typing.Protocol):
-    """What a fetch needs from the rest of the agent."""
+    """Gives a fetch access to the rest of the agent."""
 
     def plan_input(self, model: str, version: int) -> piece_chains.PlanInput:
         """Return the input for choosing the sources of pieces."""
@@ -88,6 +88,7 @@
         self._plan: piece_chains.FetchPlan | None = None
         #: Whether engines that have loaded the version are used as sources.
         self._uses_holders = False
+        #: Set when a request has ended or the available pieces have changed.
         self._changed = asyncio.Event()
         self._chain_order = chain_order.ChainOrder(
             asyncio.get_running_loop().time(),
@@ -249,7 +250,7 @@
         ordered: list[int],
         now: float,
     ) -> None:
-        """Request pieces that a source is known to have."""
+        """Request pieces, each from the fastest source that has it."""
         remaining = self._limit_in_flight(_MAX_IN_FLIGHT_SEVERAL)
         remaining -= sum(
             len(supplier.available.intersection(supplier.in_flight))
@@ -313,7 +314,11 @@
         plan: piece_chains.FetchPlan,
         now: float,
     ) -> list[suppliers.Supplier]:
-        """Return the sources whose available pieces to follow."""
+        """Return the suppliers whose available pieces to track.
+
+        These are the planned sources and at most one fallback source; all other
+        sources as well if no piece has arrived for a long time.
+        """
         fallback_suppliers = self._suppliers.usable(plan.fallback_ips, now)[:1]
         tracked_suppliers = [
             *self._suppliers.usable(plan.sources, now),
@@ -369,8 +374,8 @@
         """Return how many pieces a source should have, approximately.
 
         It is 0 if pieces come in stripes: the agents before this one then wait
-        for other pieces than it has, and report themselves when their link is
-        slow.
+        for other pieces than it has. They also report when their link is slow,
+        so that the count isn't needed.
         """
         is_striped = self._plan is not None and self._plan.is_striped
         return 0 if is_striped else len(self._version_pieces.numbers)
@@ -393,7 +398,10 @@
         plan_input: piece_chains.PlanInput,
         sources: list[suppliers.Supplier],
     ) -> None:
-        """Track the pieces that sources have; loaded engines have all."""
+        """Track the pieces that sources have.
+
+        Agents whose engine has loaded the version have all its pieces.
+        """
         holders = {peer.ip for peer in plan_input.peers if peer.has_version}
         for supplier in sources:
             if supplier.ip in holders:
@@ -495,15 +503,16 @@
     ) -> None:
         """Record a piece's transfer time, and whether the local link is slow.
 
-        The local link counts as slow, and this agent as no source for others,
-        if pieces take long although the source has more, or from several
-        sources. The time in which a source sends to other agents isn't counted:
-        it ends before the response begins.
+        The local link counts as slow if pieces take long although the source
+        has several more than this agent, or although more than one source has
+        delivered pieces. Other agents then skip this one as a source. The time
+        in which a source sends to other agents isn't counted: it ends before
+        the response begins.
 
-        This lets another agent take over. When the link of an agent that read a
-        stripe from the origin was narrowed to an eighth, it couldn't be told
-        apart from a slow origin, and all other agents waited for the stripe
-        until the version's deadline.
+        Unless a slow link is reported, no other agent takes over. When the link
+        of an agent that read a stripe from the origin was narrowed to an
+        eighth, it couldn't be told apart from a slow origin, and all other
+        agents waited for the stripe until the version's deadline.
         """
         supplier.record_piece(piece.seconds, asyncio.get_running_loop().time())
         pieces_ahead = (piece.source_piece_count or 0) - len(
@@ -535,11 +544,11 @@
         piece from an agent shows congestion. Only a fast piece, from any
         source, ends it.
 
-        The difference in piece counts isn't enough: a narrowed link was
-        announced to entries three seconds late, because its only source had no
-        more pieces than this agent, and it counted as uncongested again as soon
-        as pieces came from the origin. Requests that entries sent there reached
-        the engine after their callers had left.
+        The difference in piece counts isn't enough to detect congestion: a
+        narrowed link was announced to entries three seconds late, because its
+        only source had no more pieces than this agent, and it counted as
+        uncongested again as soon as pieces came from the origin. Requests that
+        entries sent there reached the engine after their callers had left.
         """
         is_agent = supplier.ip != piece_chains.ORIGIN
         if (
@@ -584,9 +593,9 @@
     """Return how many pieces may be in flight from each of some groups.
 
     The limit applies to each group, so that all stripes that enter the region
-    at one agent are fetched at the same time. One after the other, each used
-    only half of the link's rate: an agent alone in its region was complete
-    after 8.0 s instead of 5.4 s.
+    at one agent are fetched at the same time. When they were fetched one after
+    the other, each used only half of the link's rate: an agent alone in its
+    region was complete after 8.0 s instead of 5.4 s.
     """
     group_sources = [source for group in groups for source in group.sources]
     if len(group_sources) > 1 or piece_chains.ORIGIN in group_sources:
--- a/clementinepass/direct/piece_protocol.py
+++ b/clementinepass/direct/piece_protocol.py
@@ -16,7 +16,10 @@
 
 
 class AvailabilityReply(msgspec.Struct):
-    """The pieces that an agent has of a version that it fetches."""
+    """The pieces that an agent has of a version that it fetches.
+
+    :param slow: whether pieces arrive there slowly.
+    """
 
     numbers: tuple[int, ...]
     slow: bool
--- a/clementinepass/direct/piece_server.py
+++ b/clementinepass/direct/piece_server.py
@@ -20,16 +20,18 @@
 #: them. The time is short because the response also shows the other agent that
 #: this one is alive.
 _WAIT_SECONDS = 0.3
-#: Seconds for which a request waits for a manifest: the agent before in the
-#: chain has to receive it first.
+#: Seconds for which a request waits for a manifest, which this agent may first
+#: have to receive from the agent before it in the chain.
 _MANIFEST_WAIT_SECONDS = 1.0
-#: Checks during that time whether this agent has the version.
+#: How many times during a wait it is checked whether this agent has the
+#: version.
 _POLLS = 10
 
 
 class _Query(typing.NamedTuple):
-    """What another agent requests.
+    """Request of another agent.
 
+    :param kind: the first segment of the path, as in ``piece_protocol``.
     :param number: the number of a piece, or how many pieces are known.
     """
 
@@ -58,7 +60,7 @@
 
 
 class PieceServer:
-    """Answers requests of other agents.
+    """Answers requests of other agents for manifests and pieces.
 
     :param provider: gives access to the local manifests and pieces.
     :param link: sends pieces at the rate that the link allows.
--- a/clementinepass/direct/suppliers.py
+++ b/clementinepass/direct/suppliers.py
@@ -30,14 +30,15 @@
 #: skipped.
 _MAX_FAILURES = 3
 #: Seconds for which a source is skipped. Within this time, its machine usually
-#: resumes or is dropped from the list, and all that fetch the version usually
-#: complete it.
+#: resumes or is dropped from the list, and the agents that fetch the version
+#: usually complete it.
 _SKIP_SECONDS = 8.0
 #: The same for the first time that a source refuses or breaks connections: its
 #: process may restart within a second. The time doubles with each repetition.
 _FIRST_SKIP_SECONDS = 1.0
 #: Transfer time in seconds of a piece on a slow link, three times the usual,
-#: and the ratio to another source's time above which a source is slower.
+#: and the ratio to the fastest source's time above which a source is skipped as
+#: slower.
 SLOW_PIECE_SECONDS = 0.22
 _SLOWER_FACTOR = 2.5
 #: Pieces by which a source may be behind without being skipped: pieces come in
@@ -198,8 +199,9 @@
     def finish_request(self, number: int) -> None:
         """Record that a piece is no longer in flight.
 
-        A source without open requests sends nothing more. It would otherwise
-        seem silent and ever further behind, and be skipped.
+        Without open requests, the values that show a source as silent or behind
+        are cleared: the source sends nothing more, so that it would seem silent
+        and ever further behind, and be skipped.
         """
         del self.in_flight[number]
         if self.in_flight:
@@ -303,7 +305,7 @@
 
     @property
     def fastest_piece_seconds(self) -> float:
-        """Return the transfer time from the fastest source of all."""
+        """Return the transfer time from the fastest source that delivered."""
         return min(
             (
                 supplier.piece_seconds
--- a/clementinepass/direct/version_selector.py
+++ b/clementinepass/direct/version_selector.py
@@ -19,8 +19,8 @@
 _BITS_PER_BYTE = 8
 _BITS_PER_MEGABIT = 1_000_000
 #: Ratio of a version's transfer time to the time that its bytes take on an
-#: otherwise idle link: headers, prompts and events need the rest. A piece of
-#: 24,576 bytes takes 58 ms on a link of 3.65 Mbit/s.
+#: otherwise idle link: headers, prompts and events take the additional time. A
+#: piece of 24,576 bytes takes 58 ms in all on a link of 3.65 Mbit/s.
 _OVERHEAD_FACTOR = 1.08
 
 
