--- a/clementinepass/direct/announcer.py
+++ b/clementinepass/direct/announcer.py
@@ -19,7 +19,7 @@
 
 
 class Announcer:
-    """Announces the state of the local engine to entries.
+    """Announces the state of the local engine and of its link to entries.
 
     :param local_node: the local node.
     :param peers: sends the announcements.
--- a/tests/direct/test_fetching.py
+++ b/tests/direct/test_fetching.py
@@ -476,9 +476,9 @@
     """The link of an agent that reads a stripe from the origin is narrow.
 
     It delivered a piece every half second, all other agents waited for its
-    stripe, and the first engine had the version 7.3 s after it was named. To
-    this agent a slow origin looks the same; pieces from other sources tell the
-    two apart.
+    stripe, and the first engine had the version 7.3 s after it was named. Only
+    by pieces from other sources can the agent tell its own narrow link from a
+    slow origin.
     """
 
     def test_taken_over(self) -> None:
