--- a/clementinepass/ini/values.py
+++ b/clementinepass/ini/values.py
@@ -1,4 +1,4 @@
-"""Values with units, as settings and configuration write them."""
+"""Types of values, with units, in settings and configuration files."""
 
 from __future__ import annotations
 
@@ -25,7 +25,9 @@
     'MiB': 1024**2,
     'GiB': 1024**3,
 }
-_RATE_BY_UNIT = {f'{unit}/s': factor for unit, factor in _BYTES_BY_UNIT.items()}
+_BYTES_PER_SECOND_BY_UNIT = {
+    f'{unit}/s': factor for unit, factor in _BYTES_BY_UNIT.items()
+}
 _BOOLEAN_BY_WORD = {
     'yes': True,
     'true': True,
@@ -38,7 +40,7 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Address:
-    """An IP number and a port."""
+    """An IP address and a port."""
 
     host: str
     port: int
@@ -51,28 +53,28 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class ValueType(typing.Generic[T]):
-    """A kind of value: how it is written and how it is parsed."""
+    """A type of values: its name, its notation and its parser."""
 
-    #: What the value is, for pages and faults, such as ``duration``.
+    #: The name of the type in pages and faults, such as ``a duration``.
     name: str
-    #: An example of how it is written.
+    #: An example of the notation.
     example: str
-    #: Return the value; raise ``ValueError`` for what it cannot read.
+    #: Return the value of a text; raise ``ValueError`` if it is invalid.
     parse: typing.Callable[[str], T]
 
     def expected(self) -> str:
-        """Return a phrase that tells how the value is written."""
+        """Return a phrase that describes the expected notation."""
         return f'expected {self.name} such as {self.example}'
 
 
 def parse_address(text: str) -> Address:
-    """Return the address that ``host:port`` names.
+    """Return the address in a text ``host:port``.
 
-    Host names are refused, since a lookup may hang or change.
+    Host names are rejected, as a lookup may block and its result may change.
     """
     host, _, port = text.rpartition(':')
     if not _COUNT.fullmatch(port) or int(port) > _MAX_PORT:
-        raise ValueError('no port')
+        raise ValueError('no valid port')
     bracketed = host.startswith('[') and host.endswith(']')
     number = ipaddress.ip_address(host[1:-1] if bracketed else host)
     if bracketed != (number.version == 6):
@@ -81,13 +83,13 @@
 
 
 def choice(*options: str) -> ValueType[str]:
-    """Return a type whose values are the given words."""
+    """Return a type whose values are the given options."""
     return ValueType(
         f'one of {", ".join(options)}', options[0], _Choice(options)
     )
 
 
-def _number_with_units(
+def _build_number_parser(
     units: dict[str, float],
 ) -> typing.Callable[[str], float]:
     def parse(text: str) -> float:
@@ -99,10 +101,10 @@
     return parse
 
 
-def _integer_with_units(
+def _build_integer_parser(
     units: dict[str, int],
 ) -> typing.Callable[[str], int]:
-    parse_number = _number_with_units({**units})
+    parse_number = _build_number_parser({**units})
 
     def parse(text: str) -> int:
         return round(parse_number(text))
@@ -110,7 +112,9 @@
     return parse
 
 
-def _match_parser(pattern: re.Pattern[str]) -> typing.Callable[[str], str]:
+def _build_pattern_parser(
+    pattern: re.Pattern[str],
+) -> typing.Callable[[str], str]:
     def parse(text: str) -> str:
         if pattern.fullmatch(text) is None:
             raise ValueError('does not match')
@@ -125,7 +129,7 @@
 
     def __call__(self, text: str) -> str:
         if text not in self.options:
-            raise ValueError('is none of the words')
+            raise ValueError('is none of the options')
         return text
 
 
@@ -136,7 +140,7 @@
 
 
 def _parse_count(text: str) -> int:
-    return int(_match_parser(_COUNT)(text))
+    return int(_build_pattern_parser(_COUNT)(text))
 
 
 def _parse_positive(text: str) -> int:
@@ -147,20 +151,22 @@
 
 
 def _parse_percentage(text: str) -> float:
-    fraction = _number_with_units({'%': 1 / _PERCENT})(text)
+    fraction = _build_number_parser({'%': 1 / _PERCENT})(text)
     if not 0 < fraction <= 1:
         raise ValueError('outside 0% to 100%')
     return fraction
 
 
-#: Seconds, written ``250ms``, ``4s``, ``2min`` or ``1h``.
+#: A time in seconds, written ``250ms``, ``4s``, ``2min`` or ``1h``.
 DURATION = ValueType(
-    'a duration', '250ms', _number_with_units(_SECONDS_BY_UNIT)
+    'a duration', '250ms', _build_number_parser(_SECONDS_BY_UNIT)
+)
+#: A size in bytes, written ``64MB`` or ``64MiB``.
+SIZE = ValueType('a size', '64MB', _build_integer_parser(_BYTES_BY_UNIT))
+#: A rate in bytes a second, written ``100MB/s``.
+RATE = ValueType(
+    'a rate', '100MB/s', _build_integer_parser(_BYTES_PER_SECOND_BY_UNIT)
 )
-#: Bytes, written ``64MB`` or ``64MiB``.
-SIZE = ValueType('a size', '64MB', _integer_with_units(_BYTES_BY_UNIT))
-#: Bytes a second, written ``100MB/s``.
-RATE = ValueType('a rate', '100MB/s', _integer_with_units(_RATE_BY_UNIT))
 #: A share above 0 and up to 1, written ``25%``.
 PERCENTAGE = ValueType('a percentage', '25%', _parse_percentage)
 #: A whole number from 0.
@@ -169,13 +175,13 @@
 POSITIVE = ValueType('a whole number from 1', '16', _parse_positive)
 #: ``yes`` or ``no``.
 BOOLEAN = ValueType('a boolean', 'yes', _parse_boolean)
-#: IP number and port.
-ADDRESS = ValueType('an IP number and port', '127.0.0.1:7000', parse_address)
-#: Letters, digits, dots, dashes and underscores.
-NAME = ValueType('a name', 'kigali-1', _match_parser(_NAME))
-#: A SHA-256 in lower-case hexadecimal.
+#: An IP address and a port.
+ADDRESS = ValueType('an IP address and port', '127.0.0.1:7000', parse_address)
+#: A name of letters, digits, dots, dashes and underscores.
+NAME = ValueType('a name', 'kigali-1', _build_pattern_parser(_NAME))
+#: A SHA-256 digest in lower-case hexadecimal.
 SHA256 = ValueType(
     'a SHA-256 in 64 lower-case hexadecimal digits',
     '9f86d081...',
-    _match_parser(_SHA256),
+    _build_pattern_parser(_SHA256),
 )
