--- a/clementinepass/cli/config_commands.py
+++ b/clementinepass/cli/config_commands.py
@@ -63,7 +63,7 @@
     only_in_force: tuple[str, ...]
 
 
-class Published(msgspec.Struct, frozen=True):
+class PublicationResult(msgspec.Struct, frozen=True):
     """A publication that is in force."""
 
     revision: int
@@ -177,7 +177,7 @@
             base=base,
         )
     if json:
-        output.print_json(Published(accepted.revision, accepted.id))
+        output.print_json(PublicationResult(accepted.revision, accepted.id))
     elif accepted.id:
         output.screen.print(
             f'accepted at revision {accepted.revision} ({accepted.id})',
--- a/clementinepass/ini/values.py
+++ b/clementinepass/ini/values.py
@@ -76,10 +76,10 @@
     if not _COUNT.fullmatch(port) or int(port) > _MAX_PORT:
         raise ValueError('no valid port')
     bracketed = host.startswith('[') and host.endswith(']')
-    number = ipaddress.ip_address(host[1:-1] if bracketed else host)
-    if bracketed != (number.version == 6):
+    ip_address = ipaddress.ip_address(host[1:-1] if bracketed else host)
+    if bracketed != (ip_address.version == 6):
         raise ValueError('brackets are for IPv6')
-    return Address(str(number), int(port))
+    return Address(str(ip_address), int(port))
 
 
 def choice(*options: str) -> ValueType[str]:
--- a/clementinepass/observability/request_history.py
+++ b/clementinepass/observability/request_history.py
@@ -33,7 +33,9 @@
 }
 _CONFIGURATION = frozenset(('configuration in force',))
 _WEIGHTS = frozenset(('version named', 'engine holds weights'))
-_LISTED = frozenset(('endpoint listed', 'endpoint dropped from the list'))
+_ENDPOINT_LIST = frozenset(
+    ('endpoint listed', 'endpoint dropped from the list')
+)
 _SHUTDOWN = frozenset(('leaving',))
 #: Messages of the observations that decided the outcome, by its cause.
 _DECIDING_MESSAGES_BY_CAUSE = {
@@ -45,8 +47,8 @@
     causes.Cause.NO_WEIGHTS: _WEIGHTS,
     causes.Cause.WEIGHTS_TOO_OLD: _WEIGHTS,
     causes.Cause.ENGINE_LOADING: _WEIGHTS,
-    causes.Cause.MISDIRECTED: _WEIGHTS | _LISTED,
-    causes.Cause.UNREACHABLE: _LISTED,
+    causes.Cause.MISDIRECTED: _WEIGHTS | _ENDPOINT_LIST,
+    causes.Cause.UNREACHABLE: _ENDPOINT_LIST,
     causes.Cause.CUT_AT_SHUTDOWN: _SHUTDOWN,
     causes.Cause.DRAINING: _SHUTDOWN,
 }
@@ -108,15 +110,15 @@
         A line without a time, such as the one on dropped lines, gets the time
         of the line before it.
         """
-        at = float(0)
+        timestamp = float(0)
         for raw in payload:
             if not raw.strip():
                 continue
-            line = _parse_line(process, raw, at)
+            line = _parse_line(process, raw, timestamp)
             if line is None:
                 self.unreadable_lines += 1
             else:
-                at = line.at
+                timestamp = line.timestamp
                 self._lines.append(line)
 
     def build_history(self, request_id: str) -> RequestHistory | None:
@@ -150,7 +152,7 @@
             first_failure,
             tuple(
                 self._observations(
-                    request_lines, processes, request_lines[0].at
+                    request_lines, processes, request_lines[0].timestamp
                 )
             ),
             tuple(
@@ -158,7 +160,7 @@
                 for observation in self._observations(
                     request_lines,
                     {request_lines[-1].process},
-                    request_lines[-1].at,
+                    request_lines[-1].timestamp,
                 )
                 if observation.line.message in deciding_messages
             ),
@@ -198,14 +200,14 @@
         )
         return verdicts.Context(
             process_lines[index + 1 :],
-            tuple(self._load_orders()),
-            dropped=any(
-                _is_dropped_near(line, last.at, last.at)
+            tuple(self._find_load_orders()),
+            has_dropped_lines=any(
+                _is_dropped_near(line, last.timestamp, last.timestamp)
                 for line in process_lines
             ),
         )
 
-    def _load_orders(self) -> Iterable[tuple[str, lines.Line]]:
+    def _find_load_orders(self) -> Iterable[tuple[str, lines.Line]]:
         """Yield each order to load with the address of its engine."""
         engines: dict[str, str] = {}
         for line in self._lines:
@@ -226,7 +228,9 @@
             for request_line in request_lines
         }
         newest_by_key: dict[tuple[typing.Any, ...], lines.Line] = {}
-        before = [observed for observed in self._lines if observed.at <= when]
+        before = [
+            observed for observed in self._lines if observed.timestamp <= when
+        ]
         for line in sorted(before, key=_time_of):
             if line.message in _START_MESSAGES:
                 newest_by_key = _without_process(newest_by_key, line.process)
@@ -234,7 +238,7 @@
             if line.process in processes and observation_key is not None:
                 newest_by_key[line.process, *observation_key] = line
         return [
-            Observation(newest, when - newest.at)
+            Observation(newest, when - newest.timestamp)
             for newest in newest_by_key.values()
         ]
 
@@ -242,7 +246,7 @@
         self, request_lines: list[lines.Line], processes: set[str]
     ) -> Iterable[str]:
         """Yield a sentence for each way in which lines may be missing."""
-        first, last = request_lines[0].at, request_lines[-1].at
+        first, last = request_lines[0].timestamp, request_lines[-1].timestamp
         for process in sorted(processes):
             process_lines = [
                 line for line in self._lines if line.process == process
@@ -292,23 +296,25 @@
         return False
     return (
         first - _DROPPED_MARGIN_SECONDS
-        <= line.at
+        <= line.timestamp
         <= last + _DROPPED_MARGIN_SECONDS
     )
 
 
-def _parse_line(process: str, raw: bytes, before: float) -> lines.Line | None:
+def _parse_line(
+    process: str, raw: bytes, previous_timestamp: float
+) -> lines.Line | None:
     try:
         fields = msgspec.json.decode(raw, type=dict[str, typing.Any])
         time_text = fields.get('time')
-        at = before
+        timestamp = previous_timestamp
         if time_text is not None:
-            at = datetime.datetime.fromisoformat(time_text).timestamp()
-        return lines.Line(process, at, str(fields['message']), fields)
+            timestamp = datetime.datetime.fromisoformat(time_text).timestamp()
+        return lines.Line(process, timestamp, str(fields['message']), fields)
     except (KeyError, TypeError, ValueError):
         # msgspec.DecodeError is a ValueError.
         return None
 
 
 def _time_of(line: lines.Line) -> float:
-    return line.at
+    return line.timestamp
--- a/clementinepass/observability/verdicts.py
+++ b/clementinepass/observability/verdicts.py
@@ -91,12 +91,13 @@
         wrote after it.
     :param load_orders: the address of the engine and the line for each order to
         load.
-    :param dropped: whether that process dropped lines when the request ended.
+    :param has_dropped_lines: whether that process dropped lines when the
+        request ended.
     """
 
     later_lines: Sequence[lines.Line]
     load_orders: Sequence[tuple[str, lines.Line]]
-    dropped: bool = False
+    has_dropped_lines: bool = False
 
 
 class Verdict(typing.NamedTuple):
@@ -187,7 +188,9 @@
 
 def _unknown_cause(line: lines.Line, why: str) -> _Classification:
     """Return an unknown cause with the reason why it is unknown."""
-    evidence = lines.Line(line.process, line.at, line.message, {'why': why})
+    evidence = lines.Line(
+        line.process, line.timestamp, line.message, {'why': why}
+    )
     return Cause.UNKNOWN, evidence
 
 
@@ -195,7 +198,7 @@
     request_lines: Sequence[lines.Line], context: Context
 ) -> Verdict:
     """Classify a request without a line on its end."""
-    if context.dropped:
+    if context.has_dropped_lines:
         return _build_unknown_verdict('lines were dropped when it ended')
     for line in context.later_lines:
         if line.message == 'stopped':
@@ -297,7 +300,7 @@
     return any(
         engine == address
         and order.fields.get('answer') == 'accepted'
-        and 0 <= line.at - order.at <= _LOAD_CUT_SECONDS
+        and 0 <= line.timestamp - order.timestamp <= _LOAD_CUT_SECONDS
         for address, order in context.load_orders
     )
 
