--- a/clementinepass/cli/exits.py
+++ b/clementinepass/cli/exits.py
@@ -13,7 +13,7 @@
 
 #: The command succeeded.
 OK = 0
-#: The request was rejected or refused, without any other error.
+#: The operation was rejected or refused; nothing else went wrong.
 REJECTED = 1
 #: The input has faults; all of them were listed.
 BAD_INPUT = 2
--- a/clementinepass/observability/causes.py
+++ b/clementinepass/observability/causes.py
@@ -55,8 +55,8 @@
     UNKNOWN = 'not_known'
 
 
-#: One sentence for each cause. A name in braces is a field of the log line that
-#: proves the cause.
+#: One sentence for each cause, in which ``it`` and ``its`` stand for the
+#: request. A name in braces is a field of the log line that proves the cause.
 SENTENCE_BY_CAUSE = {
     Cause.ANSWERED: (
         'the complete answer was written to the connection of its caller'
@@ -81,9 +81,7 @@
     Cause.SLOW_READER: (
         'its deadline passed while its caller had yet to read data already sent'
     ),
-    Cause.MALFORMED: (
-        'a required part of the request is missing, or it says it wrongly'
-    ),
+    Cause.MALFORMED: 'the request lacks a required part, or says it wrongly',
     Cause.UNKNOWN_KEY: (
         'no configuration known to this entry contained its key '
         '({configuration} was in force), as of a read of the store {store_age} '
@@ -132,7 +130,8 @@
         'weights of a version that may be used'
     ),
     Cause.REJECTED: (
-        'each endpoint that it was sent to reported that it did not run it'
+        'each endpoint that it was sent to answered that the request was not '
+        'run'
     ),
     Cause.MISDIRECTED: (
         'each endpoint that it was sent to had another id or other weights '
@@ -151,7 +150,7 @@
     ),
     Cause.ENDPOINT_SILENT: 'endpoint {endpoint} sent no data for {silent} s',
     Cause.ENDPOINT_MALFORMED: (
-        'endpoint {endpoint} sent no valid answer: {error}'
+        'endpoint {endpoint} sent data that is no valid answer to it: {error}'
     ),
     Cause.ENDPOINT_FAILED: (
         'endpoint {endpoint} ran it and answered with error status {status}'
@@ -182,7 +181,8 @@
     NOT_RETRIED = 'not sending once more'
 
 
-#: One sentence for each finding. A name in braces is a field of its log line.
+#: One sentence for each finding, in which ``it`` and ``its`` stand for the
+#: request. A name in braces is a field of the log line of the finding.
 SENTENCE_BY_FINDING = {
     Finding.ACCEPTED_WHILE_DRAINING: (
         'it arrived {since} s after the entry was told to end, as request '
@@ -194,8 +194,8 @@
     ),
     Finding.REJECTED: 'endpoint {endpoint} turned it away with {status}',
     Finding.MISDIRECTED: (
-        'endpoint {endpoint} was another endpoint, or did not hold version '
-        '{version}'
+        'the process at the address of endpoint {endpoint} was another '
+        'endpoint, or did not hold version {version}'
     ),
     Finding.ATTEMPT_FAILED: 'endpoint {endpoint} gave no whole answer: {error}',
     Finding.FAILED_BY_ENDPOINT: 'endpoint {endpoint} failed it with {status}',
--- a/clementinepass/observability/line_table.py
+++ b/clementinepass/observability/line_table.py
@@ -144,7 +144,9 @@
     'number': Field('int', 'number of the request on its connection, from 1'),
     'offset': Field('int', 'offset in the topic'),
     'open': Field('int', 'connections with a request in progress'),
-    'orders': Field('int', 'loads that the engine has begun since it started'),
+    'orders': Field(
+        'int', 'number of loads that the engine has begun since it started'
+    ),
     'outcomes': Field(
         'list',
         'the outcome of each attempt: turned_away, misdirected, failed, or the '
@@ -179,7 +181,10 @@
     'resume_after': Field(
         'int or null', 'number of the last event that the caller received'
     ),
-    'rounds': Field('int', 'unsuccessful rounds of requests before'),
+    'rounds': Field(
+        'int',
+        'number of rounds of requests for the manifest that failed before',
+    ),
     'runs': Field('int', 'attempts that ran or may have run'),
     'seconds': Field('float', 'elapsed time in seconds'),
     'service': Field('str', 'name of the service'),
@@ -411,8 +416,8 @@
     ),
     'pieces stalled': Kind(
         'sources partners missing',
-        'no piece arrived for a moment; agents choose sources by what others '
-        'hold',
+        'no piece arrived for a moment; the agent now requests pieces by what '
+        'other agents hold',
     ),
     'sources changed': Kind(
         'sources before missing', 'pieces are fetched from other sources'
@@ -421,7 +426,7 @@
         'source trouble', 'the source is not used for now'
     ),
     'no answer': Kind(
-        'source', 'a source did not answer, for the first time in a row'
+        'source', 'a source did not answer; not repeated until it answers again'
     ),
     'source answers again': Kind(
         'source failures', 'a source answers after failures'
@@ -450,18 +455,20 @@
     ),
     'the engine has restarted': Kind(
         'version',
-        'between the last report of the engine and the order to load, which '
-        'is omitted',
+        'the engine restarted after its last report, so the order to load is '
+        'not sent',
     ),
     'turn to load': Kind(
-        'version wait', 'seconds until the engine loads the version'
+        'version wait',
+        'the agent waits before its engine loads the version, so that '
+        'engines load in turns',
     ),
     'ordered to load': Kind(
         'version orders active answer',
         'the engine was ordered to load a version, with its answer',
     ),
     'not loaded': Kind(
-        'node', 'the engine did not answer while it was to load a version'
+        'node', 'the engine did not answer a query or an order to load'
     ),
     'not fetched': Kind(
         'node', 'no source had the manifest, or the engine did not answer'
--- a/clementinepass/observability/logs.py
+++ b/clementinepass/observability/logs.py
@@ -18,7 +18,7 @@
 
 
 class _LevelFilter:
-    """Pass events of at least a level that can change at run time."""
+    """Pass events at or above a level, which can change at run time."""
 
     def __init__(self, level: str) -> None:
         self.level = level
--- a/clementinepass/observability/output.py
+++ b/clementinepass/observability/output.py
@@ -17,10 +17,10 @@
 from loguru import logger
 
 _STDOUT_DESCRIPTOR = 1
-#: Size of the buffer from which on lines are dropped.
+#: New lines are dropped while the buffer holds this many bytes or more.
 _MAX_BUFFERED_BYTES = 262144
-#: Rate limits per level. The number of lines on single requests grows with the
-#: load; with a limit of their own, they do not crowd out those on failures.
+#: Rate limits by level. The number of INFO lines on requests grows with the
+#: load; a limit for each level keeps them from displacing lines on failures.
 _LINES_PER_SECOND_BY_LEVEL = {'INFO': 150, 'WARNING': 150, 'ERROR': 100}
 _DEFAULT_LINES_PER_SECOND = 100
 #: Seconds for which lines are collected before they are written together.
@@ -54,7 +54,7 @@
         self._is_flush_scheduled = False
 
     def install(self) -> None:
-        """Replace all log handlers of this process by this one."""
+        """Replace all log handlers of this process with this one."""
         logger.remove()
         logger.add(self.write, level='INFO', format='{message}')
 
--- a/clementinepass/observability/request_history.py
+++ b/clementinepass/observability/request_history.py
@@ -52,7 +52,7 @@
     causes.Cause.CUT_AT_SHUTDOWN: _SHUTDOWN,
     causes.Cause.DRAINING: _SHUTDOWN,
 }
-#: Messages with which a process starts, without any known state.
+#: Messages of a process that has just started and knows no state yet.
 _START_MESSAGES = frozenset(('entry started', 'agent started'))
 #: Messages of a request that are no failure.
 _NORMAL_MESSAGES = frozenset(
--- a/clementinepass/observability/verdicts.py
+++ b/clementinepass/observability/verdicts.py
@@ -227,6 +227,7 @@
     before: Sequence[lines.Line],
     context: Context,
 ) -> _Classification:
+    """Classify by the reason of the final line alone."""
     reason = final.fields.get('reason')
     cause = _CAUSE_BY_REASON.get(str(reason))
     if cause is None:
@@ -282,7 +283,7 @@
         if outcome in _CUT_FAULTS and _was_loading(line, context):
             return Cause.ENGINE_LOADING, line
         return _CAUSE_BY_FAULT[outcome], line
-    return _unknown_cause(final, 'no attempt is recorded as run')
+    return _unknown_cause(final, 'its line lists no attempt that ran')
 
 
 def _attempt_line(before: Sequence[lines.Line], number: int) -> lines.Line:
@@ -312,7 +313,9 @@
     for outcome, cause in _CAUSE_BY_NOT_RUN.items():
         if outcome in outcomes:
             return cause, final
-    return _unknown_cause(final, 'no attempt is recorded as not run')
+    return _unknown_cause(
+        final, 'its line lists no attempt that an endpoint did not run'
+    )
 
 
 def _classify_caller(
--- a/tests/observability/test_causes.py
+++ b/tests/observability/test_causes.py
@@ -439,10 +439,10 @@
     def test_causes(self) -> None:
         """The reported cause is the one that was provoked."""
         wrong = []
-        for play, cause, words in CASES:
+        for play, cause, fragment in CASES:
             verdict = explain_request(capture_lines(play)).verdict
             explanation = ' | '.join((verdict.sentence, *verdict.contributions))
-            if verdict.cause is not cause or words not in explanation:
+            if verdict.cause is not cause or fragment not in explanation:
                 wrong.append((cause.value, verdict.cause.value, explanation))
         self.assertEqual([], wrong)
 
--- a/tests/observability/test_causes_mixed.py
+++ b/tests/observability/test_causes_mixed.py
@@ -64,7 +64,8 @@
         self.leaves_by_reset = rng.random() < 0.5
         if self.deadline_ms > 1000 and rng.random() < 0.4:
             # If an answer could arrive while the caller disconnects, each
-            # side could see a different end: no endpoint answers it.
+            # side could see a different end, so no endpoint answers such a
+            # request.
             self.leaves_after = rng.uniform(0.1, 0.4)
             self.target, self.key = rng.choice(ONCE_TARGETS), 'key'
             self.faults = [Fault.MUTE]
