--- a/clementinepass/cli/explain_command.py
+++ b/clementinepass/cli/explain_command.py
@@ -75,13 +75,13 @@
 def _print_history(
     request: str, history: request_history.RequestHistory
 ) -> None:
-    started_at = history.lines[0].timestamp
+    started_at = history.lines[0].written_at
     output.print_table(
         f'request {request}',
         ('seconds', 'process', 'what', 'why'),
         [
             (
-                f'{line.timestamp - started_at:.3f}',
+                f'{line.written_at - started_at:.3f}',
                 line.process,
                 line.message,
                 line.details,
--- a/clementinepass/ini/values.py
+++ b/clementinepass/ini/values.py
@@ -76,10 +76,10 @@
     if not _COUNT.fullmatch(port) or int(port) > _MAX_PORT:
         raise ValueError('no valid port')
     bracketed = host.startswith('[') and host.endswith(']')
-    ip_address = ipaddress.ip_address(host[1:-1] if bracketed else host)
-    if bracketed != (ip_address.version == 6):
+    parsed_host = ipaddress.ip_address(host[1:-1] if bracketed else host)
+    if bracketed != (parsed_host.version == 6):
         raise ValueError('brackets are for IPv6')
-    return Address(str(ip_address), int(port))
+    return Address(str(parsed_host), int(port))
 
 
 def choice(*options: str) -> ValueType[str]:
--- a/clementinepass/observability/lines.py
+++ b/clementinepass/observability/lines.py
@@ -15,11 +15,11 @@
     """One log line.
 
     :param process: the name of the process that wrote it.
-    :param timestamp: seconds since the epoch, by the clock of that process.
+    :param written_at: seconds since the epoch, by the clock of that process.
     """
 
     process: str
-    timestamp: float
+    written_at: float
     message: str
     fields: Mapping[str, typing.Any]
 
--- a/clementinepass/observability/request_history.py
+++ b/clementinepass/observability/request_history.py
@@ -110,15 +110,15 @@
         A line without a time, such as the one on dropped lines, gets the time
         of the line before it.
         """
-        timestamp = float(0)
+        written_at = float(0)
         for raw in payload:
             if not raw.strip():
                 continue
-            line = _parse_line(process, raw, timestamp)
+            line = _parse_line(process, raw, written_at)
             if line is None:
                 self.unreadable_lines += 1
             else:
-                timestamp = line.timestamp
+                written_at = line.written_at
                 self._lines.append(line)
 
     def build_history(self, request_id: str) -> RequestHistory | None:
@@ -152,7 +152,7 @@
             first_failure,
             tuple(
                 self._observations(
-                    request_lines, processes, request_lines[0].timestamp
+                    request_lines, processes, request_lines[0].written_at
                 )
             ),
             tuple(
@@ -160,7 +160,7 @@
                 for observation in self._observations(
                     request_lines,
                     {request_lines[-1].process},
-                    request_lines[-1].timestamp,
+                    request_lines[-1].written_at,
                 )
                 if observation.line.message in deciding_messages
             ),
@@ -202,7 +202,7 @@
             process_lines[index + 1 :],
             tuple(self._find_load_orders()),
             has_dropped_lines=any(
-                _is_dropped_near(line, last.timestamp, last.timestamp)
+                _is_dropped_near(line, last.written_at, last.written_at)
                 for line in process_lines
             ),
         )
@@ -229,7 +229,7 @@
         }
         newest_by_key: dict[tuple[typing.Any, ...], lines.Line] = {}
         before = [
-            observed for observed in self._lines if observed.timestamp <= when
+            observed for observed in self._lines if observed.written_at <= when
         ]
         for line in sorted(before, key=_time_of):
             if line.message in _START_MESSAGES:
@@ -238,7 +238,7 @@
             if line.process in processes and observation_key is not None:
                 newest_by_key[line.process, *observation_key] = line
         return [
-            Observation(newest, when - newest.timestamp)
+            Observation(newest, when - newest.written_at)
             for newest in newest_by_key.values()
         ]
 
@@ -246,7 +246,7 @@
         self, request_lines: list[lines.Line], processes: set[str]
     ) -> Iterable[str]:
         """Yield a sentence for each way in which lines may be missing."""
-        first, last = request_lines[0].timestamp, request_lines[-1].timestamp
+        first, last = request_lines[0].written_at, request_lines[-1].written_at
         for process in sorted(processes):
             process_lines = [
                 line for line in self._lines if line.process == process
@@ -296,25 +296,25 @@
         return False
     return (
         first - _DROPPED_MARGIN_SECONDS
-        <= line.timestamp
+        <= line.written_at
         <= last + _DROPPED_MARGIN_SECONDS
     )
 
 
 def _parse_line(
-    process: str, raw: bytes, previous_timestamp: float
+    process: str, raw: bytes, previous_written_at: float
 ) -> lines.Line | None:
     try:
         fields = msgspec.json.decode(raw, type=dict[str, typing.Any])
         time_text = fields.get('time')
-        timestamp = previous_timestamp
+        written_at = previous_written_at
         if time_text is not None:
-            timestamp = datetime.datetime.fromisoformat(time_text).timestamp()
-        return lines.Line(process, timestamp, str(fields['message']), fields)
+            written_at = datetime.datetime.fromisoformat(time_text).timestamp()
+        return lines.Line(process, written_at, str(fields['message']), fields)
     except (KeyError, TypeError, ValueError):
         # msgspec.DecodeError is a ValueError.
         return None
 
 
 def _time_of(line: lines.Line) -> float:
-    return line.timestamp
+    return line.written_at
--- a/clementinepass/observability/verdicts.py
+++ b/clementinepass/observability/verdicts.py
@@ -189,7 +189,7 @@
 def _unknown_cause(line: lines.Line, why: str) -> _Classification:
     """Return an unknown cause with the reason why it is unknown."""
     evidence = lines.Line(
-        line.process, line.timestamp, line.message, {'why': why}
+        line.process, line.written_at, line.message, {'why': why}
     )
     return Cause.UNKNOWN, evidence
 
@@ -301,7 +301,7 @@
     return any(
         engine == address
         and order.fields.get('answer') == 'accepted'
-        and 0 <= line.timestamp - order.timestamp <= _LOAD_CUT_SECONDS
+        and 0 <= line.written_at - order.written_at <= _LOAD_CUT_SECONDS
         for address, order in context.load_orders
     )
 
