--- a/clementinepass/http/channel.py
+++ b/clementinepass/http/channel.py
@@ -313,12 +313,16 @@
         """
         self._is_active = False
         self.idle_since = self._loop.time()
-        is_whole = (
+        is_exchange_complete = (
             self._is_complete
             and not self._has_surplus
             and not self.unsent_bytes
         )
-        if is_whole and self.is_reusable and not self._transport.is_closing():
+        if (
+            is_exchange_complete
+            and self.is_reusable
+            and not self._transport.is_closing()
+        ):
             return True
         self.abort()
         return False
--- a/clementinepass/http/pool.py
+++ b/clementinepass/http/pool.py
@@ -17,7 +17,7 @@
 _KEEP_ALIVE_FRACTION = 0.6
 #: Timeout of opening a connection. Peers are a few milliseconds away, and the
 #: kernel retransmits a lost packet after a second.
-_CONNECT_SECONDS = 1.5
+_CONNECT_TIMEOUT_SECONDS = 1.5
 
 
 class Pool:
@@ -76,7 +76,7 @@
         self,
         *,
         max_idle_seconds: float = math.inf,
-        seconds: float = _CONNECT_SECONDS,
+        seconds: float = _CONNECT_TIMEOUT_SECONDS,
     ) -> channel.Channel:
         """Return an idle or a new connection for a request.
 
--- a/clementinepass/http/replies.py
+++ b/clementinepass/http/replies.py
@@ -68,8 +68,8 @@
         self.is_started = True
         self.is_done = True
         self.status = status
-        framed = [*pairs, (b'Content-Length', b'%d' % len(body))]
-        self._connection.write_head(status, framed)
+        framed_pairs = [*pairs, (b'Content-Length', b'%d' % len(body))]
+        self._connection.write_head(status, framed_pairs)
         if body:
             self._connection.write(body)
 
@@ -77,8 +77,8 @@
         """Send the head of a chunked answer, whose length is unknown."""
         self.is_started = True
         self.status = status
-        framed = [*pairs, (b'Transfer-Encoding', b'chunked')]
-        self._connection.write_head(status, framed)
+        framed_pairs = [*pairs, (b'Transfer-Encoding', b'chunked')]
+        self._connection.write_head(status, framed_pairs)
 
     def write(self, payload: bytes) -> None:
         """Send one chunk of the body."""
--- a/clementinepass/lifecycle.py
+++ b/clementinepass/lifecycle.py
@@ -61,7 +61,7 @@
         drain: Callable[[], Awaitable[None]],
     ) -> None:
         """Run ``work``; once a stop is requested, drain and cancel it."""
-        self._install()
+        self._install_signal_handlers()
         work_task = asyncio.ensure_future(work)
         stop_task = asyncio.ensure_future(self._stop_requested.wait())
         await asyncio.wait(
@@ -76,7 +76,7 @@
         with contextlib.suppress(asyncio.CancelledError):
             await work_task
 
-    def _install(self) -> None:
+    def _install_signal_handlers(self) -> None:
         loop = asyncio.get_running_loop()
         loop.add_signal_handler(signal.SIGTERM, self.terminate)
         loop.add_signal_handler(signal.SIGINT, self.terminate)
--- a/clementinepass/machines.py
+++ b/clementinepass/machines.py
@@ -39,18 +39,18 @@
 
 def main() -> None:
     """Run the process until it is stopped by a signal."""
-    lines = output.Output()
-    lines.install()
+    log_output = output.Output()
+    log_output.install()
     try:
         local_node = node_settings.read(os.environ[node_settings.PATH_VARIABLE])
     except (KeyError, errors.SettingsError) as error:
         logger.bind(step='start').critical('no settings: {}', error)
-        lines.flush()
+        log_output.flush()
         sys.exit(_EXIT_BAD_SETTINGS)
     try:
         asyncio.run(_run(sys.argv[1], local_node))
     finally:
-        lines.flush()
+        log_output.flush()
 
 
 async def _run(role: str, local_node: node.Node) -> None:
--- a/clementinepass/platform/decoding.py
+++ b/clementinepass/platform/decoding.py
@@ -69,11 +69,13 @@
         address = addresses.Address.from_text(text)
     except errors.MalformedMessageError as error:
         raise malformed_error(error.detail, step, 'address') from error
-    number = ipaddress.ip_address(address.host)
+    ip_address = ipaddress.ip_address(address.host)
     is_unicast = not (
-        number.is_unspecified or number.is_multicast or number.is_reserved
+        ip_address.is_unspecified
+        or ip_address.is_multicast
+        or ip_address.is_reserved
     )
-    if number.version != _IP_VERSION or not is_unicast:
+    if ip_address.version != _IP_VERSION or not is_unicast:
         raise malformed_error(
             f'{text!r} is not a unicast IPv4 address', step, 'address'
         )
--- a/clementinepass/platform/dialect.py
+++ b/clementinepass/platform/dialect.py
@@ -11,7 +11,7 @@
 if typing.TYPE_CHECKING:
     from collections.abc import Callable
 
-_MS = 1000
+_MS_PER_SECOND = 1000
 _ID = b'X-Attempt-Id'
 _ID_NAME = b'x-attempt-id'
 _KEY_NAME = b'x-api-key'
@@ -105,7 +105,7 @@
         """Return one attempt's request to an endpoint, encoded for the wire."""
         request = call.request
         pairs = request.headers.end_to_end(_OVERWRITTEN_HEADERS)
-        remaining_ms = max(int(parameters.timeout_seconds * _MS), 1)
+        remaining_ms = max(int(parameters.timeout_seconds * _MS_PER_SECOND), 1)
         pairs.append((_DEADLINE, b'%d' % remaining_ms))
         pairs.append((_EXPECT_INSTANCE, parameters.endpoint_id.encode()))
         pairs.append((_URGENCY, b'%d' % parameters.urgency))
@@ -179,7 +179,7 @@
 
 
 def _parse_seconds(field: bytes) -> float:
-    seconds = float(field) / _MS
+    seconds = float(field) / _MS_PER_SECOND
     if not math.isfinite(seconds) or seconds < 0:
         raise ValueError(field)
     return seconds
--- a/clementinepass/platform/instance_list.py
+++ b/clementinepass/platform/instance_list.py
@@ -59,7 +59,7 @@
         reply = self._transport.exchange('GET', '/v1/instances', step=_STEP)
         answer = self._transport.decode(reply, InstancesAnswer, _STEP)
         instances_by_id = {
-            instance.id: self._validated(instance)
+            instance.id: self._convert_instance(instance)
             for instance in answer.instances
         }
         if len(instances_by_id) != len(answer.instances):
@@ -68,7 +68,7 @@
             )
         return tuple(instances_by_id.values())
 
-    def _validated(self, instance: InstanceAnswer) -> protocols.Instance:
+    def _convert_instance(self, instance: InstanceAnswer) -> protocols.Instance:
         """Check an instance's addresses and convert it.
 
         :raises MalformedMessageError: an address is invalid.
--- a/clementinepass/platform/log_service.py
+++ b/clementinepass/platform/log_service.py
@@ -116,17 +116,17 @@
         :raises PlatformUnavailableError: the service did not answer.
         :raises MalformedMessageError: the answer could not be decoded.
         """
-        count = limit
+        page_limit = limit
         while True:
             try:
-                return self._read_page(stream, offset, count, wait)
+                return self._read_page(stream, offset, page_limit, wait)
             except errors.MessageTooLongError:
                 # A page of many large records exceeds the size limit at each
                 # retry, so the reader would never get past it. Reading has no
                 # side effects, hence it is repeated with fewer records.
-                if count <= 1:
+                if page_limit <= 1:
                     raise
-                count = max(1, count // _LIMIT_DIVISOR)
+                page_limit = max(1, page_limit // _LIMIT_DIVISOR)
 
     def _read_page(
         self,
--- a/clementinepass/platform/node_settings.py
+++ b/clementinepass/platform/node_settings.py
@@ -14,7 +14,7 @@
 
 #: Name of the environment variable that holds the file's path.
 PATH_VARIABLE = 'CLEMENTINEPASS_SETTINGS'
-_MS = 1000
+_MS_PER_SECOND = 1000
 _STEP = 'read settings'
 
 
@@ -119,12 +119,12 @@
 
 def _duties(bounds: _Bounds) -> node.SystemLimits:
     return node.SystemLimits(
-        drain=bounds.drainMs / _MS,
+        drain=bounds.drainMs / _MS_PER_SECOND,
         grace=bounds.graceS,
         budget_share=bounds.budgetRatio,
         budget_window=bounds.budgetWindowS,
         budget_surplus=bounds.budgetSlack,
-        version=bounds.version_ms / _MS,
-        settling=bounds.stableWindowMs / _MS,
+        version=bounds.version_ms / _MS_PER_SECOND,
+        settling=bounds.stableWindowMs / _MS_PER_SECOND,
         longest_offer=bounds.ttl_max_s,
     )
--- a/clementinepass/platform/operator.py
+++ b/clementinepass/platform/operator.py
@@ -17,7 +17,7 @@
 _CONFIG_KEY = 'config'
 #: Prefix of the keys of desired versions; the model's name follows.
 _VERSION_PREFIX = 'version/'
-_MS = 1000
+_MS_PER_SECOND = 1000
 _STEP = 'decode'
 _KINDS_BY_NAME = {
     'streaming': routing.RouteKind.STREAM,
@@ -166,9 +166,9 @@
             route.route_kind, routing.RouteKind.AT_MOST_ONCE
         ),
         backends=backends or (routing.Backend(route.service, 1),),
-        timeout=route.timeout_ms / _MS,
-        latency_target=route.slo_ms / _MS,
-        max_event_gap=route.gap_target_ms / _MS,
+        timeout=route.timeout_ms / _MS_PER_SECOND,
+        latency_target=route.slo_ms / _MS_PER_SECOND,
+        max_event_gap=route.gap_target_ms / _MS_PER_SECOND,
         priority=route.priority,
         max_runs=max(route.max_attempts, 1),
         is_public=route.public,
@@ -198,17 +198,17 @@
         layers=engine.layers,
         chunks=engine.chunks,
         chunk_bytes=engine.chunkBytes,
-        step_seconds=engine.step_ms / _MS,
+        step_seconds=engine.step_ms / _MS_PER_SECOND,
         prompt_tokens_per_second=engine.read_per_s,
         mean_prompt_tokens=usual.prompt,
         mean_answer_tokens=usual.answer,
     )
 
 
-def _bounds(bounds: _Limits) -> limits.Bounds:
+def _bounds(config_limits: _Limits) -> limits.Bounds:
     return limits.Bounds(
-        header_bytes=bounds.max_header_bytes,
-        body_bytes=bounds.max_body_bytes,
-        header_seconds=bounds.header_timeout_ms / _MS,
-        idle_seconds=bounds.idle_timeout_ms / _MS,
+        header_bytes=config_limits.max_header_bytes,
+        body_bytes=config_limits.max_body_bytes,
+        header_seconds=config_limits.header_timeout_ms / _MS_PER_SECOND,
+        idle_seconds=config_limits.idle_timeout_ms / _MS_PER_SECOND,
     )
--- a/clementinepass/platform/store.py
+++ b/clementinepass/platform/store.py
@@ -22,7 +22,7 @@
 }
 _LENGTH_BYTES = 4
 _OFFSET_BYTES = 8
-_MS = 1000
+_MS_PER_SECOND = 1000
 _GONE = 410
 _TOO_MANY_REQUESTS = 429
 _OK = 200
@@ -36,7 +36,7 @@
 #: Timeout of a write or of a read of the newest records; a slow store needs
 #: most of it.
 _CALL_TIMEOUT_SECONDS = 2.5
-_DEFAULT_RETRY_AFTER = 1.0
+_DEFAULT_RETRY_AFTER_SECONDS = 1.0
 
 
 class _NewestRecord(msgspec.Struct):
@@ -110,7 +110,7 @@
             'topic': _NAME_BY_TOPIC[topic],
             'part': 0,
             'from': offset,
-            'waitMs': int(wait * _MS),
+            'waitMs': int(wait * _MS_PER_SECOND),
         }
         answer = await self._call(
             'GET',
@@ -145,13 +145,13 @@
         """
         name = key.encode()
         record = bytes((len(name),)) + name + payload
-        framed = len(record).to_bytes(_LENGTH_BYTES, 'big') + record
+        framed_record = len(record).to_bytes(_LENGTH_BYTES, 'big') + record
         query = {'topic': _NAME_BY_TOPIC[topic], 'part': 0}
         answer = await self._call(
             'POST',
             'log-append',
             query,
-            body=framed,
+            body=framed_record,
             seconds=_CALL_TIMEOUT_SECONDS,
         )
         self._check(answer, 'append')
@@ -211,7 +211,7 @@
             raise errors.ThrottledError(
                 step=step,
                 peer=self._address,
-                retry_after=_DEFAULT_RETRY_AFTER,
+                retry_after=_DEFAULT_RETRY_AFTER_SECONDS,
             )
         raise errors.PlatformUnavailableError(
             f'status {answer.status}',
--- a/clementinepass/platform/transport.py
+++ b/clementinepass/platform/transport.py
@@ -16,8 +16,8 @@
 _SUCCESS = frozenset((_OK,))
 _NOT_FOUND = 404
 _TOO_MANY_REQUESTS = 429
-_DEFAULT_RETRY_AFTER = 1.0
-_MAX_RETRY_AFTER = 3600.0
+_DEFAULT_RETRY_AFTER_SECONDS = 1.0
+_MAX_RETRY_AFTER_SECONDS = 3600.0
 _JSON_HEADERS = {'Content-Type': 'application/json'}
 
 
@@ -265,7 +265,7 @@
     try:
         seconds = float(header or '')
     except ValueError:
-        return _DEFAULT_RETRY_AFTER
-    if not 0 <= seconds <= _MAX_RETRY_AFTER:
-        return _DEFAULT_RETRY_AFTER
+        return _DEFAULT_RETRY_AFTER_SECONDS
+    if not 0 <= seconds <= _MAX_RETRY_AFTER_SECONDS:
+        return _DEFAULT_RETRY_AFTER_SECONDS
     return seconds
--- a/tests/http/test_channel.py
+++ b/tests/http/test_channel.py
@@ -31,7 +31,7 @@
         self._answers = list(answers)
         self._resets = resets
         self._ends = ends
-        self.connections = 0
+        self.connection_count = 0
         self.port = 0
         self._server: asyncio.Server | None = None
 
@@ -49,7 +49,7 @@
         reader: asyncio.StreamReader,
         writer: asyncio.StreamWriter,
     ) -> None:
-        self.connections += 1
+        self.connection_count += 1
         while self._answers:
             if not await reader.read(4096):
                 break
@@ -65,12 +65,12 @@
             writer.close()
 
 
-def answer_with_length(answer: bytes, name: bytes = b'') -> bytes:
+def answer_with_length(body: bytes, name: bytes = b'') -> bytes:
     """Return an answer with a ``Content-Length``."""
     return b'HTTP/1.1 200 OK\r\nX-Name: %b\r\nContent-Length: %d\r\n\r\n%b' % (
         name,
-        len(answer),
-        answer,
+        len(body),
+        body,
     )
 
 
@@ -104,19 +104,19 @@
 
         async def exchange(peer_pool: pool.Pool) -> None:
             for expected in (b'a', b'b'):
-                fetched = await pool.fetch(peer_pool, REQUEST, 5)
-                self.assertEqual(expected, fetched.body)
+                answer = await pool.fetch(peer_pool, REQUEST, 5)
+                self.assertEqual(expected, answer.body)
 
         run(peer, exchange)
-        self.assertEqual(1, peer.connections)
+        self.assertEqual(1, peer.connection_count)
 
     def test_no_length(self) -> None:
         """An answer without a length ends with its connection."""
         peer = Peer(b'HTTP/1.1 200 OK\r\n\r\nall of it', ends=True)
 
         async def exchange(peer_pool: pool.Pool) -> None:
-            fetched = await pool.fetch(peer_pool, REQUEST, 5)
-            self.assertEqual(b'all of it', fetched.body)
+            answer = await pool.fetch(peer_pool, REQUEST, 5)
+            self.assertEqual(b'all of it', answer.body)
 
         run(peer, exchange)
 
@@ -174,11 +174,11 @@
 
             async def exchange(peer_pool: pool.Pool) -> None:
                 for expected in (b'a', b'b'):
-                    fetched = await pool.fetch(peer_pool, REQUEST, 5)
-                    self.assertEqual(expected, fetched.body)
+                    answer = await pool.fetch(peer_pool, REQUEST, 5)
+                    self.assertEqual(expected, answer.body)
 
             run(peer, exchange)
-            self.assertEqual(2, peer.connections)
+            self.assertEqual(2, peer.connection_count)
 
     def test_foreign_answer_first(self) -> None:
         """A late answer to an earlier request can be skipped."""
@@ -207,8 +207,8 @@
         peer = Peer(b'HTTP/1.1 100 Continue\r\n\r\n' + answer_with_length(b'a'))
 
         async def exchange(peer_pool: pool.Pool) -> None:
-            fetched = await pool.fetch(peer_pool, REQUEST, 5)
-            self.assertEqual((200, b'a'), fetched[:2])
+            answer = await pool.fetch(peer_pool, REQUEST, 5)
+            self.assertEqual((200, b'a'), answer[:2])
 
         run(peer, exchange)
 
@@ -224,7 +224,7 @@
                 await pool.fetch(peer_pool, REQUEST, 5)
 
         run(peer, exchange)
-        self.assertEqual(2, peer.connections)
+        self.assertEqual(2, peer.connection_count)
 
     def test_refused(self) -> None:
         """A refused connection raises an error."""
@@ -250,7 +250,7 @@
             await connection.read_head()
 
         run(peer, exchange)
-        self.assertEqual(2, peer.connections)
+        self.assertEqual(2, peer.connection_count)
 
     def test_keep_alive_timeout(self) -> None:
         """The peer's keep-alive timeout is read from its answer."""
--- a/tests/http/test_early_answers.py
+++ b/tests/http/test_early_answers.py
@@ -28,19 +28,19 @@
         """
         long = messages.encode_request(b'POST', b'/a', [], LONG_BODY)
         short = messages.encode_request(b'GET', b'/b', [], b'')
-        received: list[bytearray] = []
+        requests: list[bytearray] = []
 
         async def answer_early(
             reader: asyncio.StreamReader,
             writer: asyncio.StreamWriter,
         ) -> None:
-            read = bytearray(await reader.read(64))
-            received.append(read)
-            writer.write(EARLY if len(received) == 1 else SECOND)
+            request_bytes = bytearray(await reader.read(64))
+            requests.append(request_bytes)
+            writer.write(EARLY if len(requests) == 1 else SECOND)
             await asyncio.sleep(0.1)
             with contextlib.suppress(ConnectionError):
                 while part := await reader.read(65536):
-                    read.extend(part)
+                    request_bytes.extend(part)
 
         async def send_requests() -> None:
             server = await asyncio.start_server(answer_early, HOST, 0)
@@ -55,7 +55,7 @@
             server.close()
 
         asyncio.run(send_requests())
-        first_bytes, second_bytes = received
+        first_bytes, second_bytes = requests
         self.assertLess(len(first_bytes), len(long))
         self.assertTrue(
             long.startswith(first_bytes), 'foreign bytes in the body'
--- a/tests/http/test_front.py
+++ b/tests/http/test_front.py
@@ -74,7 +74,7 @@
 
     def __init__(self) -> None:
         self.requests: list[messages.Request] = []
-        self.cancelled = 0
+        self.cancelled_count = 0
         self.may_answer = asyncio.Event()
         self.may_answer.set()
         self.front = front.Front(self._handle, lambda: BOUNDS)
@@ -104,7 +104,7 @@
         try:
             await self.may_answer.wait()
         except asyncio.CancelledError:
-            self.cancelled += 1
+            self.cancelled_count += 1
             raise
         reply.send(200, [], request.method + request.target + request.body)
 
@@ -239,7 +239,7 @@
             while not echo_front.requests:
                 await asyncio.sleep(0)
             writer.close()
-            while not echo_front.cancelled:
+            while not echo_front.cancelled_count:
                 await asyncio.sleep(0)
 
         run(exchange_bytes)
@@ -255,7 +255,7 @@
 
         run(exchange_bytes)
 
-    def test_idle_connections_end_last(self) -> None:
+    def test_close_idle(self) -> None:
         """A busy connection stays open when idle ones are closed."""
 
         async def exchange_bytes(echo_front: EchoFront) -> None:
--- a/tests/platform/test_content.py
+++ b/tests/platform/test_content.py
@@ -65,13 +65,13 @@
     """Fault injection into the in-memory fakes."""
 
     def outage(self, on):
-        self.holder.outage = on
+        self.fake.outage = on
 
     def throttle(self):
-        self.holder.throttled = 1
+        self.fake.throttled = 1
 
     def corrupt(self):
-        self.holder.corrupt = 1
+        self.fake.corrupt = 1
 
 
 class MemoryStoreTest(MemoryContract, testtools.TestCase):
@@ -79,9 +79,9 @@
 
     def setUp(self):
         super().setUp()
-        self.holder = memory.MemoryWeightStore()
-        self.put = self.holder.put
-        self.fetch = self.holder.manifest
+        self.fake = memory.MemoryWeightStore()
+        self.put = self.fake.put
+        self.fetch = self.fake.manifest
 
 
 class MemoryOriginTest(MemoryContract, testtools.TestCase):
@@ -89,9 +89,9 @@
 
     def setUp(self):
         super().setUp()
-        self.holder = memory.MemoryOrigin()
-        self.put = self.holder.put
-        self.fetch = self.holder.chunk
+        self.fake = memory.MemoryOrigin()
+        self.put = self.fake.put
+        self.fetch = self.fake.chunk
 
 
 @tables.expand
@@ -160,9 +160,9 @@
         super().setUp()
         handlers = origin_standin.ChunkHandlers(limits.Link(0))
         self.address = serving.serve(self, handlers.application())
-        holder = origin.HttpOrigin(self.address, _QUICK)
-        self.addCleanup(holder.close)
-        self.fetch = holder.chunk
+        http_origin = origin.HttpOrigin(self.address, _QUICK)
+        self.addCleanup(http_origin.close)
+        self.fetch = http_origin.chunk
 
     def test_truncated_chunk(self):
         """The connection is lost after a part of a chunk has arrived."""
--- a/tests/platform/test_machines.py
+++ b/tests/platform/test_machines.py
@@ -264,8 +264,8 @@
         )
         for status, pairs, verdict in table:
             head = messages.AnswerHead(status, messages.Headers(pairs))
-            facts = header_dialect.decode_head(call, head)
-            self.assertIs(verdict, facts.verdict, (status, pairs))
+            decoded_head = header_dialect.decode_head(call, head)
+            self.assertIs(verdict, decoded_head.verdict, (status, pairs))
 
 
 class SettingsTest(testtools.TestCase):
@@ -362,10 +362,10 @@
         reply.send(status, [], body)
 
 
-def framed(*keyed: tuple[bytes, bytes]) -> bytes:
+def encode_page(*pairs: tuple[bytes, bytes]) -> bytes:
     """Return records in the encoding of the store's pages."""
     parts = [(9).to_bytes(8, 'big'), (0).to_bytes(8, 'big')]
-    for key, payload in keyed:
+    for key, payload in pairs:
         content = bytes((len(key),)) + key + payload
         parts.append(len(content).to_bytes(4, 'big') + content)
     return b''.join(parts)
@@ -379,7 +379,7 @@
 
         async def run_calls() -> None:
             async with ScriptedServer(
-                (200, framed((b'a', b'1'), (b'b', b'')))
+                (200, encode_page((b'a', b'1'), (b'b', b'')))
             ) as server:
                 page = await store.HttpStore(server.address).changes(
                     records.Topic.ENDPOINTS,
@@ -405,7 +405,7 @@
         topic would fail from then on. Later records keep their offsets.
         """
         malformed = [b'', b'\5ab', b'\2\xff\xfe1', b'\1a1']
-        body = framed() + b''.join(
+        body = encode_page() + b''.join(
             len(content).to_bytes(4, 'big') + content for content in malformed
         )
         newest = {
@@ -481,7 +481,7 @@
             (429, b'', errors.ThrottledError),
             (503, b'', errors.PlatformUnavailableError),
             (500, b'', errors.PlatformUnavailableError),
-            (200, framed((b'a', b'1'))[:-1], errors.MalformedMessageError),
+            (200, encode_page((b'a', b'1'))[:-1], errors.MalformedMessageError),
         )
 
         async def run_calls() -> None:
--- a/tests/platform/test_transport.py
+++ b/tests/platform/test_transport.py
@@ -141,9 +141,9 @@
             FastClock(),
         )
         self.addCleanup(slow.close)
-        piece = b'%x\r\n%b\r\n' % (size, b'a' * size)
+        chunk = b'%x\r\n%b\r\n' % (size, b'a' * size)
         chunked = b'Transfer-Encoding: chunked\r\n\r\n'
-        self.server.answer = _HEAD + chunked + piece * 3 + b'0\r\n\r\n'
+        self.server.answer = _HEAD + chunked + chunk * 3 + b'0\r\n\r\n'
         if is_accepted:
             reply = slow.exchange('GET', '/', step='test')
             self.assertEqual(b'a' * 3 * size, reply.body)
--- a/tests/test_machines_daemon.py
+++ b/tests/test_machines_daemon.py
@@ -61,7 +61,7 @@
             },
         )
 
-    async def end(self) -> None:
+    async def kill(self) -> None:
         """Kill the process, unless it has ended."""
         if self.process is not None and self.process.returncode is None:
             self.process.kill()
@@ -72,7 +72,7 @@
         assert self.process is not None
         self.process.send_signal(number)
 
-    async def line(self, message: str) -> dict[str, typing.Any]:
+    async def wait_for_line(self, message: str) -> dict[str, typing.Any]:
         """Return the next log line with the given message."""
         assert self.process is not None
         assert self.process.stdout is not None
@@ -107,7 +107,7 @@
                 try:
                     await self._run_lifecycle(daemon)
                 finally:
-                    await daemon.end()
+                    await daemon.kill()
 
         async def run_with_timeout() -> None:
             async with asyncio.timeout(60):
@@ -117,29 +117,29 @@
 
     async def _run_lifecycle(self, daemon: Daemon) -> None:
         await daemon.start()
-        await daemon.line('entry ready')
+        await daemon.wait_for_line('entry ready')
         self.assertEqual(
             200,
             (await get(daemon.ports[1], b'/api/readyz')).status,
         )
         daemon.signal(signal.SIGHUP)
-        read = await daemon.line('settings read')
-        self.assertFalse(read['changed'])
+        log_line = await daemon.wait_for_line('settings read')
+        self.assertFalse(log_line['changed'])
         changed = {**daemon.settings, 'bounds': {'graceS': 0.4}}
         daemon.path.write_text(json.dumps(changed))
         daemon.signal(signal.SIGHUP)
-        read = await daemon.line('settings read')
-        self.assertTrue(read['changed'])
+        log_line = await daemon.wait_for_line('settings read')
+        self.assertTrue(log_line['changed'])
         daemon.path.write_text('{')
         daemon.signal(signal.SIGHUP)
-        await daemon.line(await self._await_rejection(daemon))
+        await daemon.wait_for_line(await self._await_rejection(daemon))
         metrics = await get(exposition.PORT, b'/metrics')
         self.assertIn(
             b'clementinepass_configuration_version 1',
             metrics.body,
         )
         daemon.signal(signal.SIGTERM)
-        await daemon.line('stopped')
+        await daemon.wait_for_line('stopped')
         assert daemon.process is not None
         self.assertEqual(0, await daemon.process.wait())
 
@@ -183,7 +183,7 @@
                     try:
                         await self._send_signals(daemon, desk)
                     finally:
-                        await daemon.end()
+                        await daemon.kill()
 
         async def run_with_timeout() -> None:
             async with asyncio.timeout(60):
@@ -197,7 +197,7 @@
         desk: direct_endpoint.DirectEndpoint,
     ) -> None:
         await daemon.start()
-        await daemon.line('entry ready')
+        await daemon.wait_for_line('entry ready')
         request = messages.encode_request(
             b'GET',
             b'/plain/a',
