--- a/clementinepass/errors.py
+++ b/clementinepass/errors.py
@@ -76,7 +76,7 @@
 
 
 class PublicationRejectedError(ClementinepassError):
-    """A concurrent publication won; the detail says which one."""
+    """A publication was rejected; the detail says why and which one won."""
 
 
 class OutcomeUnknownError(ClementinepassError):
--- a/clementinepass/http/channel.py
+++ b/clementinepass/http/channel.py
@@ -309,7 +309,7 @@
 
         It is kept only if the answer was complete without surplus bytes and
         the request is sent completely: an endpoint that answers early reads
-        the rest of the request later.
+        the rest of the request later, and would take the next request for it.
         """
         self._is_active = False
         self.idle_since = self._loop.time()
--- a/clementinepass/http/connection.py
+++ b/clementinepass/http/connection.py
@@ -65,6 +65,7 @@
         self._loop = asyncio.get_running_loop()
         self._transport: typing.Any = None
         self._parser = httptools.HttpRequestParser(self)
+        #: Requests to serve in order; a number is the status of a final error.
         self._pending: collections.deque[messages.Request | int]
         self._pending = collections.deque()
         self._serve_task: asyncio.Task[None] | None = None
@@ -104,10 +105,10 @@
         self._throttle_reading()
 
     def eof_received(self) -> bool:
-        """Treat the caller's end of stream as its departure.
+        """Treat the caller's end of stream as a disconnect.
 
         The connection is aborted rather than closed: closing would first write
-        the buffered answer, which a departed caller never reads, and the
+        the buffered answer, which a disconnected caller never reads, and the
         endpoint would keep working on the request until then.
         """
         self._set_ending(endings.End.CALLER_CLOSED)
--- a/clementinepass/http/messages.py
+++ b/clementinepass/http/messages.py
@@ -11,8 +11,9 @@
 #: A header's name, in its original case, and its value.
 Pair = tuple[bytes, bytes]
 
-#: Headers that apply to one connection only and are never forwarded (RFC 9110,
-#: section 7.6.1), and ``Expect``, which the front handles.
+#: Headers that are never forwarded: those that apply to one connection only
+#: (RFC 9110, section 7.6.1), ``Expect``, which the front handles, and
+#: ``Content-Length``, since each forwarded message is framed again.
 HOP_BY_HOP = frozenset(
     (
         b'connection',
--- a/clementinepass/lifecycle.py
+++ b/clementinepass/lifecycle.py
@@ -43,7 +43,7 @@
         self._stop_requested.set()
 
     def terminate(self) -> None:
-        """Handle a SIGTERM: drain on the first, exit at once on the second.
+        """Handle SIGTERM or SIGINT: drain on the first, exit on the second.
 
         The drain command does not count as a signal. Otherwise, the single
         SIGTERM that the platform sends after a drain command would terminate
@@ -60,7 +60,10 @@
         work: Awaitable[None],
         drain: Callable[[], Awaitable[None]],
     ) -> None:
-        """Run ``work``; once a stop is requested, drain and cancel it."""
+        """Run ``work``; once a stop is requested, drain and cancel it.
+
+        If ``work`` ends by itself, its error is raised and nothing is drained.
+        """
         self._install_signal_handlers()
         work_task = asyncio.ensure_future(work)
         stop_task = asyncio.ensure_future(self._stop_requested.wait())
--- a/clementinepass/platform/dialect.py
+++ b/clementinepass/platform/dialect.py
@@ -192,7 +192,7 @@
 
 
 def _parse_usage(field: bytes | None) -> tuple[int, int]:
-    """Return the tokens of the prompt and of the longest answer.
+    """Return the number of tokens of the prompt and of the longest answer.
 
     Zeros if the header is absent or malformed: the figures only estimate the
     load, so a malformed header does not reject the request.
--- a/clementinepass/platform/engine.py
+++ b/clementinepass/platform/engine.py
@@ -15,8 +15,8 @@
 _ACCEPTED = 202
 _NOT_FOUND = 404
 _GONE = 410
-#: Timeout of a call to the local engine. It answers within a millisecond, and
-#: later on a slow machine.
+#: Timeout of a call to the local engine. The engine answers within a
+#: millisecond, and takes longer on a slow machine.
 _ENGINE_TIMEOUT_SECONDS = 2.0
 #: Timeout of fetching a piece from the origin. This takes a sixth of a second
 #: when half of the origin's link is free, and many times that on a narrow link.
@@ -216,7 +216,8 @@
         """Order the engine to load the staged pieces.
 
         The order states the number of orders that the engine had started at
-        the time of ``report``, so that a delayed order has no effect.
+        the time of ``report``, so that a delayed order has no effect. The
+        version is also the order's fencing token.
         """
         order = _Order(
             'start', model, version, 'truncate', report.orders, version
--- a/clementinepass/platform/node_settings.py
+++ b/clementinepass/platform/node_settings.py
@@ -34,14 +34,21 @@
 class _Bounds(msgspec.Struct):
     """Bounds that the platform sets; names mix camel case and snake case."""
 
+    #: Milliseconds after which an endpoint that announced its drain gets no
+    #: requests.
     drainMs: float = 2000  # noqa: N815
-    #: Milliseconds after a disturbance during which no bound is enforced on a
-    #: process.
+    #: Milliseconds for which the bounds do not apply to a process that has
+    #: started or whose links were disturbed.
     stableWindowMs: float = 3000  # noqa: N815
+    #: Seconds from SIGTERM to SIGKILL.
     graceS: float = 8  # noqa: N815
+    #: Retries per request, over all entries and in each window.
     budgetRatio: float = 0.2  # noqa: N815
+    #: Length of that window in seconds.
     budgetWindowS: float = 10  # noqa: N815
+    #: Retries in a window beyond that ratio, over all entries.
     budgetSlack: float = 100  # noqa: N815
+    #: Milliseconds after which no request starts on an older version.
     version_ms: float = 8000
     #: Maximum number of seconds for which callers cache a list of entries.
     ttl_max_s: float = 5
--- a/clementinepass/platform/operator.py
+++ b/clementinepass/platform/operator.py
@@ -42,7 +42,7 @@
     #: How often requests may run; those of an unknown kind run at most once.
     route_kind: str = ''
     timeout_ms: float = 30000
-    #: Latency target; an answer within it earns its full value.
+    #: Latency target in milliseconds; an answer within it has its full value.
     slo_ms: float = 1000
     priority: int = 0
     service: str = ''
@@ -50,7 +50,8 @@
     max_attempts: int = 1
     public: bool = False
     resumable: bool = False
-    #: Longest pause between events of a stream that is on time.
+    #: Longest time in milliseconds between two events of a stream that is
+    #: on time.
     gap_target_ms: float = 0
 
 
@@ -59,6 +60,8 @@
 
 
 class _Usual(_CamelStruct):
+    """Mean number of tokens of a prompt and of an answer."""
+
     prompt: float = 0
     answer: float = 0
 
--- a/clementinepass/platform/protocols.py
+++ b/clementinepass/platform/protocols.py
@@ -94,7 +94,7 @@
     #: ``host:port``; empty for agents.
     callers_address: str = ''
     #: The model or service of an agent's endpoint; empty if the list does not
-    #: state it, in which case the agent may belong to any.
+    #: state it, in which case the agent may belong to any of them.
     serves: str = ''
 
 
--- a/clementinepass/platform/registry.py
+++ b/clementinepass/platform/registry.py
@@ -1,8 +1,8 @@
 """Decode the records that endpoints write about themselves.
 
-The topic is also open to other writers.  A record is accepted only if all
-required fields of the endpoints' protocol are present and of the right type;
-any other record is malformed, whatever else it contains.
+The endpoints' topic is also open to other writers.  A record is accepted only
+if all required fields of the endpoints' protocol are present and of the right
+type; any other record is malformed, whatever else it contains.
 """
 
 from __future__ import annotations
@@ -29,6 +29,8 @@
 
 
 class Model(_CamelStruct):
+    """A model that an engine has loaded, and its version."""
+
     name: decoding.Name
     version: decoding.Count = 0
 
@@ -54,8 +56,8 @@
     born: decoding.UnixMilliseconds | msgspec.UnsetType = msgspec.UNSET
     models: list[Model] = []
     layers: Layers | list[Layers] | None = None
-    #: Not used. They are declared since values of another type show that the
-    #: record is not an endpoint's.
+    #: ``version`` and ``cold_left_ms`` are not used. They are declared since
+    #: values of another type show that the record is not an endpoint's.
     version: str = ''
     cold_left_ms: float = 0
 
@@ -90,7 +92,7 @@
 
 
 def start_time(born: int | msgspec.UnsetType) -> int:
-    """Return the start time of a process; ``UNKNOWN_START`` if omitted."""
+    """Return a start in Unix milliseconds; ``UNKNOWN_START`` if omitted."""
     if isinstance(born, msgspec.UnsetType):
         return incarnations.UNKNOWN_START
     return born
@@ -100,7 +102,11 @@
     models: list[Model],
     layers: Layers | list[Layers] | None,
 ) -> endpoints.Weights:
-    """Return the weights that an engine has loaded."""
+    """Return the weights that an engine has loaded.
+
+    Of several ranges of layers, the first counts. Without layers, the version
+    is that of the first model.
+    """
     if isinstance(layers, list):
         layers = layers[0] if layers else None
     if layers is not None:
--- a/clementinepass/platform/store.py
+++ b/clementinepass/platform/store.py
@@ -13,8 +13,8 @@
 from clementinepass.http import channel, messages, pool
 from clementinepass.platform import decoding
 
-#: The store's names of the topics. The first two have other owners and are
-#: only read.
+#: The store's names of the topics. The first two belong to other writers; this
+#: system only reads them.
 _NAME_BY_TOPIC = {
     records.Topic.OPERATOR: 'keyed.op',
     records.Topic.ENDPOINTS: 'keyed.servers',
@@ -27,11 +27,11 @@
 _TOO_MANY_REQUESTS = 429
 _OK = 200
 #: Timeout of a read that does not wait for a record. The store answers within
-#: milliseconds, and in eighty times that when it is slow.
+#: milliseconds; a slow store takes eighty times as long.
 _READ_TIMEOUT_SECONDS = 1.0
 #: Timeout of a read that waits for a record, counted from the end of its wait.
-#: It is less than the timeout above: the connection may be dead, and another
-#: read reveals that.
+#: It is less than ``_READ_TIMEOUT_SECONDS``: a connection may have died during
+#: the wait, which only another read can show.
 _LONG_READ_GRACE_SECONDS = 0.6
 #: Timeout of a write or of a read of the newest records; a slow store needs
 #: most of it.
@@ -105,6 +105,7 @@
         :param wait: seconds to wait for a record if there is none yet.
         :raises RecordsExpiredError: the offset is no longer retained.
         :raises PlatformUnavailableError: the store did not answer in time.
+        :raises MalformedMessageError: a record is truncated.
         """
         query = {
             'topic': _NAME_BY_TOPIC[topic],
--- a/clementinepass/platform/transport.py
+++ b/clementinepass/platform/transport.py
@@ -71,7 +71,7 @@
         self._started_at = timer.now()
 
     def is_too_slow(self, received_bytes: int) -> bool:
-        """Return whether an answer with so many bytes by now is too slow."""
+        """Return whether an answer is too slow, given its bytes so far."""
         elapsed = self._clock.now() - self._started_at - self._wait
         if elapsed <= self._limits.total_timeout:
             return False
--- a/tests/platform/test_machines.py
+++ b/tests/platform/test_machines.py
@@ -363,7 +363,7 @@
 
 
 def encode_page(*pairs: tuple[bytes, bytes]) -> bytes:
-    """Return records in the encoding of the store's pages."""
+    """Return a page of the store with the given keys and values."""
     parts = [(9).to_bytes(8, 'big'), (0).to_bytes(8, 'big')]
     for key, payload in pairs:
         content = bytes((len(key),)) + key + payload
--- a/tests/test_machines_daemon.py
+++ b/tests/test_machines_daemon.py
@@ -73,7 +73,7 @@
         self.process.send_signal(number)
 
     async def wait_for_line(self, message: str) -> dict[str, typing.Any]:
-        """Return the next log line with the given message."""
+        """Wait for the next log line with the given message; return it."""
         assert self.process is not None
         assert self.process.stdout is not None
         while True:
