--- a/clementinepass/platform/decoding.py
+++ b/clementinepass/platform/decoding.py
@@ -69,13 +69,11 @@
         address = addresses.Address.from_text(text)
     except errors.MalformedMessageError as error:
         raise malformed_error(error.detail, step, 'address') from error
-    ip_address = ipaddress.ip_address(address.host)
+    host_ip = ipaddress.ip_address(address.host)
     is_unicast = not (
-        ip_address.is_unspecified
-        or ip_address.is_multicast
-        or ip_address.is_reserved
+        host_ip.is_unspecified or host_ip.is_multicast or host_ip.is_reserved
     )
-    if ip_address.version != _IP_VERSION or not is_unicast:
+    if host_ip.version != _IP_VERSION or not is_unicast:
         raise malformed_error(
             f'{text!r} is not a unicast IPv4 address', step, 'address'
         )
--- a/clementinepass/platform/operator.py
+++ b/clementinepass/platform/operator.py
@@ -60,8 +60,7 @@
 
 
 class _Usual(_CamelStruct):
-    """Mean number of tokens of a prompt and of an answer."""
-
+    #: Mean number of tokens of a prompt and of an answer.
     prompt: float = 0
     answer: float = 0
 
--- a/clementinepass/platform/registry.py
+++ b/clementinepass/platform/registry.py
@@ -29,8 +29,6 @@
 
 
 class Model(_CamelStruct):
-    """A model that an engine has loaded, and its version."""
-
     name: decoding.Name
     version: decoding.Count = 0
 
--- a/tests/test_machines_daemon.py
+++ b/tests/test_machines_daemon.py
@@ -61,7 +61,7 @@
             },
         )
 
-    async def kill(self) -> None:
+    async def ensure_killed(self) -> None:
         """Kill the process, unless it has ended."""
         if self.process is not None and self.process.returncode is None:
             self.process.kill()
@@ -107,7 +107,7 @@
                 try:
                     await self._run_lifecycle(daemon)
                 finally:
-                    await daemon.kill()
+                    await daemon.ensure_killed()
 
         async def run_with_timeout() -> None:
             async with asyncio.timeout(60):
@@ -183,7 +183,7 @@
                     try:
                         await self._send_signals(daemon, desk)
                     finally:
-                        await daemon.kill()
+                        await daemon.ensure_killed()
 
         async def run_with_timeout() -> None:
             async with asyncio.timeout(60):
