--- a/clementinepass/http/channel.py
+++ b/clementinepass/http/channel.py
@@ -309,16 +309,20 @@
 
         It is kept only if the answer was complete without surplus bytes and
         the request is sent completely: an endpoint that answers early reads
-        the rest of the request later.
+        the rest of the request later, and would take the next request for it.
         """
         self._is_active = False
         self.idle_since = self._loop.time()
-        is_whole = (
+        is_exchange_complete = (
             self._is_complete
             and not self._has_surplus
             and not self.unsent_bytes
         )
-        if is_whole and self.is_reusable and not self._transport.is_closing():
+        if (
+            is_exchange_complete
+            and self.is_reusable
+            and not self._transport.is_closing()
+        ):
             return True
         self.abort()
         return False
