--- a/clementinepass/direct/departure.py
+++ b/clementinepass/direct/departure.py
@@ -7,7 +7,7 @@
 
 from loguru import logger
 
-from clementinepass.decisions import departure as decisions
+from clementinepass.decisions import departure as drain_decisions
 
 if typing.TYPE_CHECKING:
     from clementinepass.direct import cluster_state, node
@@ -42,13 +42,13 @@
         #: Monotonic time until which callers keep lists from this entry.
         self._lists_expire_at = -math.inf
         #: The schedule of the drain; ``None`` unless the entry drains.
-        self.plan: decisions.DrainPlan | None = None
+        self.plan: drain_decisions.DrainPlan | None = None
         #: Requests accepted and refused since the drain started.
         self.accepted_count = 0
         self.refused_count = 0
 
     @property
-    def list_policy(self) -> decisions.ListPolicy:
+    def list_policy(self) -> drain_decisions.ListPolicy:
         """Return how entries are listed to callers.
 
         Before a configuration is known, any request may take the longest time.
@@ -56,19 +56,23 @@
         configuration = self._cluster.routing
         timeouts = () if configuration is None else configuration.timeouts
         limits = self._local_node.duties
-        acceptance_seconds = decisions.accepting_seconds(limits.grace, timeouts)
-        return decisions.list_policy(acceptance_seconds, limits.longest_offer)
+        acceptance_seconds = drain_decisions.accepting_seconds(
+            limits.grace, timeouts
+        )
+        return drain_decisions.list_policy(
+            acceptance_seconds, limits.longest_offer
+        )
 
     def list_ttl_seconds(self, now: float) -> float:
         """Return how long callers may keep a list that they receive now."""
         ttl_seconds = self.list_policy.ttl_seconds
-        expires_at = now + decisions.max_kept_seconds(ttl_seconds)
+        expires_at = now + drain_decisions.max_kept_seconds(ttl_seconds)
         self._lists_expire_at = max(self._lists_expire_at, expires_at)
         return ttl_seconds
 
-    def start(self, now: float) -> decisions.DrainPlan:
+    def start(self, now: float) -> drain_decisions.DrainPlan:
         """Start to drain and return the schedule."""
-        self.plan = decisions.plan_drain(
+        self.plan = drain_decisions.plan_drain(
             now,
             self._local_node.duties.grace,
             self.list_policy,
--- a/clementinepass/direct/entry.py
+++ b/clementinepass/direct/entry.py
@@ -44,7 +44,7 @@
     store: records.Store
     dialect: calls.Dialect
     directory_handlers: directory.HandlerFactory
-    readers: intake.Decoders
+    decoders: intake.Decoders
 
 
 class Entry:
@@ -65,7 +65,7 @@
         self._local_node = local_node
         self._adapters = adapters
         self.cluster = cluster_state.ClusterState(local_node)
-        record_intake = intake.Intake(self.cluster, adapters.readers)
+        record_intake = intake.Intake(self.cluster, adapters.decoders)
         self._followers = record_intake.create_followers(adapters.store, rng)
         start_delay = start_reading.read_delay(
             local_node.ip, local_node.seeds, rng
--- a/clementinepass/direct/path.py
+++ b/clementinepass/direct/path.py
@@ -5,7 +5,7 @@
 import asyncio
 import typing
 
-from clementinepass.decisions import departure as leave_plan
+from clementinepass.decisions import departure as drain_decisions
 from clementinepass.decisions import next_try, window_budget
 from clementinepass.direct import (
     attempt,
@@ -241,7 +241,7 @@
             reply,
             serving.Ending.DRAINING,
             _UNAVAILABLE,
-            leave_plan.retry_after(self._count_ready_peers()),
+            drain_decisions.retry_after(self._count_ready_peers()),
         )
 
     # Attempts.
--- a/clementinepass/machines.py
+++ b/clementinepass/machines.py
@@ -109,7 +109,7 @@
         store=store.HttpStore(local_node.store),
         dialect=dialect.HeaderDialect(),
         directory_handlers=directory.HttpDirectory(),
-        readers=_decoders(),
+        decoders=_decoders(),
     )
     metrics_registry = aioprometheus.Registry()
     process = entry.Entry(
--- a/standins/machines.py
+++ b/standins/machines.py
@@ -242,7 +242,7 @@
             store=store.HttpStore(own.store),
             dialect=dialect.HeaderDialect(),
             directory_handlers=directory.HttpDirectory(),
-            readers=READERS,
+            decoders=READERS,
         )
         one = entry.Entry(
             own,
--- a/tests/direct/path_harness.py
+++ b/tests/direct/path_harness.py
@@ -220,11 +220,11 @@
 ) -> None:
     """Run a scenario in a harness with some endpoints."""
 
-    async def played() -> None:
+    async def run_scenario() -> None:
         async with (
             PathHarness(count, local_node) as harness,
             asyncio.timeout(30),
         ):
             await scenario(harness)
 
-    asyncio.run(played())
+    asyncio.run(run_scenario())
--- a/tests/direct/test_endpoint_loads.py
+++ b/tests/direct/test_endpoint_loads.py
@@ -20,11 +20,11 @@
 NOW = 100.0
 
 
-def listing(started: int = 0) -> endpoints.Listing:
+def listing(started_ms: int = 0) -> endpoints.Listing:
     """Return an engine's record."""
     weights = endpoints.Weights(1, 0, 4)
     return endpoints.Listing(
-        'i-1', 's', ADDRESS, 'a', 8, False, 1, weights, started
+        'i-1', 's', ADDRESS, 'a', 8, False, 1, weights, started_ms
     )
 
 
@@ -45,9 +45,11 @@
     return routing.Routing(1, (), (service,), None, limits.Bounds())
 
 
-def load(active: int, queued: int, started: int = 0) -> heartbeats.EngineLoad:
+def load(
+    active: int, queued: int, started_ms: int = 0
+) -> heartbeats.EngineLoad:
     """Return an agent's load report."""
-    return heartbeats.EngineLoad(active, queued, started)
+    return heartbeats.EngineLoad(active, queued, started_ms)
 
 
 class ReportedLoadTest(testtools.TestCase):
@@ -109,9 +111,9 @@
 
     def test_report_of_previous_start(self) -> None:
         """A late report of the engine's previous start is ignored."""
-        self.cluster.update_listing(listing(started=5)._replace(heartbeat=2))
+        self.cluster.update_listing(listing(started_ms=5)._replace(heartbeat=2))
         (self.engine,) = self.cluster.endpoints
-        self.cluster.update_engine_load(HOST, load(8, 8, started=4), NOW)
+        self.cluster.update_engine_load(HOST, load(8, 8, started_ms=4), NOW)
 
         self.assertEqual(0, self.engine.reported_load.total)
 
