--- a/clementinepass/direct/attempt.py
+++ b/clementinepass/direct/attempt.py
@@ -31,12 +31,14 @@
 #: after two seconds without an event.
 _FIRST_EVENT_GRACE_SECONDS = 0.9
 #: Seconds without an event, beyond the longest allowed gap, after which a
-#: stream is resumed at another endpoint. The rest of those two seconds is left
-#: for the other endpoint.
+#: stream is resumed at another endpoint. Callers wait two seconds for an event;
+#: the rest of them is left for the other endpoint.
 _EVENT_GAP_GRACE_SECONDS = 0.7
 #: Share of the remaining time after which a repeatable plain request is sent to
-#: another endpoint. Answers take a ninth of that time, the slowest a half.
+#: another endpoint. Answers usually take a ninth of that time, and the slowest
+#: ones a half.
 _PLAIN_ANSWER_TIME_SHARE = 0.5
+#: The urgency of the requests that an engine runs last.
 _MAX_URGENCY = 9
 
 
@@ -306,7 +308,7 @@
         The start deadline applies to each attempt until its own first event,
         even if the caller has events of an earlier attempt. Otherwise a stream
         that is resumed after a crash of its engine may start on old weights
-        after their bound.
+        after their bound (see ``_start_deadline``).
         """
         admitted.start_deadline = math.inf
         if not admitted.reply.is_started:
@@ -320,9 +322,10 @@
     ) -> float:
         """Return the time by which a request must start at an endpoint.
 
-        A request that waits in the queue of an engine for longer than estimated
-        would start on old weights after their bound. It is abandoned before
-        that; closing its connection removes it from the queue.
+        From the bound of old weights on, no request may start on them. A
+        request that waits in the queue of an engine for longer than estimated
+        would start after it. It is abandoned before that; closing its
+        connection removes it from the queue.
         """
         engine = admitted.service.engine
         if engine is None:
--- a/clementinepass/direct/calls.py
+++ b/clementinepass/direct/calls.py
@@ -100,7 +100,8 @@
     MISDIRECTED = 'misdirected'
     #: The answer belongs to another request.
     OTHER_REQUEST = 'foreign'
-    #: Not an answer of an endpoint: it is not stamped, or it is encoded.
+    #: Not an answer of an endpoint: the id of the request or the stamp of the
+    #: endpoint is missing, or the content is encoded.
     INVALID = 'spoiled'
     #: The request succeeded.
     SUCCESS = 'success'
--- a/clementinepass/direct/departure.py
+++ b/clementinepass/direct/departure.py
@@ -1,4 +1,4 @@
-"""The state of an entry's drain, shared by all that serve callers."""
+"""The state of an entry's drain, for all parts that serve callers."""
 
 from __future__ import annotations
 
@@ -64,7 +64,11 @@
         )
 
     def list_ttl_seconds(self, now: float) -> float:
-        """Return how long callers may keep a list that they receive now."""
+        """Return how long callers may keep a list that they receive now.
+
+        The time at which that list expires is recorded, as a drain lasts until
+        then if the grace period allows.
+        """
         ttl_seconds = self.list_policy.ttl_seconds
         expires_at = now + drain_decisions.max_kept_seconds(ttl_seconds)
         self._lists_expire_at = max(self._lists_expire_at, expires_at)
--- a/clementinepass/direct/directory.py
+++ b/clementinepass/direct/directory.py
@@ -1,4 +1,4 @@
-"""Interfaces between an entry and its directory and readiness endpoints."""
+"""Interfaces between an entry and its directory and readiness check."""
 
 from __future__ import annotations
 
--- a/clementinepass/direct/endpoints.py
+++ b/clementinepass/direct/endpoints.py
@@ -215,7 +215,11 @@
 
     @property
     def is_listed(self) -> bool:
-        """Tell whether the endpoint's record is in the list and not refuted."""
+        """Tell whether the endpoint is listed and its record not refuted.
+
+        An answer of another endpoint at the address refutes the record, and so
+        does a newer record that cannot be decoded.
+        """
         is_refuted = self.is_misdirected or self.is_unreadable
         return self.removed_at is None and not is_refuted
 
@@ -223,10 +227,10 @@
         """Tell whether the endpoint sends nothing on its active streams.
 
         If an instance freezes for four seconds, its requests are abandoned one
-        by one after more than a second each. Until three of them are, it looks
-        like the emptiest endpoint and attracts more requests. Requests that
-        have not started prove nothing, as they may wait behind those of other
-        entries.
+        by one after more than a second each. Until three of them have been and
+        the endpoint is ejected, it looks like the emptiest one and attracts
+        more requests. Requests that have not started prove nothing, as they may
+        wait behind those of other entries.
         """
         is_silent = now - self.last_received_at > _STALLED_SECONDS
         return is_silent and self.active_streams >= _MIN_STALLED_STREAMS
@@ -295,10 +299,11 @@
     def mark_unreadable(self, endpoint_id: str) -> bool:
         """Stop using an endpoint whose newest record cannot be decoded.
 
-        A record may have a state that this version does not know. Without the
-        mark, the endpoint gets requests by its previous record. Everything else
-        is kept, as the next record replaces it. All entries agree, as only the
-        newest record of a key is kept.
+        A record may have a state that this release of the software does not
+        know. Without the mark, the endpoint gets requests by its previous
+        record. Everything else known of the endpoint is kept, as its next
+        record replaces it. All entries come to the same result, as the store
+        keeps only the newest record of a key.
         """
         endpoint = self._by_id.get(endpoint_id)
         if endpoint is None or endpoint.is_unreadable:
@@ -414,8 +419,9 @@
         sent to another service.
 
         After a power loss of all instances, the list still names the previous
-        endpoints beside those that have just started. Without this rule each
-        entry sends a request to each of the former and has no attempts left.
+        endpoints beside those that have just started. Without this rule an
+        entry sends a request to each previous endpoint in turn, until it has no
+        attempts left.
         """
         listing = endpoint.listing
         endpoint.replaced_by = None
--- a/clementinepass/direct/entry.py
+++ b/clementinepass/direct/entry.py
@@ -233,6 +233,7 @@
             except errors.ClementinepassError as error:
                 logger.info('entries not read: {}', error)
             await asyncio.sleep(_CLEANUP_SECONDS)
+        # Wait forever: a job that returns is started again.
         await asyncio.Event().wait()
 
     async def _clean_up(self) -> None:
--- a/clementinepass/direct/events.py
+++ b/clementinepass/direct/events.py
@@ -25,7 +25,7 @@
 
 
 class StreamBrokenError(errors.ClementinepassError):
-    """The events of a stream are not consecutive, or one is malformed."""
+    """An event of a stream is out of order, too long or incomplete."""
 
     def __init__(self, detail: str) -> None:
         super().__init__(detail, step='relay', peer='endpoint')
--- a/clementinepass/direct/leaving.py
+++ b/clementinepass/direct/leaving.py
@@ -24,7 +24,7 @@
 _POLL_SECONDS = 0.05
 #: Polls at the end in which final answers are written and connections in use
 #: are closed. Polls are counted instead of timed, as a process that is delayed
-#: for a moment would find its time over before its final answers are written.
+#: for a moment would reach a time limit before its final answers are written.
 _FINAL_POLLS = 4
 
 
--- a/clementinepass/direct/node.py
+++ b/clementinepass/direct/node.py
@@ -22,7 +22,8 @@
     budget_window: float = 10
     #: Retries in a window beyond that share, over all entries.
     budget_surplus: float = 100
-    #: Time after which no request starts on an older version.
+    #: Time from the operator's record of a new desired version until no request
+    #: starts on an older one.
     version: float = 8
     #: Time for which the limits do not apply to a process that has started or
     #: whose links were disturbed.
--- a/clementinepass/direct/path.py
+++ b/clementinepass/direct/path.py
@@ -32,8 +32,8 @@
 #: Default of ``Retry-After`` in seconds. An entry that is starting has its
 #: configuration by then.
 _RETRY_AFTER_SECONDS = 0.4
-#: Seconds from sending a request to the first event of its stream. This is
-#: twice the usual time.
+#: Seconds that a retry needs from sending a stream's request to its first
+#: event: twice the usual time.
 _FIRST_EVENT_MARGIN_SECONDS = 0.35
 
 
@@ -190,9 +190,9 @@
     ) -> routing.Service:
         """Return the service that runs the request.
 
-        A service that is missing in the configuration is returned without
-        endpoints, so that its requests are refused like those of any service
-        that has none.
+        For a service that is missing in the configuration, a placeholder
+        without endpoints is returned, so that its requests are refused like
+        those of any service that has none.
         """
         name = route.service_for(self._rng.random())
         service = configuration.services_by_name.get(name)
@@ -224,7 +224,7 @@
     def _last_matching_version(
         self, call: calls.Call, ending: serving.Ending
     ) -> int:
-        """Return the newest configuration with the missing key or route."""
+        """Return the newest version that had the missing key or route."""
         if ending is serving.Ending.UNKNOWN_KEY:
             return self._configuration_history.last_version_with_key(call)
         if ending is serving.Ending.UNKNOWN_ROUTE:
--- a/clementinepass/direct/request_log.py
+++ b/clementinepass/direct/request_log.py
@@ -28,7 +28,7 @@
     0.025, 0.05, 0.1, 0.2, 0.3, 0.4, 0.6, 1.0, 2.0, 4.0, 8.0, float('inf'),
 )  # fmt: skip
 #: Level and message for a request whose connection ended, by the cause of the
-#: end. A caller has left only if it closed its side of the connection.
+#: end. Only a caller that closed its side of the connection is logged as left.
 _LEVEL_AND_MESSAGE_BY_END = {
     endings.End.CALLER_CLOSED: ('INFO', 'caller left'),
     endings.End.CALLER_RESET: ('INFO', 'connection reset'),
@@ -333,9 +333,9 @@
     ) -> None:
         """Log a request that was accepted while the entry drains.
 
-        The age of the connection shows how it arrived: on a new connection the
-        caller found this entry in a list; on an old one it has not been asked
-        to close it.
+        The age of the connection shows how the request arrived: the caller of a
+        new connection found this entry in a list; the caller of an old one has
+        not yet been asked to close the connection.
 
         :param seconds_draining: time since the drain started.
         """
--- a/clementinepass/direct/routing.py
+++ b/clementinepass/direct/routing.py
@@ -19,7 +19,7 @@
 
     #: Answered by a stream of events; may run again if it can be resumed.
     STREAM = 'stream'
-    #: Answered at once; may run any number of times.
+    #: Has a plain answer; running the request twice does no harm.
     IDEMPOTENT = 'idempotent'
     #: Must not run twice.
     AT_MOST_ONCE = 'once'
@@ -105,7 +105,7 @@
 
 
 class Service(msgspec.Struct, frozen=True):
-    """A service, by which requests are run or weights are handed out."""
+    """A service, which runs requests or hands out weights."""
 
     name: str
     #: Connections that an endpoint accepts in total.
--- a/clementinepass/direct/selection.py
+++ b/clementinepass/direct/selection.py
@@ -27,8 +27,8 @@
 _LOADING_WAIT_SECONDS = 1.2
 _POLL_SECONDS = 0.03
 _UNKNOWN_SERVICE_RATE = first_event.ServiceRate(0, 0)
-#: Number of engines with uncongested links from which congested ones are not
-#: considered.
+#: Engines with congested links are not considered if at least this many others
+#: can be selected.
 _MIN_UNCONGESTED = 2
 
 
@@ -107,9 +107,10 @@
         untried: list[endpoints.Endpoint],
         now: float,
     ) -> list[endpoints.Endpoint]:
-        """Return the endpoints that neither are ejected nor stall.
+        """Return the endpoints that are neither ejected nor stalled.
 
-        If no endpoint is healthy, all of them are returned.
+        If no endpoint is healthy, all of them are returned, as there is none
+        to prefer.
         """
         ejected = self._cluster.ejector.ejected_endpoints(now)
         healthy = [
@@ -207,7 +208,10 @@
         choice: endpoint_choice.Choice,
         now: float,
     ) -> bool:
-        """Tell whether the best endpoint meets the latency target."""
+        """Tell whether the best endpoint meets the latency target.
+
+        The ``Retry-After`` of the request is set as well, by the queue there.
+        """
         engine = admitted.service.engine
         service_rate = (
             _UNKNOWN_SERVICE_RATE if engine is None else engine.service_rate
--- a/clementinepass/direct/serving.py
+++ b/clementinepass/direct/serving.py
@@ -22,7 +22,7 @@
 
 
 class Ending(enum.Enum):
-    """Why a request is not answered by an endpoint."""
+    """Why a request gets no successful answer of an endpoint."""
 
     #: The entry has no configuration yet.
     STARTING = 'starting'
@@ -179,8 +179,9 @@
         #: Monotonic time at which the first piece of the answer was sent to
         #: the caller.
         self.first_event_at: float | None = None
-        #: Monotonic time by which the attempt must have started, as the
-        #: endpoint has old weights.
+        #: Monotonic time by which the first event of the attempt must have
+        #: arrived, as the weights of the endpoint become too old; infinite
+        #: if they do not, and once that event has arrived.
         self.start_deadline = math.inf
         #: Seconds after which the caller may find a free slot.
         self.retry_after = _RETRY_AFTER_SECONDS
@@ -205,9 +206,10 @@
         return Ending.ROUTE_TIMEOUT
 
     def shorten_deadline(self, latest: float) -> bool:
-        """Move the deadline forward to the shutdown of the entry.
+        """Shorten the deadline, as the entry shuts down.
 
-        :returns: whether the deadline was later than that.
+        :param latest: latest monotonic time for the final answer.
+        :returns: whether the deadline has changed.
         """
         if self.deadline <= latest:
             return False
--- a/tests/direct/test_endpoint_loads.py
+++ b/tests/direct/test_endpoint_loads.py
@@ -68,7 +68,10 @@
         return self.cluster.loads.total(self.engine, NOW + after)
 
     def test_report_replaces_counts(self) -> None:
-        """A report replaces the counts of other entries, which may be old."""
+        """A report replaces the counts of other entries.
+
+        The counts are old where there are many entries.
+        """
         self.assertEqual(9, self.total())
         self.cluster.update_engine_load(HOST, load(3, 2), NOW)
 
@@ -86,14 +89,21 @@
         self.assertEqual(4, self.total())
 
     def test_sent_shortly_before_report(self) -> None:
-        """A request sent shortly before a report arrives is added to it."""
+        """A request sent shortly before a report arrives is added to it.
+
+        The report was sent before the request reached the engine.
+        """
         self.engine.reported_load.record_sent(NOW)
         self.cluster.update_engine_load(HOST, load(3, 0), NOW + 0.01)
 
         self.assertEqual(4, self.total())
 
     def test_report_of_killed_agent(self) -> None:
-        """The report of a killed agent expires."""
+        """The report of a killed agent expires.
+
+        Endpoints were selected by the last report of an agent that had been
+        killed.
+        """
         self.cluster.update_engine_load(HOST, load(0, 0), NOW)
         self.assertEqual(0, self.total(after=0.9))
         self.assertEqual(9, self.total(after=1.1))
@@ -187,14 +197,21 @@
         return {int(ip.rpartition('.')[2]) for ip in ips}
 
     def test_engines_of_other_domains(self) -> None:
-        """Of other domains, only engines with weights are subscribed to."""
+        """Of other domains, only engines with weights are subscribed to.
+
+        The number of subscriptions is limited, and engines without weights took
+        the places of working ones.
+        """
         remote = {number for number in self.due_engines() if number >= 10}
 
         self.assertEqual(7, len(remote))
         self.assertEqual({1}, {number % 2 for number in remote})
 
     def test_engines_of_local_domain(self) -> None:
-        """Agents of new engines in the local domain are subscribed to at once."""
+        """Agents of new engines in the local domain are subscribed to at once.
+
+        Agents of added engines knew no entry to report their loaded weights to.
+        """
         local = {number for number in self.due_engines() if number < 10}
         self.assertEqual(set(range(10)), local)
 
--- a/tests/direct/test_endpoints.py
+++ b/tests/direct/test_endpoints.py
@@ -46,7 +46,7 @@
         self.endpoint_table.apply_listing(listing())
 
     def usable_ids(self, now: float = 0) -> list[str]:
-        """Return the ids of those that may be used."""
+        """Return the ids of the usable endpoints."""
         return [
             endpoint.listing.id
             for endpoint in self.endpoint_table.usable_for_service('pool', now)
@@ -80,7 +80,10 @@
         self.assertEqual(['i-1'], self.usable_ids())
 
     def test_replacement_misdirected(self) -> None:
-        """A misdirected endpoint replaces no other at its address."""
+        """A misdirected endpoint replaces no other at its address.
+
+        Its record names an address that another endpoint has.
+        """
         self.endpoint_table.apply_listing(listing(id='i-2', record_offset=9))
         replacement = self.endpoint_table.get('i-2')
         assert replacement is not None
@@ -219,7 +222,7 @@
         )
 
     def usable_ids(self, now: float = 0) -> list[str]:
-        """Return the ids of those that may be used."""
+        """Return the ids of the usable endpoints."""
         return [
             endpoint.listing.id
             for endpoint in self.endpoint_table.usable_for_service('pool', now)
@@ -382,9 +385,9 @@
     def test_unreadable(self) -> None:
         """An endpoint with a malformed record is unusable until the next one.
 
-        An endpoint with a state unknown to this version got requests by its
-        previous record. The next valid record makes it usable again, with its
-        state kept.
+        An endpoint with a state unknown to this release of the software got
+        requests by its previous record. The next valid record makes it usable
+        again; nothing that was known of the endpoint is lost.
         """
         self.assertFalse(self.endpoint_table.mark_unreadable('i-unknown'))
         self.assertTrue(self.endpoint_table.mark_unreadable('i-1'))
--- a/tests/direct/test_leaving.py
+++ b/tests/direct/test_leaving.py
@@ -177,7 +177,8 @@
         """A pipelined request is answered before the connection closes.
 
         The first answer of a draining entry closed the connection, though a
-        second request had been read before SIGTERM.
+        second request had been read before SIGTERM: each answer was taken for
+        the last one, whatever waited behind it.
         """
 
         async def scenario(harness: path_harness.PathHarness) -> None:
@@ -256,7 +257,7 @@
         )
 
     def test_answered_before_sigterm(self) -> None:
-        """A request that was answered before SIGTERM does not disturb the drain."""
+        """A request that was answered before SIGTERM is not ended again."""
 
         async def scenario(harness: path_harness.PathHarness) -> None:
             self.assertEqual(200, (await harness.send('/plain/a')).status)
