--- a/tests/direct/test_path.py
+++ b/tests/direct/test_path.py
@@ -333,7 +333,10 @@
         path_harness.run(scenario)
 
     def test_route_added_later(self) -> None:
-        """A new route is served as soon as its configuration is in force."""
+        """A new route is served as soon as its configuration is in force.
+
+        Callers of a new route were refused as if the route did not exist.
+        """
 
         async def scenario(harness: path_harness.PathHarness) -> None:
             self.assertEqual(404, (await harness.send('/new/a')).status)
