--- a/tests/platform/test_instance_list.py
+++ b/tests/platform/test_instance_list.py
@@ -34,16 +34,16 @@
 
     def test_shows_changes(self):
         """Added, changed and removed instances are listed accordingly."""
-        self.assertEqual((), self.shown.instances())
+        self.assertEqual((), self.list_service.instances())
         self.put(_ENTRY)
         self.put(_AGENT)
-        self.assertEqual({_ENTRY, _AGENT}, set(self.shown.instances()))
+        self.assertEqual({_ENTRY, _AGENT}, set(self.list_service.instances()))
         leaving = msgspec.structs.replace(
             _AGENT, state=protocols.InstanceState.LEAVING
         )
         self.put(leaving)
         self.remove('e1')
-        self.assertEqual((leaving,), self.shown.instances())
+        self.assertEqual((leaving,), self.list_service.instances())
 
     def test_outage(self):
         """An outage raises an error and never yields an empty list.
@@ -52,9 +52,11 @@
         """
         self.put(_ENTRY)
         self.outage(on=True)
-        self.assertRaises(errors.PlatformUnavailableError, self.shown.instances)
+        self.assertRaises(
+            errors.PlatformUnavailableError, self.list_service.instances
+        )
         self.outage(on=False)
-        self.assertEqual((_ENTRY,), self.shown.instances())
+        self.assertEqual((_ENTRY,), self.list_service.instances())
 
 
 class MemoryInstancesTest(InstanceContract, testtools.TestCase):
@@ -62,12 +64,12 @@
 
     def setUp(self):
         super().setUp()
-        self.shown = memory.MemoryInstanceList()
-        self.put = self.shown.put
-        self.remove = self.shown.remove
+        self.list_service = memory.MemoryInstanceList()
+        self.put = self.list_service.put
+        self.remove = self.list_service.remove
 
     def outage(self, on):
-        self.shown.outage = on
+        self.list_service.outage = on
 
 
 def _list(**changes):
@@ -83,8 +85,8 @@
         super().setUp()
         handlers = standin.InstanceHandlers(standin.InstanceStore())
         self.address = serving.serve(self, handlers.application())
-        self.shown = instance_list.HttpInstanceList(self.address)
-        self.addCleanup(self.shown.close)
+        self.list_service = instance_list.HttpInstanceList(self.address)
+        self.addCleanup(self.list_service.close)
 
     def put(self, instance):
         path = f'/v1/instances/{instance.id}'
@@ -118,7 +120,7 @@
         fault = serving.fault('replace', body=body)
         serving.order(self.address, faults=(fault,))
         error = self.assertRaises(
-            errors.MalformedMessageError, self.shown.instances
+            errors.MalformedMessageError, self.list_service.instances
         )
         self.assertEqual(self.address, error.peer)
 
