--- a/tests/endpoints/test_engine.py
+++ b/tests/endpoints/test_engine.py
@@ -1,4 +1,4 @@
-"""Tests of model engines: their contract, and their adapter under faults."""
+"""Tests of the engine adapter: contract and faults."""
 
 from __future__ import annotations
 
@@ -16,11 +16,13 @@
 from tests import serving, tables
 from tests.endpoints import contracts
 
-_QUICK = transport.Limits(read_timeout=2, control_timeout=2, load_timeout=3)
+_SHORT_LIMITS = transport.Limits(
+    read_timeout=2, control_timeout=2, load_timeout=3
+)
 
 
 class MemoryEngineTest(contracts.EngineContract, testtools.TestCase):
-    """The fake in memory keeps to the contract."""
+    """The in-memory fake fulfils the contract."""
 
     def setUp(self):
         super().setUp()
@@ -34,7 +36,7 @@
 
 
 class EngineCase(testtools.TestCase):
-    """Serves a stand-in and has an adapter for it."""
+    """Test case that runs a stand-in engine and an adapter for it."""
 
     limits = transport.Limits()
     fencing = standin.Fencing.CHECK
@@ -52,67 +54,69 @@
         answer = urllib3.request('GET', f'http://{self.address}/v1/runs')
         return msgspec.json.decode(answer.data, type=standin.RunsAnswer).runs
 
-    def show(self, kind, **details):
+    def inject_fault(self, kind, **details):
         fault = serving.fault(kind, **details)
         serving.order(self.address, faults=(fault,))
 
     def serve_other(self):
-        self.show('serve_other')
+        self.inject_fault('serve_other')
 
 
 class HttpEngineTest(contracts.EngineContract, EngineCase):
-    """The adapter and the stand-in keep to the contract together."""
+    """The adapter fulfils the contract against the stand-in."""
 
-    def test_full(self):
-        """With its queue full, an engine refuses and does not run."""
-        contracts.load(self.engine, 'v1', 1)
+    def test_queue_full(self):
+        """An engine whose queue is full answers 429 and runs nothing."""
+        contracts.load_version(self.engine, 'v1', 1)
         running = [
-            self.engine.call(contracts.completion(f'r{number}', count=50_000))
+            self.engine.call(
+                contracts.completion_call(f'r{number}', count=50_000)
+            )
             for number in range(2)
         ]
         waiting = threading.Thread(
-            target=self.run_to_the_end,
-            args=(contracts.completion('r2', stream=False),),
+            target=self.complete_call,
+            args=(contracts.completion_call('r2', stream=False),),
         )
         waiting.start()
         while not self.engine.status().waiting:
             threading.Event().wait(0.005)
-        answer = self.engine.call(contracts.completion('r3'))
+        answer = self.engine.call(contracts.completion_call('r3'))
         self.assertEqual(429, answer.head.status)
         for answer in running:
             answer.close()
         waiting.join()
         self.assertNotIn('r3', self.runs_by_id())
 
-    def run_to_the_end(self, call):
-        contracts.whole(self.engine.call(call))
+    def complete_call(self, call):
+        contracts.read_body(self.engine.call(call))
 
 
-class IgnoringEngineTest(EngineCase):
-    """An engine that ignores fencing numbers obeys any order."""
+class EngineWithoutFencingTest(EngineCase):
+    """An engine that ignores fencing numbers executes any order."""
 
     fencing = standin.Fencing.IGNORE
 
-    def test_obeys_an_old_order(self):
-        """Only what the engine says it serves shows the old order."""
-        contracts.load(self.engine, 'v2', 8)
-        contracts.load(self.engine, 'v1', 7)
+    def test_stale_order(self):
+        """A stale order succeeds; only the status shows its effect."""
+        contracts.load_version(self.engine, 'v2', 8)
+        contracts.load_version(self.engine, 'v1', 7)
         status = self.engine.status()
         self.assertEqual(('v1', 0), (status.version, status.fencing))
 
 
 @tables.expand
 class EngineFaultTest(EngineCase):
-    """Faults between the adapter and the engine."""
+    """Faults of the engine and of the connection to it."""
 
-    limits = _QUICK
+    limits = _SHORT_LIMITS
 
     def setUp(self):
         super().setUp()
-        contracts.load(self.engine, 'v1', 1)
+        contracts.load_version(self.engine, 'v1', 1)
 
     def attempt(self, call):
-        return contracts.whole(self.engine.call(call))
+        return contracts.read_body(self.engine.call(call))
 
     @tables.cases(
         dropped=('drop_before', {}),
@@ -123,11 +127,11 @@
         stalled=('stall', {'parts': 2, 'seconds': 5}),
     )
     def test_stream(self, case):
-        """A stream that is cut is an error, however much of it came."""
+        """A truncated stream is an error, however much of it arrived."""
         kind, details = case
-        self.show(kind, **details)
+        self.inject_fault(kind, **details)
         error = self.assertRaises(
-            errors.EndpointError, self.attempt, contracts.completion()
+            errors.EndpointError, self.attempt, contracts.completion_call()
         )
         self.assertEqual(errors.Execution.MAY_HAVE_RUN, error.execution)
         self.assertEqual(self.address, error.peer)
@@ -140,11 +144,11 @@
         stalled=('stall', {'seconds': 5}),
         wrong_length=('wrong_length', {}),
     )
-    def test_whole(self, case):
-        """A whole answer that is cut is an error."""
+    def test_not_streamed(self, case):
+        """A truncated answer that is not streamed is an error."""
         kind, details = case
-        self.show(kind, **details)
-        call = contracts.completion(stream=False, timeout=0.4)
+        self.inject_fault(kind, **details)
+        call = contracts.completion_call(stream=False, timeout=0.4)
         error = self.assertRaises(errors.EndpointError, self.attempt, call)
         self.assertEqual(errors.Execution.MAY_HAVE_RUN, error.execution)
 
@@ -156,11 +160,11 @@
         status=('status', 'v1', {'status': 500}),
     )
     def test_load(self, case):
-        """An order fails, and may have taken effect; the status tells."""
+        """A failed load may have taken effect; the status shows whether."""
         kind, version, details = case
-        self.show(kind, method='PUT', **details)
+        self.inject_fault(kind, method='PUT', **details)
         error = self.assertRaises(
-            errors.EndpointError, contracts.load, self.engine, 'v2', 2
+            errors.EndpointError, contracts.load_version, self.engine, 'v2', 2
         )
         self.assertEqual(errors.Execution.MAY_HAVE_RUN, error.execution)
         self.assertEqual(version, self.engine.status().version)
@@ -175,41 +179,41 @@
         '"waiting":0,"capacity":1,"colour":"red"}',
     )
     def test_malformed_status(self, body):
-        """A status that contradicts the protocol is an error."""
-        self.show('replace', body=body)
+        """A status that violates the protocol is an error."""
+        self.inject_fault('replace', body=body)
         error = self.assertRaises(errors.EndpointError, self.engine.status)
         self.assertEqual('status', error.step)
 
-    def test_takes_too_long(self):
-        """A stream that never falls silent and never ends is given up."""
-        call = contracts.completion(count=9000, timeout=0.3)
+    def test_deadline(self):
+        """A stream that keeps sending past its deadline is aborted."""
+        call = contracts.completion_call(count=9000, timeout=0.3)
         error = self.assertRaises(errors.EndpointError, self.attempt, call)
         self.assertEqual('answer took too long', error.detail)
 
-    def test_answers_no_stream(self):
-        """A stream was asked for, and something else is answered."""
-        self.show('replace', body='{}')
+    def test_not_an_event_stream(self):
+        """An answer of another type to a streaming request is an error."""
+        self.inject_fault('replace', body='{}')
         self.assertRaises(
-            errors.EndpointError, self.attempt, contracts.completion()
+            errors.EndpointError, self.attempt, contracts.completion_call()
         )
 
     def test_health(self):
-        """An engine that fails is not healthy, and recovers."""
-        self.show('status')
-        self.assertFalse(self.engine.healthy())
-        self.assertTrue(self.engine.healthy())
+        """An engine that answers with an error is unhealthy until it recovers."""
+        self.inject_fault('status')
+        self.assertFalse(self.engine.is_healthy())
+        self.assertTrue(self.engine.is_healthy())
 
     @tables.cases(
-        call=lambda adapter: adapter.call(contracts.completion()),
+        call=lambda adapter: adapter.call(contracts.completion_call()),
         status=lambda adapter: adapter.status(),
-        load=lambda adapter: contracts.load(adapter, 'v1', 1),
+        load=lambda adapter: contracts.load_version(adapter, 'v1', 1),
     )
-    def test_refused(self, attempt):
-        """Nothing listens: only then is it certain that nothing was run."""
-        adapter = engine.HttpEngine(serving.closed_address(), _QUICK)
+    def test_connection_refused(self, attempt):
+        """Only a refused connection proves that nothing was run."""
+        adapter = engine.HttpEngine(serving.closed_address(), _SHORT_LIMITS)
         error = self.assertRaises(errors.EndpointError, attempt, adapter)
         self.assertEqual(errors.Execution.NOT_RUN, error.execution)
-        self.assertFalse(adapter.healthy())
+        self.assertFalse(adapter.is_healthy())
         adapter.cancel('r1')
 
     @tables.cases(
@@ -219,13 +223,13 @@
         other_host=protocols.Call('r', 'GET', 'http://127.0.0.1:1/', b''),
         space_in_path=protocols.Call('r', 'GET', '/a\nb', b''),
     )
-    def test_unsendable(self, call):
-        """A call that HTTP cannot carry is refused before it is sent."""
+    def test_unsendable_call(self, call):
+        """A call that is invalid in HTTP is rejected before it is sent."""
         error = self.assertRaises(errors.EndpointError, self.engine.call, call)
         self.assertEqual(errors.Execution.NOT_RUN, error.execution)
 
-    def test_parts_fail(self):
-        """The weights fail while they are sent: the order has no effect."""
+    def test_weights_read_error(self):
+        """If reading the weights fails while sending, nothing is loaded."""
 
         def parts():
             yield b'a'
@@ -244,18 +248,19 @@
         self.assertEqual('v1', self.engine.status().version)
 
 
-class GiveUpTest(EngineCase):
-    """Answers are given up from another thread."""
+class CloseTest(EngineCase):
+    """Answers are closed from another thread."""
 
     def test_wakes_a_blocked_reader(self):
-        """A connection goes silent while its reader waits for more.
+        """Closing an answer wakes a thread that is blocked reading it.
 
-        The gate gives the answer up from another thread. The reader must
-        wake up at once, long before its own timeout.
+        The gate closes the answer of a silent connection from another
+        thread. The reader must get its error at once, not only after its own
+        timeout.
         """
-        contracts.load(self.engine, 'v1', 1)
-        self.show('stall', parts=1, seconds=60)
-        answer = self.engine.call(contracts.completion())
+        contracts.load_version(self.engine, 'v1', 1)
+        self.inject_fault('stall', parts=1, seconds=60)
+        answer = self.engine.call(contracts.completion_call())
         parts = answer.parts()
         next(parts)
         outcomes = []
