--- a/clementinepass/machines.py
+++ b/clementinepass/machines.py
@@ -39,18 +39,18 @@
 
 def main() -> None:
     """Run the process until it is stopped by a signal."""
-    lines = output.Output()
-    lines.install()
+    log_output = output.Output()
+    log_output.install()
     try:
         local_node = node_settings.read(os.environ[node_settings.PATH_VARIABLE])
     except (KeyError, errors.SettingsError) as error:
         logger.bind(step='start').critical('no settings: {}', error)
-        lines.flush()
+        log_output.flush()
         sys.exit(_EXIT_BAD_SETTINGS)
     try:
         asyncio.run(_run(sys.argv[1], local_node))
     finally:
-        lines.flush()
+        log_output.flush()
 
 
 async def _run(role: str, local_node: node.Node) -> None:
@@ -109,7 +109,7 @@
         store=store.HttpStore(local_node.store),
         dialect=dialect.HeaderDialect(),
         directory_handlers=directory.HttpDirectory(),
-        readers=_decoders(),
+        decoders=_decoders(),
     )
     metrics_registry = aioprometheus.Registry()
     process = entry.Entry(
@@ -128,11 +128,11 @@
     from clementinepass.direct import agent  # noqa: PLC0415
     from clementinepass.platform import engine  # noqa: PLC0415
 
-    adapters = agent.Boundary(
+    adapters = agent.PlatformAdapters(
         store=store.HttpStore(local_node.store),
         engine=engine.HttpEngine(local_node.endpoint),
-        origin=engine.HttpOrigin,
-        readers=_decoders(),
+        make_origin_source=engine.HttpOrigin,
+        decoders=_decoders(),
     )
     metrics_registry = aioprometheus.Registry()
     process = agent.Agent(
--- a/clementinepass/platform/node_settings.py
+++ b/clementinepass/platform/node_settings.py
@@ -14,7 +14,7 @@
 
 #: Name of the environment variable that holds the file's path.
 PATH_VARIABLE = 'CLEMENTINEPASS_SETTINGS'
-_MS = 1000
+_MS_PER_SECOND = 1000
 _STEP = 'read settings'
 
 
@@ -34,14 +34,21 @@
 class _Bounds(msgspec.Struct):
     """Bounds that the platform sets; names mix camel case and snake case."""
 
+    #: Milliseconds after which an endpoint that announced its drain gets no
+    #: requests.
     drainMs: float = 2000  # noqa: N815
-    #: Milliseconds after a disturbance during which no bound is enforced on a
-    #: process.
+    #: Milliseconds for which the bounds do not apply to a process that has
+    #: started or whose links were disturbed.
     stableWindowMs: float = 3000  # noqa: N815
+    #: Seconds from SIGTERM to SIGKILL.
     graceS: float = 8  # noqa: N815
+    #: Retries per request, over all entries and in each window.
     budgetRatio: float = 0.2  # noqa: N815
+    #: Length of that window in seconds.
     budgetWindowS: float = 10  # noqa: N815
+    #: Retries in a window beyond that ratio, over all entries.
     budgetSlack: float = 100  # noqa: N815
+    #: Milliseconds after which no request starts on an older version.
     version_ms: float = 8000
     #: Maximum number of seconds for which callers cache a list of entries.
     ttl_max_s: float = 5
@@ -119,12 +126,12 @@
 
 def _duties(bounds: _Bounds) -> node.SystemLimits:
     return node.SystemLimits(
-        drain=bounds.drainMs / _MS,
+        drain=bounds.drainMs / _MS_PER_SECOND,
         grace=bounds.graceS,
         budget_share=bounds.budgetRatio,
         budget_window=bounds.budgetWindowS,
         budget_surplus=bounds.budgetSlack,
-        version=bounds.version_ms / _MS,
-        settling=bounds.stableWindowMs / _MS,
+        version=bounds.version_ms / _MS_PER_SECOND,
+        settling=bounds.stableWindowMs / _MS_PER_SECOND,
         longest_offer=bounds.ttl_max_s,
     )
