--- a/tests/entry/test_told.py
+++ b/tests/entry/test_told.py
@@ -102,7 +102,9 @@
             ready=True,
             catalogue=_CATALOGUE,
             team_of=lambda key: team if key == _KEY else None,
-            leaving=types.SimpleNamespace(accepts=lambda _: not self.leaving),
+            leaving=types.SimpleNamespace(
+                accepts_requests=lambda _: not self.leaving
+            ),
             dispatcher=self.dispatcher,
         )
 
