--- a/clementinepass/daemon.py
+++ b/clementinepass/daemon.py
@@ -69,7 +69,7 @@
     # Nanoseconds since 1970 grow with each start, also across instances
     # whose names come back.
     incarnation = time.time_ns()
-    async with capnp.kj_loop(), garbage.collected_on_loop():
+    async with capnp.kj_loop(), garbage.collect_on_loop():
         await assemble(settings, incarnation, path)
 
 
--- a/clementinepass/wire/garbage.py
+++ b/clementinepass/wire/garbage.py
@@ -27,7 +27,7 @@
 
 
 @contextlib.asynccontextmanager
-async def collected_on_loop() -> AsyncIterator[None]:
+async def collect_on_loop() -> AsyncIterator[None]:
     """Turn the automatic collector off and collect on this loop instead."""
     gc.disable()
     # What was made at the start lives as long as the process: full
--- a/tests/wire/test_garbage.py
+++ b/tests/wire/test_garbage.py
@@ -49,7 +49,7 @@
         """A busy thread frees nothing; the loop does, at the latest later."""
 
         async def main() -> None:
-            async with garbage.collected_on_loop():
+            async with garbage.collect_on_loop():
                 _Owned()
                 await asyncio.to_thread(_burn)
                 self.assertEqual([], _Owned.freed_in)
--- a/tests/wire/test_garbage_in_process.py
+++ b/tests/wire/test_garbage_in_process.py
@@ -28,7 +28,7 @@
     address = addresses.Address('127.0.0.1', 0)
     guard = contextlib.nullcontext()
     if guarded:
-        guard = garbage.collected_on_loop()
+        guard = garbage.collect_on_loop()
     async with capnp.kj_loop(), guard:
         async with connections.listen(address, Server) as bound:
             for _ in range(20):
