--- a/clementinepass/wire/addresses.py
+++ b/clementinepass/wire/addresses.py
@@ -1,4 +1,4 @@
-"""Addresses of peers: an IP number and a port."""
+"""Addresses of peers, as an IP address and a port."""
 
 from __future__ import annotations
 
@@ -13,33 +13,33 @@
 
 
 class Address(msgspec.Struct, frozen=True):
-    """Where a process listens."""
+    """Address on which a process listens."""
 
-    #: The IP number; one of version 6 without its brackets.
+    #: The IP address; an IPv6 address is written without brackets.
     host: str
     port: int
 
     @classmethod
     def from_text(cls, text: str) -> Address:
-        """Parse ``host:port``, where the host is an IP number.
+        """Parse ``host:port``, where the host is an IP address.
 
-        An IPv6 number stands in brackets; the port is one to connect to.
+        An IPv6 address must be in brackets; port 0 is rejected.
 
-        :raises MalformedMessageError: the text is something else.
+        :raises MalformedMessageError: the text is not such an address.
         """
         host, _, port = text.rpartition(':')
         bracketed = host.startswith('[') and host.endswith(']')
         number = host[1:-1] if bracketed else host
         if not _is_ip(number, bracketed=bracketed) or not _is_port(port):
             raise errors.MalformedMessageError(
-                f'{text!r} is no host:port with an IP number',
+                f'{text!r} is not host:port with an IP address',
                 step=_STEP,
                 peer=text,
             )
         return cls(number, int(port))
 
     def __str__(self) -> str:
-        """Return ``host:port``."""
+        """Return ``host:port``, with an IPv6 address in brackets."""
         if ':' in self.host:
             return f'[{self.host}]:{self.port}'
         return f'{self.host}:{self.port}'
@@ -54,7 +54,7 @@
 
 
 def _is_port(text: str) -> bool:
-    # Python takes any script's digits, blanks and signs for a number.
+    # int() also accepts signs, blanks and digits of other scripts.
     if not (text.isascii() and text.isdigit()):
         return False
     return 0 < int(text) <= _LARGEST_PORT
--- a/clementinepass/wire/bridge.py
+++ b/clementinepass/wire/bridge.py
@@ -1,7 +1,7 @@
-"""The one bridge between blocking threads and the event loop.
+"""Calls between blocking threads and the event loop.
 
-``cheroot`` and ``urllib3`` block in threads, Cap'n Proto lives on one event
-loop. Nothing but this module crosses between them.
+``cheroot`` and ``urllib3`` block in threads, while Cap'n Proto objects are
+bound to one event loop. All calls between the two go through this module.
 """
 
 from __future__ import annotations
@@ -17,10 +17,10 @@
 
 
 class Bridge:
-    """Cross between one event loop and a bounded pool of threads.
+    """Pass calls between an event loop and a bounded pool of threads.
 
-    :param loop: the event loop that the Cap'n Proto connections live on.
-    :param threads: the most blocking calls at a time.
+    :param loop: the event loop that runs the Cap'n Proto connections.
+    :param threads: the maximum number of concurrent blocking calls.
     """
 
     def __init__(self, loop: asyncio.AbstractEventLoop, threads: int) -> None:
@@ -34,9 +34,9 @@
         self,
         coroutine: Coroutine[typing.Any, typing.Any, _Result],
     ) -> concurrent.futures.Future[_Result]:
-        """Run a coroutine on the loop; to be called from a thread."""
+        """Run a coroutine on the event loop; must be called from a thread."""
         return asyncio.run_coroutine_threadsafe(
-            _without_frames(coroutine),
+            _strip_traceback(coroutine),
             self._loop,
         )
 
@@ -45,12 +45,12 @@
         function: Callable[..., object],
         *arguments: typing.Any,
     ) -> None:
-        """Call a function on the loop soon; to be called from a thread."""
+        """Schedule a call on the event loop; must be called from a thread."""
         try:
             self._loop.call_soon_threadsafe(function, *arguments)
         except RuntimeError:
-            # The loop has closed: the process is ending, and whoever would
-            # have read the value is gone with it.
+            # The event loop is closed because the process is shutting down:
+            # the consumer of the value no longer exists.
             return
 
     async def block(
@@ -58,7 +58,7 @@
         function: Callable[..., _Result],
         *arguments: typing.Any,
     ) -> _Result:
-        """Run a blocking function in a thread and wait for its result."""
+        """Run a blocking function in a thread and return its result."""
         return await self._loop.run_in_executor(
             self._pool,
             function,
@@ -66,18 +66,18 @@
         )
 
     def close(self) -> None:
-        """Stop taking calls; those under way are not waited for."""
+        """Accept no further calls, without waiting for the running ones."""
         self._pool.shutdown(wait=False, cancel_futures=True)
 
 
-async def _without_frames(
+async def _strip_traceback(
     coroutine: Coroutine[typing.Any, typing.Any, _Result],
 ) -> _Result:
-    """Run a coroutine; its error takes no frames along to the thread.
+    """Run a coroutine and strip the traceback from its exception.
 
-    The frames of a traceback hold Cap'n Proto objects. Were the thread the
-    last to hold them, they would be freed outside their event loop's thread,
-    which aborts the process.
+    The frames of a traceback reference Cap'n Proto objects. If the calling
+    thread dropped the last reference to them, they would be freed outside the
+    thread of their event loop, which aborts the process.
     """
     try:
         return await coroutine
--- a/clementinepass/wire/connections.py
+++ b/clementinepass/wire/connections.py
@@ -1,8 +1,8 @@
-"""Connections between the system's own processes.
+"""Cap'n Proto connections between entries and agents.
 
-Every call has a timeout: a connection can go silent for good while its socket
-stays open (something between the two ends has lost track of it), and then no
-answer and no reset ever arrives.
+Every call has a timeout: a connection can go silent permanently while its
+socket stays open, for example when a device on the path has lost its
+connection state, and then neither an answer nor a reset ever arrives.
 """
 
 from __future__ import annotations
@@ -23,10 +23,10 @@
 
 
 class Bootstrap(typing.Protocol):
-    """A capability server made for one connection."""
+    """Capability server for a single connection."""
 
     def disconnected(self) -> None:
-        """Note that the connection has ended."""
+        """Handle the end of the connection."""
 
 
 @contextlib.asynccontextmanager
@@ -34,10 +34,11 @@
     address: addresses.Address,
     make_bootstrap: Callable[[], Bootstrap],
 ) -> AsyncIterator[addresses.Address]:
-    """Serve a bootstrap capability, made anew for each connection.
+    """Listen for connections and serve a new bootstrap capability to each.
 
-    :param address: where to listen; port 0 takes a free port.
-    :return: the address that was bound.
+    :param address: the address to listen on; port 0 selects a free port.
+    :param make_bootstrap: creates the capability for a connection.
+    :return: the bound address.
     """
 
     async def serve(stream: typing.Any) -> None:
@@ -61,9 +62,9 @@
 
 
 class Connection:
-    """One outgoing connection to a peer.
+    """An outgoing connection to a peer.
 
-    :param peer: the peer's address, named in errors.
+    :param peer: the peer's address, for error messages.
     """
 
     def __init__(self, peer: str, stream: typing.Any) -> None:
@@ -80,9 +81,9 @@
     ) -> Connection:
         """Connect to a peer.
 
-        :param timeout: seconds to wait at most.
-        :raises PeerGoneError: nobody listens there.
-        :raises PeerUnavailableError: the peer can't be reached.
+        :param timeout: maximum number of seconds to wait.
+        :raises PeerGoneError: no process listens on the address.
+        :raises PeerUnavailableError: the peer is unreachable.
         """
         try:
             stream = await asyncio.wait_for(
@@ -111,7 +112,7 @@
         return self._client.bootstrap().cast_as(interface)
 
     def close(self) -> None:
-        """Drop the connection; calls under way end with an error."""
+        """Close the connection; calls in flight fail."""
         with contextlib.suppress(capnp.KjException, RuntimeError):
             self._client.close()
         with contextlib.suppress(capnp.KjException, RuntimeError, OSError):
@@ -125,14 +126,16 @@
     peer: str,
     timeout: float,
 ) -> _Result:
-    """Wait for the answer to a call.
+    """Return the answer to a call.
 
-    :param step: the call's name, for errors.
-    :param timeout: seconds to wait at most.
-    :raises PeerUnavailableError: the peer is gone, or silent for too long.
+    :param step: the name of the call, for error messages.
+    :param peer: the address of the peer, for error messages.
+    :param timeout: maximum number of seconds to wait.
+    :raises PeerUnavailableError: the connection was lost, or no answer arrived
+        in time.
     """
     try:
-        return await asyncio.wait_for(_finish(promise), timeout)
+        return await asyncio.wait_for(_await_promise(promise), timeout)
     except TimeoutError as error:
         raise errors.PeerUnavailableError(
             f'no answer in {timeout:.3f} s',
@@ -147,7 +150,7 @@
         ) from error
 
 
-async def _finish(promise: Awaitable[_Result]) -> _Result:
+async def _await_promise(promise: Awaitable[_Result]) -> _Result:
     return await promise
 
 
--- a/clementinepass/wire/entry_messages.py
+++ b/clementinepass/wire/entry_messages.py
@@ -1,4 +1,4 @@
-"""Typed messages between entries."""
+"""Encode and decode the messages between entries as Cap'n Proto."""
 
 from __future__ import annotations
 
@@ -13,7 +13,7 @@
 
 
 class TargetShare(msgspec.Struct, frozen=True):
-    """An entry's report about one team's promise on one target."""
+    """An entry's report on its share of a team's promise on one target."""
 
     team: str
     target: str
@@ -21,11 +21,11 @@
 
 
 class EntryState(msgspec.Struct, frozen=True):
-    """What an entry tells the other entries about itself."""
+    """State that an entry reports to the other entries."""
 
     sequence: int
     incarnation: int
-    #: Whether it has announced that it leaves.
+    #: Whether the entry has announced that it is draining.
     leaving: bool
     #: The configuration revision in force.
     revision: int
@@ -33,7 +33,7 @@
 
 
 def read_entry_state(reader: typing.Any) -> EntryState:
-    """Read an entry's state."""
+    """Decode an entry's state."""
     return EntryState(
         sequence=reader.sequence,
         incarnation=reader.incarnation,
@@ -44,7 +44,7 @@
 
 
 def write_entry_state(state: EntryState, builder: typing.Any) -> None:
-    """Write an entry's state."""
+    """Encode an entry's state."""
     builder.sequence = state.sequence
     builder.incarnation = state.incarnation
     builder.leaving = state.leaving
--- a/clementinepass/wire/frames.py
+++ b/clementinepass/wire/frames.py
@@ -1,4 +1,4 @@
-"""Frames of answers, read from and written to Cap'n Proto."""
+"""Encode and decode the frames of responses as Cap'n Proto."""
 
 from __future__ import annotations
 
@@ -10,15 +10,15 @@
 if typing.TYPE_CHECKING:
     from collections.abc import Sequence
 
-#: Kinds in the order of the schema's enumeration.
+#: Frame kinds in the order of the schema's enumeration.
 _KINDS_BY_NUMBER = tuple(streams.FrameKind)
 
 
 def read_frame(reader: typing.Any) -> streams.Frame:
-    """Read one frame.
+    """Decode one frame.
 
-    Parts are nearly all frames, thousands a second; for them only the fields
-    that a part has are read.
+    Nearly all frames are parts, thousands per second. Only the fields that a
+    part uses are decoded for them.
     """
     kind = _KINDS_BY_NUMBER[reader.kind.raw]
     if kind is streams.FrameKind.PART:
@@ -44,7 +44,7 @@
     frames: Sequence[streams.Frame],
     builder: typing.Any,
 ) -> None:
-    """Write frames into a list builder of the same length."""
+    """Encode frames into a list builder of the same length."""
     for index, frame in enumerate(frames):
         slot = builder[index]
         slot.requestId = frame.request_id
--- a/clementinepass/wire/garbage.py
+++ b/clementinepass/wire/garbage.py
@@ -1,11 +1,11 @@
-"""Collect garbage on the event loop's thread only.
-
-The failure: Cap'n Proto objects that are part of a reference cycle, such as a
-session and the task that served it, are freed by whichever thread Python's
-collector happens to run in.  Freed outside the thread of their event loop
-they abort the process ("No event loop is running on this thread"), which an
-operator sees as an agent that dies soon after a connection was replaced.  The
-guard holds since the automatic collector is off and the loop collects itself.
+"""Run the garbage collector on the event loop's thread only.
+
+Cap'n Proto objects that are part of a reference cycle, such as a session and
+the task that served it, are freed by the thread in which Python's collector
+happens to run. Freeing them outside the thread of their event loop aborts the
+process ("No event loop is running on this thread"): an agent dies soon after
+a connection was replaced. The automatic collector is therefore disabled, and
+the event loop runs collections itself.
 """
 
 from __future__ import annotations
@@ -18,20 +18,21 @@
 if typing.TYPE_CHECKING:
     from collections.abc import AsyncIterator
 
-#: Seconds between collections of what was made lately.  Few objects live in
-#: cycles, so this bounds them, and takes about a millisecond each time.
-_YOUNG_INTERVAL = 1.0
-_YOUNG = 1
-#: Young collections for each full one.
+#: Seconds between collections of the young generations. Few objects are part
+#: of cycles, so this interval bounds their number; a collection takes about a
+#: millisecond.
+_YOUNG_INTERVAL_SECONDS = 1.0
+_YOUNG_GENERATION = 1
+#: One in this many collections is a full one.
 _FULL_EVERY = 60
 
 
 @contextlib.asynccontextmanager
 async def collect_on_loop() -> AsyncIterator[None]:
-    """Turn the automatic collector off and collect on this loop instead."""
+    """Disable the automatic collector; collect on this event loop instead."""
     gc.disable()
-    # What was made at the start lives as long as the process: full
-    # collections, which hold up the streams, need not look at it.
+    # Objects created at the start live as long as the process. Full
+    # collections pause the streams, so they skip these objects.
     gc.freeze()
     collecting = asyncio.create_task(_collect_forever())
     try:
@@ -42,11 +43,11 @@
 
 
 async def _collect_forever() -> None:
-    rounds = 0
+    collections = 0
     while True:
-        await asyncio.sleep(_YOUNG_INTERVAL)
-        rounds += 1
-        if rounds % _FULL_EVERY:
-            gc.collect(_YOUNG)
+        await asyncio.sleep(_YOUNG_INTERVAL_SECONDS)
+        collections += 1
+        if collections % _FULL_EVERY:
+            gc.collect(_YOUNG_GENERATION)
         else:
             gc.collect()
--- a/clementinepass/wire/messages.py
+++ b/clementinepass/wire/messages.py
@@ -1,7 +1,7 @@
-"""Typed messages of the peers' protocol, read from and written to Cap'n Proto.
+"""Encode and decode the messages between entries and agents as Cap'n Proto.
 
-Everything from a peer is checked here: text that isn't UTF-8, or a value that
-its enumeration lacks, raises :class:`errors.MalformedMessageError`.
+Messages from a peer are validated here: text that is not valid UTF-8 and
+unknown enumeration values raise :class:`errors.MalformedMessageError`.
 """
 
 from __future__ import annotations
@@ -21,7 +21,7 @@
 
 
 class Phase(enum.Enum):
-    """Whether an agent takes work: not yet, now, or no longer."""
+    """Whether an agent accepts requests: not yet, now, or no longer."""
 
     STARTING = 'starting'
     SERVING = 'serving'
@@ -29,16 +29,16 @@
 
 
 class Peer(msgspec.Struct, frozen=True):
-    """Who is at the other end of a connection."""
+    """Identity of the process at one end of a connection."""
 
     id: str
-    #: Grows with each start of the process.
+    #: Increases with each start of the process.
     incarnation: int
     failure_domain: str
 
 
 class AgentState(msgspec.Struct, frozen=True):
-    """What an agent tells the entries about itself."""
+    """State that an agent reports to the entries."""
 
     sequence: int
     phase: Phase
@@ -53,30 +53,31 @@
     #: The configuration revision in force.
     revision: int
     incarnation: int
-    #: The version that the configuration asks for.
+    #: The desired version, from the configuration.
     wanted: str = ''
     chunks_held: int = 0
     chunks_wanted: int = 0
-    #: Why the wanted version isn't serving; empty where nothing is wrong.
+    #: Why the desired version is not being served; empty if nothing is wrong.
     trouble: str = ''
     bytes_origin: int = 0
     bytes_peers: int = 0
-    #: Manifests, which come from the weight store.
+    #: Bytes of manifests, which are fetched from the weight store.
     bytes_store: int = 0
 
 
-#: The gate's reason for keeping a suspect apart from another one.
+#: The gate's reason for rejecting a suspect request while another suspect
+#: runs.
 SUSPECT_RUNNING = 'suspect_running'
 
 
 class Dispatch(msgspec.Struct, frozen=True):
-    """One attempt of a request, from an entry to an agent."""
+    """One attempt of a request, sent from an entry to an agent."""
 
     request_id: str
     attempt: int
     team: str
     target: str
-    #: The version pinned for this attempt; empty for plain services.
+    #: The version of weights pinned for this attempt; empty for plain services.
     version: str
     method: str
     path: str
@@ -86,18 +87,19 @@
     remaining: int
     stream: bool
     priority: int
-    #: Unix milliseconds after which the gate must not admit it any more.
+    #: Unix time in milliseconds after which the gate must not admit the
+    #: attempt.
     admit_before: int
-    #: Whether it was in flight when an endpoint died.
+    #: Whether the request was in flight when an endpoint died.
     suspect: bool = False
 
 
 class Verdict(msgspec.Struct, frozen=True):
-    """The gate's answer to a dispatch or to a resume."""
+    """The gate's answer to a dispatch or a resumption."""
 
     accepted: bool
     reason: str = ''
-    #: Milliseconds until asking again makes sense; 0 for at once.
+    #: Milliseconds to wait before the next try; 0 to retry at once.
     retry_after: int = 0
 
 
@@ -106,9 +108,11 @@
     reader: typing.Any,
     peer: str,
 ) -> _Message:
-    """Read one message, turning any fault into a typed error.
+    """Decode one message; convert decoding failures into a typed error.
 
-    :raises MalformedMessageError: the message can't be what it claims.
+    :param read_message: decodes the message; its name is the error's step.
+    :param peer: the sender, named in the error.
+    :raises MalformedMessageError: the message is malformed.
     """
     try:
         return read_message(reader)
@@ -121,7 +125,7 @@
 
 
 def read_peer(reader: typing.Any) -> Peer:
-    """Read who the other end is."""
+    """Decode the identity of a peer."""
     return Peer(
         id=reader.id,
         incarnation=reader.incarnation,
@@ -130,14 +134,14 @@
 
 
 def write_peer(peer: Peer, builder: typing.Any) -> None:
-    """Write who this end is."""
+    """Encode the identity of a process."""
     builder.id = peer.id
     builder.incarnation = peer.incarnation
     builder.failureDomain = peer.failure_domain
 
 
 def read_state(reader: typing.Any) -> AgentState:
-    """Read an agent's state."""
+    """Decode an agent's state."""
     return AgentState(
         sequence=reader.sequence,
         phase=Phase(str(reader.phase)),
@@ -159,7 +163,7 @@
 
 
 def write_state(state: AgentState, builder: typing.Any) -> None:
-    """Write an agent's state."""
+    """Encode an agent's state."""
     builder.sequence = state.sequence
     builder.phase = state.phase.value
     builder.kind = state.kind
@@ -179,7 +183,7 @@
 
 
 def read_dispatch(reader: typing.Any) -> Dispatch:
-    """Read a dispatch."""
+    """Decode a dispatch."""
     return Dispatch(
         request_id=reader.requestId,
         attempt=reader.attempt,
@@ -199,7 +203,7 @@
 
 
 def write_dispatch(dispatch: Dispatch, builder: typing.Any) -> None:
-    """Write a dispatch."""
+    """Encode a dispatch."""
     builder.requestId = dispatch.request_id
     builder.attempt = dispatch.attempt
     builder.team = dispatch.team
@@ -217,7 +221,7 @@
 
 
 def read_verdict(reader: typing.Any) -> Verdict:
-    """Read a verdict."""
+    """Decode a verdict."""
     return Verdict(
         accepted=reader.accepted,
         reason=reader.reason,
@@ -226,7 +230,7 @@
 
 
 def write_verdict(verdict: Verdict, builder: typing.Any) -> None:
-    """Write a verdict."""
+    """Encode a verdict."""
     builder.accepted = verdict.accepted
     builder.reason = verdict.reason
     builder.retryAfter = verdict.retry_after
--- a/clementinepass/wire/peers.capnp
+++ b/clementinepass/wire/peers.capnp
@@ -1,11 +1,12 @@
 @0xd4a0a3a1c1f7e5b2;
-# Protocol between entries and agents. Times are in milliseconds.
+# Protocol between entries and agents, and among entries. Times are in
+# milliseconds.
 
 using Weights = import "weights.capnp";
 
 struct Peer {
   id @0 :Text;
-  # Grows with each start of the process, so that a restart is seen.
+  # Increases with each start of the process, so that peers detect a restart.
   incarnation @1 :UInt64;
   failureDomain @2 :Text;
 }
@@ -17,7 +18,7 @@
 }
 
 struct AgentState {
-  # Grows with each change that a watcher should learn at once.
+  # Increases with each change that must be sent to watchers at once.
   sequence @0 :UInt64;
   phase @1 :Phase;
   kind @2 :Text;
@@ -49,9 +50,9 @@
   remaining @9 :UInt32;
   stream @10 :Bool;
   priority @11 :Int32;
-  # Unix time after which the gate must not admit it any more.
+  # Unix time after which the gate must not admit the attempt.
   admitBefore @12 :UInt64;
-  # Whether it was in flight when an endpoint died.
+  # Whether the request was in flight when an endpoint died.
   suspect @13 :Bool;
 }
 
@@ -76,7 +77,8 @@
   kind @3 :FrameKind;
   payload @4 :Data;
   status @5 :UInt16;
-  # What a failed frame says of the execution: notRun, ran, mayHaveRun.
+  # Of a failed frame: whether the request was executed (notRun, ran,
+  # mayHaveRun).
   execution @6 :Text;
 }
 
@@ -86,7 +88,7 @@
 
 interface Session {
   dispatch @0 (dispatch :Dispatch) -> (verdict :Verdict);
-  # The state is left out where it is the known one; running always comes.
+  # The state is omitted if its sequence equals known; running is always set.
   watch @1 (known :UInt64) -> (state :AgentState, running :UInt32);
   cancel @2 (requestId :Text, attempt :UInt32) -> ();
   resume @3 (requestId :Text, attempt :UInt32, next :UInt64) -> (verdict :Verdict);
@@ -94,7 +96,7 @@
 }
 
 interface Process {
-  # The same as SIGTERM: take no new work, finish what runs, end.
+  # Same as SIGTERM: accept no new requests, finish the running ones and exit.
   drain @0 () -> ();
 }
 
@@ -108,7 +110,7 @@
   slots @1 :Float64;
 }
 
-# What an entry tells its peers about one team's promise on one target.
+# An entry's report to its peers on its share of a team's promise on one target.
 struct ShareReport {
   team @0 :Text;
   target @1 :Text;
@@ -120,7 +122,7 @@
 }
 
 struct EntryState {
-  # Grows with each change that a watcher should learn at once.
+  # Increases with each change that must be sent to watchers at once.
   sequence @0 :UInt64;
   incarnation @1 :UInt64;
   leaving @2 :Bool;
@@ -129,7 +131,7 @@
 }
 
 interface Entry extends(Process) {
-  # Returns an empty state where nothing newer than known is in force here.
+  # Returns an empty state if no revision newer than known is in force here.
   configuration @0 (known :UInt64) -> (revision :UInt64, state :Data);
   watch @1 (known :UInt64) -> (state :EntryState);
 }
--- a/clementinepass/wire/schema.py
+++ b/clementinepass/wire/schema.py
@@ -1,4 +1,4 @@
-"""The Cap'n Proto schemas, loaded once."""
+"""Cap'n Proto schemas of the protocols between processes."""
 
 from __future__ import annotations
 
@@ -10,7 +10,7 @@
 
 _FOLDER = pathlib.Path(__file__).parent
 
-#: The protocol between entries and agents.
+#: Protocol between entries and agents, and among entries.
 peers = capnp.load(str(_FOLDER / 'peers.capnp'))
-#: The protocol for weights between agents.
+#: Protocol for the transfer of weights between agents.
 weights = capnp.load(str(_FOLDER / 'weights.capnp'))
--- a/clementinepass/wire/weights.capnp
+++ b/clementinepass/wire/weights.capnp
@@ -2,14 +2,16 @@
 # Transfer of weights between agents.
 
 interface Weights {
-  # Empty where the manifest is not known.
+  # The payload is empty if the manifest is unknown.
   manifest @0 (digest :Text) -> (payload :Data);
-  # Which chunks of a manifest are held, and which are on their way from
-  # outside: one bit a chunk, lowest bit first. Answers once the sequence
-  # differs from what the asker knows, or after a while.
+  # Which chunks of a manifest are stored, and which are being fetched from
+  # the origin or another failure domain: one bit per chunk, lowest bit first.
+  # A long poll: returns once the sequence differs from known, or after a
+  # timeout.
   holdings @1 (manifest :Text, known :UInt64)
     -> (held :Data, coming :Data, sequence :UInt64);
-  # Empty where the chunk is not held or the cap is reached.
+  # The payload is empty if the chunk is not stored or the upload limit is
+  # reached.
   read @2 (digest :Text, offset :UInt64, length :UInt32) -> (payload :Data);
   standing @3 () -> (phase :Text, revision :UInt64);
 }
--- a/tests/wire/test_addresses.py
+++ b/tests/wire/test_addresses.py
@@ -1,4 +1,4 @@
-"""Tests of addresses."""
+"""Tests of the parsing and formatting of addresses."""
 
 from __future__ import annotations
 
@@ -11,14 +11,14 @@
 
 @tables.expand
 class AddressTest(testtools.TestCase):
-    """Only an IP number and a port to connect to are an address."""
+    """An address consists of an IP address and a nonzero port."""
 
     @tables.cases(
         version_4='127.0.0.1:7001',
         version_6='[::1]:65535',
     )
-    def test_round(self, text):
-        """An address is written as it is read."""
+    def test_round_trip(self, text):
+        """Formatting a parsed address returns the original text."""
         self.assertEqual(text, str(addresses.Address.from_text(text)))
 
     @tables.cases(
@@ -35,7 +35,7 @@
         bracketed_version_4='[127.0.0.1]:80',
     )
     def test_malformed(self, text):
-        """Anything else is an error."""
+        """Parsing any other text raises an error."""
         self.assertRaises(
             errors.MalformedMessageError, addresses.Address.from_text, text
         )
--- a/tests/wire/test_garbage.py
+++ b/tests/wire/test_garbage.py
@@ -12,8 +12,8 @@
 from clementinepass.wire import garbage
 
 
-class _Owned:
-    """Notes the thread that frees it, as a Cap'n Proto object minds it."""
+class _CyclicObject:
+    """Object in a reference cycle that records the thread that frees it."""
 
     freed_in: list[str] = []
 
@@ -24,45 +24,46 @@
         self.freed_in.append(threading.current_thread().name)
 
 
-def _burn() -> None:
-    """Make so many objects that the automatic collector would run."""
+def _allocate() -> None:
+    """Allocate enough objects to trigger the automatic collector."""
     for _ in range(50):
         kept = [[] for _ in range(2000)]
         del kept
 
 
 class GarbageTest(testtools.TestCase):
-    """An agent dies soon after an entry's connection was replaced.
+    """Guard against an agent that dies after a connection was replaced.
 
-    The old session is part of a cycle; a thread that reads an engine's answer
-    sets the collector off and frees it outside its loop.
+    The old session is part of a reference cycle. A thread that reads an
+    engine's answer triggers the collector, which frees the session outside
+    the thread of its event loop and so aborts the process.
     """
 
     def setUp(self) -> None:
-        """Start with nothing freed."""
+        """Clear the record of freed objects."""
         super().setUp()
-        _Owned.freed_in.clear()
+        _CyclicObject.freed_in.clear()
         self.addCleanup(gc.enable)
         self.addCleanup(gc.unfreeze)
 
-    def test_threads_do_not_collect(self) -> None:
-        """A busy thread frees nothing; the loop does, at the latest later."""
+    def test_collection_on_loop_thread_only(self) -> None:
+        """Allocations in a thread free no cycles; the event loop frees them."""
 
         async def main() -> None:
             async with garbage.collect_on_loop():
-                _Owned()
-                await asyncio.to_thread(_burn)
-                self.assertEqual([], _Owned.freed_in)
+                _CyclicObject()
+                await asyncio.to_thread(_allocate)
+                self.assertEqual([], _CyclicObject.freed_in)
 
         asyncio.run(main())
-        self.assertEqual(['MainThread'], _Owned.freed_in)
+        self.assertEqual(['MainThread'], _CyclicObject.freed_in)
 
-    def test_errors_take_no_frames_to_threads(self) -> None:
-        """A call from a thread fails; its error's frames stay behind."""
+    def test_exceptions_carry_no_frames_to_threads(self) -> None:
+        """The exception of a call from a thread carries no traceback frames."""
 
         class Held:
             def __del__(self) -> None:
-                _Owned.freed_in.append(threading.current_thread().name)
+                _CyclicObject.freed_in.append(threading.current_thread().name)
 
         async def fail() -> None:
             held = Held()
@@ -82,4 +83,4 @@
             bridge.close()
 
         asyncio.run(main())
-        self.assertEqual(['MainThread'], _Owned.freed_in)
+        self.assertEqual(['MainThread'], _CyclicObject.freed_in)
--- a/tests/wire/test_garbage_in_process.py
+++ b/tests/wire/test_garbage_in_process.py
@@ -1,4 +1,4 @@
-"""Tests of the collection of garbage."""
+"""Tests of garbage collection in a process with Cap'n Proto objects."""
 
 from __future__ import annotations
 
@@ -55,15 +55,15 @@
 
 
 class CollectionTest(testtools.TestCase):
-    """A process outlives the garbage that its threads meet."""
+    """Allocations in threads do not abort the process."""
 
     def test_cycles_are_collected_on_the_loop(self) -> None:
-        """A collection in another thread must not end the process.
+        """Reference cycles are not freed by a collection in another thread.
 
-        An operator sees: an agent ends with signal 6, once in some starts.
-        A promise became part of a cycle, a thread that served a call happened
-        to collect it, and Cap'n Proto aborts when that is not its loop's
-        thread. The first run shows that the harm is real.
+        Guards against an agent that occasionally ends with signal 6: a promise
+        became part of a cycle, the collector ran in a thread that served a
+        call, and Cap'n Proto aborts the process if that is not the thread of
+        the event loop. The first run, without the guard, shows the failure.
         """
         self.assertNotEqual(0, _run('plain').returncode)
         guarded = _run('guarded')
