--- a/clementinepass/endpoints/answers.py
+++ b/clementinepass/endpoints/answers.py
@@ -133,7 +133,11 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class AnswerDeadline:
-    """Time by which an answer must be complete."""
+    """Time by which an answer must be complete.
+
+    :param timer: the clock that the deadline refers to.
+    :param deadline: the deadline, in seconds on that clock.
+    """
 
     timer: clock.Clock
     deadline: float
@@ -188,7 +192,7 @@
     :param peer: the endpoint's address, for error messages.
     :param reader_factory: returns the reader that splits the body.
     :param deadline: the deadline for the complete answer.
-    :param step: the caller's current step, for error messages.
+    :param step: the step reported in errors, such as ``'call'``.
     """
 
     __slots__ = (
--- a/clementinepass/endpoints/engine.py
+++ b/clementinepass/endpoints/engine.py
@@ -120,7 +120,7 @@
         Requests in progress finish on the version that they started with.
 
         :param digest: SHA-256 of the weights, in hexadecimal.
-        :param fencing: the fencing number of the lease behind the order.
+        :param fencing: the fencing number of the lease that allows the order.
         :param size: length of the weights in bytes.
         :param parts: the weights, in order.
         :raises StaleOrderError: the fencing number is too old.
--- a/clementinepass/endpoints/protocols.py
+++ b/clementinepass/endpoints/protocols.py
@@ -16,8 +16,11 @@
     digest: str
     #: The largest fencing number seen; 0 if the engine ignores them.
     fencing: int
+    #: Number of requests being run.
     running: int
+    #: Number of requests in the engine's queue.
     waiting: int
+    #: Maximum number of requests that run at once.
     capacity: int
 
 
@@ -107,7 +110,7 @@
         Requests in progress finish on the version that they started with.
 
         :param digest: SHA-256 of the weights, in hexadecimal.
-        :param fencing: the fencing number of the lease behind the order.
+        :param fencing: the fencing number of the lease that allows the order.
         :param size: length of the weights in bytes.
         :param parts: the weights, in order.
         :raises StaleOrderError: the fencing number is too old.
--- a/clementinepass/endpoints/transport.py
+++ b/clementinepass/endpoints/transport.py
@@ -19,7 +19,8 @@
     from collections.abc import Iterable, Mapping
 
 _STEP = 'call'
-#: Characters of a path that are not quoted; the path is quoted already.
+#: Characters that are left as they are in a path. ``%`` is one of them, since
+#: the path is already quoted.
 _SAFE_IN_PATH = "%/?:@!$&'()*+,;=~"
 #: Errors of an open connection: it was lost, or the answer is malformed.
 _CONNECTION_ERRORS = (
@@ -37,8 +38,8 @@
 
     :param connect_timeout: seconds within which a connection must be opened.
     :param read_timeout: seconds without a received byte until a call fails.
-    :param control_timeout: seconds for status requests and cancellations,
-        which a live endpoint answers at once.
+    :param control_timeout: seconds for status requests, health checks and
+        cancellations, which a live endpoint answers at once.
     :param load_timeout: seconds for loading a version.
     :param answer_bytes: maximum length of an answer.
     """
@@ -54,9 +55,10 @@
 class Exchange:
     """HTTP request to send.
 
-    :param step: the caller's current step, for error messages.
+    :param step: the step reported in errors, such as ``'status'``.
     :param read_timeout: seconds without a received byte until the request
-        fails; 0 for ``Limits.control_timeout``.
+        fails; 0 for ``Limits.control_timeout``. :meth:`Transport.fetch` allows
+        as long for the complete answer.
     """
 
     method: str
@@ -73,6 +75,8 @@
     Instances are thread-safe.
 
     :param address: the endpoint's address, ``host:port``.
+    :param limits: timeouts and size limits of calls.
+    :param timer: the clock for the deadlines of answers.
     """
 
     __slots__ = ('_clock', 'limits', 'peer')
--- a/clementinepass/membership/entries.py
+++ b/clementinepass/membership/entries.py
@@ -31,17 +31,17 @@
     failure_domain: str,
     region: str,
 ) -> tuple[OfferedEntry, ...]:
-    """Return the entries, nearest first, in an order of the caller's own.
+    """Return the entries in the order in which a caller should try them.
 
-    Rendezvous hashing spreads callers among equally near entries. A caller's
-    order changes only where an entry is added or removed, so a team's
-    callers do not all move when one entry is replaced.
+    The nearest entries come first. Rendezvous hashing orders equally near
+    entries differently for each caller, which spreads the callers among them.
+    A caller's order changes only where an entry is added or removed, so a
+    team's callers do not all move when one entry is replaced.
 
     :param caller: identifies the caller, for example by address and team.
     :param failure_domain: the caller's failure domain, or that of the entry
         that answers.
     :param region: the caller's region, or that of the entry that answers.
-    :returns: the ranked entries.
     """
     ranked = sorted(
         entries,
@@ -83,7 +83,7 @@
         return self._announced_at is not None
 
     def announce(self, now: float) -> None:
-        """Start the drain at ``now``; repeated calls have no effect."""
+        """Record the time of the announcement; later calls have no effect."""
         if self._announced_at is None:
             self._announced_at = now
 
--- a/clementinepass/membership/view.py
+++ b/clementinepass/membership/view.py
@@ -1,9 +1,9 @@
-"""Membership merged from the lagging instance list and the connections.
+"""Membership merged from the platform's instance list and the connections.
 
-The list says which instances should exist and where; a connection shows
-whether a process is alive and what it does. A process's own report takes
-precedence over the list, with one exception: an instance is draining if
-either of them says so.
+The list lags; it says which instances should exist and where. A connection to
+an instance's process shows whether the process is alive and what it does. A
+process's own report takes precedence over the list, with one exception: an
+instance is draining if either of them says so.
 """
 
 from __future__ import annotations
@@ -42,6 +42,7 @@
 class AgentReport:
     """State that an agent reports."""
 
+    #: Start time of the agent's process; grows with each start.
     incarnation: int
     #: Increases with each change within an incarnation.
     sequence: int
@@ -52,7 +53,9 @@
     serves: str
     #: The version being served; empty for none and for services.
     version: str
+    #: Number of attempts in flight, including those queued at the endpoint.
     running: int
+    #: Maximum number of attempts in flight.
     capacity: int
 
 
@@ -60,7 +63,9 @@
 class Candidate:
     """Endpoint that may be sent new requests."""
 
+    #: The id of the endpoint's agent.
     agent: str
+    #: The agent's address.
     address: str
     failure_domain: str
     region: str
@@ -74,7 +79,7 @@
     instance: protocols.Instance
     report: AgentReport | None = None
     liveness: Liveness = Liveness.GONE
-    #: The latest incarnation that announced a drain.
+    #: The latest incarnation that announced a drain; -1 for none.
     drained_incarnation: int = -1
 
     @property
@@ -98,9 +103,9 @@
 class MembershipView:
     """View of all agents and entries; not thread-safe.
 
-    While the list is unavailable, the owner does not call
-    :meth:`update_list`: the last list stays in force, and connections still
-    determine liveness.
+    While the platform's instance list is unavailable, :meth:`update_list` is
+    not called: the last list stays in force, and connections still determine
+    liveness.
     """
 
     __slots__ = (
@@ -119,7 +124,7 @@
     def update_list(
         self, instances: typing.Iterable[protocols.Instance]
     ) -> None:
-        """Replace the instance list by a newer complete one."""
+        """Replace the instance list with a newer, complete one."""
         by_id = {instance.id: instance for instance in instances}
         self._update_agents(by_id)
         # An entry counts as draining until the list drops it, since a lagging
--- a/tests/endpoints/contracts.py
+++ b/tests/endpoints/contracts.py
@@ -56,7 +56,9 @@
 class EngineContract:
     """Tests of an engine, for a test case that sets ``engine``.
 
-    The test case also defines ``runs_by_id()`` and ``serve_other()``.
+    The test case also defines ``runs_by_id()``, which returns the number of
+    runs by request id, and ``serve_other()``, which makes the engine report
+    success for the next load without serving the loaded version.
     """
 
     def test_answers(self):
--- a/tests/endpoints/test_engine.py
+++ b/tests/endpoints/test_engine.py
@@ -254,7 +254,7 @@
     def test_wakes_a_blocked_reader(self):
         """Closing an answer wakes a thread that is blocked reading it.
 
-        The gate closes the answer of a silent connection from another
+        The agent's gate closes the answer of a silent connection from another
         thread. The reader must get its error at once, not only after its own
         timeout.
         """
