--- a/clementinepass/wire/addresses.py
+++ b/clementinepass/wire/addresses.py
@@ -29,14 +29,14 @@
         """
         host, _, port = text.rpartition(':')
         bracketed = host.startswith('[') and host.endswith(']')
-        number = host[1:-1] if bracketed else host
-        if not _is_ip(number, bracketed=bracketed) or not _is_port(port):
+        ip = host[1:-1] if bracketed else host
+        if not _is_ip(ip, bracketed=bracketed) or not _is_port(port):
             raise errors.MalformedMessageError(
                 f'{text!r} is not host:port with an IP address',
                 step=_STEP,
                 peer=text,
             )
-        return cls(number, int(port))
+        return cls(ip, int(port))
 
     def __str__(self) -> str:
         """Return ``host:port``, with an IPv6 address in brackets."""
@@ -45,9 +45,9 @@
         return f'{self.host}:{self.port}'
 
 
-def _is_ip(number: str, *, bracketed: bool) -> bool:
+def _is_ip(ip: str, *, bracketed: bool) -> bool:
     try:
-        version = ipaddress.ip_address(number).version
+        version = ipaddress.ip_address(ip).version
     except ValueError:
         return False
     return (version == 6) is bracketed
--- a/clementinepass/wire/heartbeats.py
+++ b/clementinepass/wire/heartbeats.py
@@ -13,7 +13,7 @@
 
 _SCHEMA = capnp.load(str(pathlib.Path(__file__).with_name('direct.capnp')))
 _PHASES = tuple(members.Phase)
-_MS = 1000
+_MS_PER_SECOND = 1000
 _IP_BYTES = 4
 #: The largest number of requests that a message can carry.
 _MAX_COUNT = 65535
@@ -42,8 +42,12 @@
     message.follow.operatorOffset = heartbeat.operator_offset
     message.follow.endpointsOffset = heartbeat.endpoints_offset
     message.follow.configuration = heartbeat.configuration_version
-    message.follow.operatorEndsMs = int(heartbeat.operator_read_ends_in * _MS)
-    message.follow.endpointsEndsMs = int(heartbeat.endpoints_read_ends_in * _MS)
+    message.follow.operatorEndsMs = int(
+        heartbeat.operator_read_ends_in * _MS_PER_SECOND
+    )
+    message.follow.endpointsEndsMs = int(
+        heartbeat.endpoints_read_ends_in * _MS_PER_SECOND
+    )
     message.wantsLoad = heartbeat.wants_load
     message.asks = heartbeat.wants_introduction
     _write_versions(message, heartbeat)
@@ -81,7 +85,7 @@
     message.nextOffset = page.next_offset
     if page.outage_age is not None:
         message.afterOutage = True
-        message.outageAgeMs = int(page.outage_age * _MS)
+        message.outageAgeMs = int(page.outage_age * _MS_PER_SECOND)
     message.snapshot = page.is_snapshot
     return bytes(message.to_bytes_packed())
 
@@ -104,7 +108,9 @@
         return records.Page(
             decoded,
             message.nextOffset,
-            message.outageAgeMs / _MS if message.afterOutage else None,
+            message.outageAgeMs / _MS_PER_SECOND
+            if message.afterOutage
+            else None,
             message.snapshot,
         )
     except (capnp.KjException, UnicodeDecodeError) as error:
@@ -144,7 +150,7 @@
     for slot, desired in zip(slots, heartbeat.desired_versions, strict=True):
         slot.model = desired.model
         slot.version = desired.version
-        slot.ageMs = min(int(desired.age * _MS), 2**32 - 1)
+        slot.ageMs = min(int(desired.age * _MS_PER_SECOND), 2**32 - 1)
         slot.guessed = desired.guessed
 
 
@@ -174,13 +180,13 @@
         operator_offset=message.follow.operatorOffset,
         endpoints_offset=message.follow.endpointsOffset,
         configuration_version=message.follow.configuration,
-        operator_read_ends_in=message.follow.operatorEndsMs / _MS,
-        endpoints_read_ends_in=message.follow.endpointsEndsMs / _MS,
+        operator_read_ends_in=message.follow.operatorEndsMs / _MS_PER_SECOND,
+        endpoints_read_ends_in=message.follow.endpointsEndsMs / _MS_PER_SECOND,
         desired_versions=tuple(
             heartbeats.DesiredVersion(
                 desired.model,
                 desired.version,
-                desired.ageMs / _MS,
+                desired.ageMs / _MS_PER_SECOND,
                 desired.guessed,
             )
             for desired in message.versions
