--- a/clementinepass/wire/bridge.py
+++ b/clementinepass/wire/bridge.py
@@ -50,7 +50,7 @@
             self._loop.call_soon_threadsafe(function, *arguments)
         except RuntimeError:
             # The event loop is closed because the process is shutting down:
-            # the consumer of the value no longer exists.
+            # the receiver of the call no longer exists.
             return
 
     async def block(
--- a/clementinepass/wire/connections.py
+++ b/clementinepass/wire/connections.py
@@ -38,7 +38,7 @@
 
     :param address: the address to listen on; port 0 selects a free port.
     :param make_bootstrap: creates the capability for a connection.
-    :return: the bound address.
+    :returns: the bound address.
     """
 
     async def serve(stream: typing.Any) -> None:
--- a/clementinepass/wire/direct.capnp
+++ b/clementinepass/wire/direct.capnp
@@ -30,7 +30,7 @@
 }
 
 struct Follow {
-  # The next offsets of the store's topics at the sender.
+  # The offsets from which the sender reads the store's topics next.
   operatorOffset @0 :UInt64;
   endpointsOffset @1 :UInt64;
   # The version of the configuration in force at the sender; 0 for none.
@@ -45,7 +45,8 @@
   model @0 :Text;
   version @1 :UInt32;
   ageMs @2 :UInt32;
-  # Whether the age is an estimate, because the sender started later.
+  # Whether the age is an estimate, because the sender started after the
+  # version was written.
   guessed @3 :Bool;
 }
 
@@ -65,6 +66,7 @@
   # Requests that run or wait at the engine beside the sender.
   active @0 :UInt16;
   queued @1 :UInt16;
+  # When the engine started, in milliseconds of Unix time; 0 if unknown.
   started @2 :UInt64;
 }
 
@@ -80,7 +82,7 @@
   digests @7 :List(Digest);
   # Whether the receiver must introduce itself to the sender at once.
   asks @8 :Bool;
-  # If set, no other field is.
+  # If this field is set, the message carries no other field.
   load @9 :EngineLoad;
 }
 
@@ -94,10 +96,10 @@
 struct Records {
   records @0 :List(Record);
   nextOffset @1 :UInt64;
-  # Whether the records were read just after an outage of the store; its age is
-  # in outageAgeMs.
+  # Whether the records were read just after an outage of the store.
   afterOutage @2 :Bool;
   # Whether these are the records of all keys.
   snapshot @3 :Bool;
+  # Milliseconds since the end of that outage.
   outageAgeMs @4 :UInt32;
 }
--- a/clementinepass/wire/garbage.py
+++ b/clementinepass/wire/garbage.py
@@ -19,8 +19,8 @@
     from collections.abc import AsyncIterator
 
 #: Seconds between collections of the young generations. Few objects are part
-#: of cycles, so this interval bounds their number; a collection takes about a
-#: millisecond.
+#: of cycles, so this interval keeps the number of uncollected ones small; a
+#: collection takes about a millisecond.
 _YOUNG_INTERVAL_SECONDS = 1.0
 _YOUNG_GENERATION = 1
 #: One in this many collections is a full one.
--- a/clementinepass/wire/weights.capnp
+++ b/clementinepass/wire/weights.capnp
@@ -13,5 +13,7 @@
   # The payload is empty if the chunk is not stored or the upload limit is
   # reached.
   read @2 (digest :Text, offset :UInt64, length :UInt32) -> (payload :Data);
+  # The phase of the local replica, and the configuration revision of the
+  # version that it is to serve.
   standing @3 () -> (phase :Text, revision :UInt64);
 }
--- a/clementinepass/wire/weights_peers.py
+++ b/clementinepass/wire/weights_peers.py
@@ -43,7 +43,7 @@
         _context: typing.Any,
         **_rest: typing.Any,
     ) -> None:
-        """Return the seed's chunks once their sequence differs."""
+        """Return the seed's chunks once their sequence is not ``known``."""
         holdings = await self._seed.holdings(manifest, known)
         _context.results.held = _encode_bitmap(holdings.held)
         _context.results.coming = _encode_bitmap(holdings.coming)
