--- a/clementinepass/wire/direct.capnp
+++ b/clementinepass/wire/direct.capnp
@@ -54,6 +54,7 @@
   # The weights that an engine has loaded, as its agent read them.
   address @0 :Text;
   version @1 :UInt32;
+  # The first layer loaded, and the layer after the last one loaded.
   first @2 :UInt16;
   end @3 :UInt16;
   # Whether transfers to its machine take several times as long as usual.
