--- a/benchmarks/configuration_reader.py
+++ b/benchmarks/configuration_reader.py
@@ -38,7 +38,7 @@
             if current.revision > before:
                 seen = f'{current.revision} {digest(current)}'
                 print(f'state {seen} {time.monotonic()}', flush=True)
-            snapshotter.consider(current)
+            snapshotter.append_if_due(current)
         except (errors.PlatformUnavailableError, errors.MalformedMessageError):
             time.sleep(_RETRY)
 
--- a/clementinepass/configuration/changes.py
+++ b/clementinepass/configuration/changes.py
@@ -74,7 +74,7 @@
         """Return the revision of each section touched or relied on."""
         names = set(self.set_by_section) | set(self.removed)
         for touched, values in self.set_by_section.items():
-            names |= checks.relied_on(touched, values)
+            names |= checks.dependencies(touched, values)
         return {name: current.revision_of(name) for name in sorted(names)}
 
     def publication(
--- a/clementinepass/configuration/checks.py
+++ b/clementinepass/configuration/checks.py
@@ -25,7 +25,7 @@
     folder.raise_faults(_Checks(sections, only).run())
 
 
-def relied_on(name: str, texts_by_key: typing.Mapping[str, str]) -> set[str]:
+def dependencies(name: str, texts_by_key: typing.Mapping[str, str]) -> set[str]:
     """Return the sections whose presence or absence a section builds on."""
     kind = schema.kind_of(name)
     plain = schema.name_of(name)
--- a/clementinepass/configuration/fold.py
+++ b/clementinepass/configuration/fold.py
@@ -87,7 +87,7 @@
 ) -> Rejection | None:
     if publication.checked_at > before.revision:
         return Rejection(Reason.MALFORMED)
-    touched = publication.touched()
+    touched = publication.touched_sections()
     if publication.checked_at < before.revision - HORIZON:
         return Rejection(Reason.TOO_OLD, min(touched))
     for name, expected in sorted(publication.expected_by_section.items()):
--- a/clementinepass/configuration/follower.py
+++ b/clementinepass/configuration/follower.py
@@ -88,7 +88,7 @@
                 self._report(Trouble.HOLE)
                 # Only a snapshot or a peer can help; asking again at once
                 # would keep the log busy for nothing.
-                snapshots.wait_for_another(self._log, wait)
+                snapshots.wait_for_next(self._log, wait)
         else:
             self._report(self._take(page, asked))
         return self._state
@@ -102,7 +102,7 @@
         return newer
 
     def _jump(self, oldest: int) -> None:
-        snapshot = snapshots.best(self._log, oldest)
+        snapshot = snapshots.newest(self._log, oldest)
         if snapshot is not None and self.adopt(snapshot.state):
             logger.info(
                 'configuration snapshot taken at revision {}',
--- a/clementinepass/configuration/history.py
+++ b/clementinepass/configuration/history.py
@@ -73,7 +73,7 @@
 ) -> state.State | None:
     if oldest == 0:
         return state.State()
-    states = [snapshot.state for snapshot in snapshots.kept(log)]
+    states = [snapshot.state for snapshot in snapshots.read_all(log)]
     usable = [found for found in states if found.revision >= oldest]
     return min(usable, key=_revision, default=None)
 
@@ -116,5 +116,5 @@
         message=publication.message,
         outcome=outcome,
         detail=detail,
-        sections=tuple(sorted(publication.touched())),
+        sections=tuple(sorted(publication.touched_sections())),
     )
--- a/clementinepass/configuration/records.py
+++ b/clementinepass/configuration/records.py
@@ -35,7 +35,7 @@
         """Refuse publications that contradict themselves."""
         if self.format != FORMAT:
             raise ValueError(f'unknown format {self.format}')
-        touched = self.touched()
+        touched = self.touched_sections()
         if not touched:
             raise ValueError('touches no section')
         if not touched <= self.expected_by_section.keys():
@@ -43,7 +43,7 @@
         if self.set_by_section.keys() & set(self.removed):
             raise ValueError('sets and removes the same section')
 
-    def touched(self) -> frozenset[str]:
+    def touched_sections(self) -> frozenset[str]:
         """Return the sections set or removed."""
         return frozenset(self.set_by_section) | frozenset(self.removed)
 
--- a/clementinepass/configuration/snapshots.py
+++ b/clementinepass/configuration/snapshots.py
@@ -53,7 +53,7 @@
             ) from failure
 
 
-def best(log: protocols.LogService, wanted: int = 0) -> Snapshot | None:
+def newest(log: protocols.LogService, wanted: int = 0) -> Snapshot | None:
     """Return the snapshot with the highest revision.
 
     :param wanted: the revision from which a snapshot is of use; older
@@ -68,7 +68,7 @@
     return found
 
 
-def wait_for_another(log: protocols.LogService, wait: float) -> None:
+def wait_for_next(log: protocols.LogService, wait: float) -> None:
     """Return once a snapshot is appended or ``wait`` seconds have passed."""
     bounds = _read_kept(log, 0, limit=1)
     log.read(records.SNAPSHOT_STREAM, bounds.end, limit=1, wait=wait)
@@ -101,7 +101,7 @@
         #: The best snapshot known; others may have written a better one.
         self._known: Snapshot | None = None
 
-    def consider(self, current: state.State) -> bool:
+    def append_if_due(self, current: state.State) -> bool:
         """Append a snapshot if one is due; tell whether it did.
 
         :raises PlatformUnavailableError: the log did not answer; a later
@@ -111,7 +111,7 @@
             return False
         # Eight entries come here at about the same time. The first to
         # append spares the others their copy.
-        self._known = best(self._log)
+        self._known = newest(self._log)
         if not self._due(current):
             return False
         snapshot = Snapshot(current, self._now())
@@ -130,7 +130,7 @@
         return behind >= self._every or aged
 
 
-def kept(
+def read_all(
     log: protocols.LogService,
     start: int = 0,
 ) -> typing.Iterator[Snapshot]:
@@ -151,7 +151,7 @@
 
 
 def _highest(log: protocols.LogService, start: int) -> Snapshot | None:
-    return max(kept(log, start), key=_rank, default=None)
+    return max(read_all(log, start), key=_rank, default=None)
 
 
 def _decode_or_none(payload: bytes) -> Snapshot | None:
--- a/clementinepass/entry/entry.py
+++ b/clementinepass/entry/entry.py
@@ -384,7 +384,7 @@
                 await self._bridge.block(self._follower.poll, wait)
                 self._configured()
                 await self._bridge.block(
-                    self._snapshotter.consider,
+                    self._snapshotter.append_if_due,
                     self._follower.current,
                 )
             except errors.ClementinepassError as error:
--- a/tests/configuration/logs.py
+++ b/tests/configuration/logs.py
@@ -37,7 +37,7 @@
         #: Fates of the next appends to a stream, in order.
         self.fates: dict[str, list[Fate]] = collections.defaultdict(list)
         #: Appends that arrive when released.
-        self.held: list[tuple[str, list[bytes]]] = []
+        self.delayed: list[tuple[str, list[bytes]]] = []
         #: Publications that appends were called with.
         self.attempted: list[bytes] = []
         #: Called before each publication, to let others go first.
@@ -56,7 +56,7 @@
         if self.down or fate is Fate.REFUSED:
             raise _unavailable('append', sent=False)
         if fate in {Fate.LATE, Fate.TWICE}:
-            self.held.append((stream, list(payloads)))
+            self.delayed.append((stream, list(payloads)))
         if fate in {Fate.LATE, Fate.LOST}:
             raise _unavailable('append')
         offsets = self.land(stream, payloads)
@@ -105,9 +105,9 @@
 
     def release(self) -> None:
         """Let all held appends arrive."""
-        for stream, payloads in self.held:
+        for stream, payloads in self.delayed:
             self.land(stream, payloads)
-        self.held.clear()
+        self.delayed.clear()
 
     def expire(self, stream: str, oldest: int) -> None:
         """Forget the records below an offset."""
--- a/tests/configuration/test_publisher.py
+++ b/tests/configuration/test_publisher.py
@@ -230,23 +230,23 @@
         current = self._current()
         self.assertEqual(
             [True, False, False],
-            [first.consider(current), first.consider(current)]
-            + [second.consider(current)],
+            [first.append_if_due(current), first.append_if_due(current)]
+            + [second.append_if_due(current)],
         )
         self._append(19)
-        self.assertFalse(first.consider(self._current()))
+        self.assertFalse(first.append_if_due(self._current()))
         self._append(1)
         current = self._current()
-        self.assertTrue(second.consider(current))
-        self.assertFalse(first.consider(current))
+        self.assertTrue(second.append_if_due(current))
+        self.assertFalse(first.append_if_due(current))
         # Few records come, yet snapshots expire like all records.
         self.now = 60
-        self.assertTrue(first.consider(current))
-        self.assertFalse(second.consider(current))
+        self.assertTrue(first.append_if_due(current))
+        self.assertFalse(second.append_if_due(current))
 
     def test_no_snapshot_of_nothing(self) -> None:
         """An entry that could read nothing yet appends nothing."""
-        self.assertFalse(self._snapshotter().consider(state.State()))
+        self.assertFalse(self._snapshotter().append_if_due(state.State()))
 
     def test_expiry_behind_many_late_snapshots(self) -> None:
         """Old snapshots written late don't hide the newest one.
@@ -254,7 +254,7 @@
         Entries that were paused append old snapshots after the newest,
         more of them than a new process looks at first; records expire.
         """
-        self._snapshotter().consider(self._current())
+        self._snapshotter().append_if_due(self._current())
         late = snapshots.Snapshot(state.State(2), 0).encode()
         self.log.land(records.SNAPSHOT_STREAM, [late, b'junk'] * 9)
         self.log.expire(records.STREAM, 30)
@@ -311,7 +311,7 @@
 
     def test_history_after_expiry(self) -> None:
         """The history says what it can't prove."""
-        self._snapshotter().consider(self._current())
+        self._snapshotter().append_if_due(self._current())
         self._append(2)
         self.log.expire(records.STREAM, 29)
         outcomes = [event.outcome for event in history.read(self.log)]
--- a/tests/configuration/test_races.py
+++ b/tests/configuration/test_races.py
@@ -229,7 +229,7 @@
         )
         current = self.followers[number].current
         try:
-            snapshotter.consider(current)
+            snapshotter.append_if_due(current)
         except errors.PlatformUnavailableError:
             assert self.log.down
         self.paused.append(snapshots.Snapshot(current, 0))
--- a/tests/proofs/test_configuration_races.py
+++ b/tests/proofs/test_configuration_races.py
@@ -228,7 +228,7 @@
                 section, revision = lost_to.groups()
                 winner = by_revision[int(revision)]
                 self.assertTrue(winner.accepted, one)
-                self.assertIn(section, winner.publication.touched())
+                self.assertIn(section, winner.publication.touched_sections())
                 self.assertIn(winner.publication.operator, one.err)
             else:
                 self.assertEqual(exits.UNAVAILABLE, one.code, one.err)
