--- a/clementinepass/configuration/catalogue.py
+++ b/clementinepass/configuration/catalogue.py
@@ -1,6 +1,6 @@
 """The configuration in force as typed objects.
 
-Tolerant: sections and keys that newer software wrote are passed over.
+Sections and keys that only newer software knows are ignored.
 """
 
 from __future__ import annotations
@@ -18,14 +18,14 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Team:
-    """A team and how its callers prove who they are."""
+    """A team and the key that authenticates its callers."""
 
     name: str
     #: The SHA-256 of the team's key, in hexadecimal.
     key_digest: str
     #: ``interactive`` or ``batch``.
     priority_class: str
-    #: The revision that set it.
+    #: The revision that set the section.
     revision: int
 
 
@@ -36,22 +36,22 @@
     name: str
     #: Name of the version.
     version: str
-    #: Largest share of replicas that change versions at a time.
+    #: Largest fraction of replicas that change versions at a time.
     wave: float
-    #: The revision that set it.
+    #: The revision that set the section.
     revision: int
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Version:
-    """Weights of a model."""
+    """A version of a model's weights."""
 
     name: str
     #: Name of the model.
     model: str
     #: The SHA-256 of the manifest, in hexadecimal.
     manifest: str
-    #: The revision that set it.
+    #: The revision that set the section.
     revision: int
 
 
@@ -60,17 +60,17 @@
     """A plain service."""
 
     name: str
-    #: Whether its calls may be repeated.
+    #: Whether its calls may be retried.
     idempotent: bool
-    #: Seconds after which a refused caller may ask again.
+    #: Seconds after which a rejected caller may retry.
     retry_after: float
-    #: The revision that set it.
+    #: The revision that set the section.
     revision: int
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class PromiseName:
-    """Whom a promise is made to and on what."""
+    """The team and target that identify a promise."""
 
     team: str
     #: Name of a model or a service.
@@ -79,14 +79,14 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Promise:
-    """What a team was promised on a model or a service."""
+    """Service levels promised to a team on a model or a service."""
 
     name: PromiseName
-    #: Requests in progress at once.
+    #: Number of concurrent requests.
     concurrency: int
-    #: Seconds until the first token.
+    #: Time to first token, in seconds.
     first_token: float
-    #: The revision that set it.
+    #: The revision that set the section.
     revision: int
 
 
@@ -101,7 +101,7 @@
     versions_by_name: dict[str, Version]
     services_by_name: dict[str, Service]
     promises_by_team_and_target: dict[PromiseName, Promise]
-    #: Sections that could not be read.
+    #: Headers of the sections that could not be parsed.
     skipped: tuple[str, ...]
 
     @classmethod
@@ -111,7 +111,7 @@
 
 
 class _Builder:
-    """Read all sections of one state."""
+    """Builds the catalogue of one state."""
 
     __slots__ = ('_skipped', '_state')
 
@@ -121,11 +121,11 @@
 
     def build(self) -> Catalogue:
         """Return the catalogue."""
-        teams = self._all(schema.TEAM, _team)
-        models = self._all(schema.MODEL, _model)
-        versions = self._all(schema.VERSION, _version)
-        services = self._all(schema.SERVICE, _service)
-        promises = self._all(schema.PROMISE, _promise)
+        teams = self._build_all(schema.TEAM, _team)
+        models = self._build_all(schema.MODEL, _model)
+        versions = self._build_all(schema.VERSION, _version)
+        services = self._build_all(schema.SERVICE, _service)
+        promises = self._build_all(schema.PROMISE, _promise)
         return Catalogue(
             revision=self._state.revision,
             teams_by_name={team.name: team for team in teams},
@@ -139,27 +139,27 @@
             skipped=tuple(self._skipped),
         )
 
-    def _all(
+    def _build_all(
         self,
         kind: str,
-        make: typing.Callable[[str, _Values], T],
+        build_object: typing.Callable[[str, _Values], T],
     ) -> list[T]:
-        made = []
+        objects = []
         for header, section in sorted(self._state.sections_by_name.items()):
             if schema.kind_of(header) != kind:
                 continue
             values = _Values(kind, section)
             try:
-                made.append(make(schema.name_of(header), values))
+                objects.append(build_object(schema.name_of(header), values))
             except (KeyError, ValueError):
-                # Newer software may have changed how a value is written.
-                # One such section must not take down all others.
+                # Newer software may have changed a value's syntax. One such
+                # section must not make all others unavailable.
                 self._skipped.append(header)
-        return made
+        return objects
 
 
 class _Values:
-    """Parsed values of one section, with defaults."""
+    """The parsed values of one section, with defaults."""
 
     __slots__ = ('_keys', '_section')
 
@@ -227,10 +227,10 @@
 
 
 def _first_by_key_digest(teams: list[Team]) -> dict[str, Team]:
-    """Give a key that two teams claim to the one that had it first."""
-    newest_first = sorted(teams, key=_age, reverse=True)
+    """Map keys to teams; of two teams with one key the first owns it."""
+    newest_first = sorted(teams, key=_claim_order, reverse=True)
     return {team.key_digest: team for team in newest_first}
 
 
-def _age(team: Team) -> tuple[int, str]:
+def _claim_order(team: Team) -> tuple[int, str]:
     return team.revision, team.name
--- a/clementinepass/configuration/changes.py
+++ b/clementinepass/configuration/changes.py
@@ -1,4 +1,4 @@
-"""What a publication would change in the state."""
+"""Differences between requested sections and the state in force."""
 
 from __future__ import annotations
 
@@ -15,7 +15,7 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Changes:
-    """Sections that differ from a state."""
+    """Sections to set or remove in a state."""
 
     set_by_section: dict[str, Values]
     removed: tuple[str, ...]
@@ -27,51 +27,52 @@
         sections: folder.Sections,
         removed: typing.Collection[str],
     ) -> Changes:
-        """Return what is left to do to a state."""
-        wanted = {
+        """Return the changes that turn a state into the requested one."""
+        requested = {
             name: sections.texts_by_key(name) for name in sections.by_name
         }
         in_force = current.values_by_section()
         return cls(
-            _differing(in_force, wanted),
+            _changed_sections(in_force, requested),
             tuple(sorted(set(removed) & in_force.keys())),
         )
 
     def __bool__(self) -> bool:
-        """Whether there is anything to change."""
+        """Return whether there is anything to change."""
         return bool(self.set_by_section or self.removed)
 
     def applied(self, current: state.State) -> dict[str, Values]:
-        """Return all sections as they would be, without derived ones."""
-        after = current.values_by_section() | self.set_by_section
-        for gone in self.removed:
-            after.pop(gone, None)
+        """Return all sections after the changes, except derived ones."""
+        sections = current.values_by_section() | self.set_by_section
+        for removed_name in self.removed:
+            sections.pop(removed_name, None)
         return {
             name: values
-            for name, values in after.items()
+            for name, values in sections.items()
             if schema.kind_of(name) != schema.KEY_OWNER
         }
 
     def with_key_owners(self, current: state.State) -> Changes:
-        """Add the derived sections that say which team owns a key.
+        """Add the derived sections that record which team owns a key.
 
-        Two operators who give two teams the same key at the same time touch
-        no section in common, and callers would be taken for the wrong team.
-        The derived section is one that both touch, so the later one loses.
+        Two operators who give two teams the same key at the same time change
+        no section in common, and callers would be assigned to the wrong team.
+        Both publications set the derived section of the key, so the later
+        one is rejected.
         """
         in_force = {
             name: values
             for name, values in current.values_by_section().items()
             if schema.kind_of(name) == schema.KEY_OWNER
         }
-        wanted = _key_owners(self.applied(current))
+        requested = _key_owner_sections(self.applied(current))
         return Changes(
-            self.set_by_section | _differing(in_force, wanted),
-            self.removed + tuple(sorted(in_force.keys() - wanted.keys())),
+            self.set_by_section | _changed_sections(in_force, requested),
+            self.removed + tuple(sorted(in_force.keys() - requested.keys())),
         )
 
     def expectations(self, current: state.State) -> dict[str, int]:
-        """Return the revision of each section touched or relied on."""
+        """Return the revision of each section changed or depended on."""
         names = set(self.set_by_section) | set(self.removed)
         for touched, values in self.set_by_section.items():
             names |= checks.dependencies(touched, values)
@@ -85,7 +86,7 @@
         operator: str,
         message: str,
     ) -> records.Publication:
-        """Return the record that asks for these changes."""
+        """Return a publication that requests these changes."""
         return records.Publication(
             id=unique_id,
             operator=operator,
@@ -97,18 +98,20 @@
         )
 
 
-def _differing(
+def _changed_sections(
     in_force: dict[str, Values],
-    wanted: dict[str, Values],
+    requested: dict[str, Values],
 ) -> dict[str, Values]:
     return {
         name: values
-        for name, values in wanted.items()
+        for name, values in requested.items()
         if in_force.get(name) != values
     }
 
 
-def _key_owners(values_by_section: dict[str, Values]) -> dict[str, Values]:
+def _key_owner_sections(
+    values_by_section: dict[str, Values],
+) -> dict[str, Values]:
     owners = {}
     for name, values in values_by_section.items():
         if schema.kind_of(name) == schema.TEAM and 'key_sha256' in values:
--- a/clementinepass/configuration/excerpt.py
+++ b/clementinepass/configuration/excerpt.py
@@ -1,4 +1,4 @@
-"""The part of a state that one agent needs."""
+"""Excerpts of the configuration state for single agents."""
 
 from __future__ import annotations
 
@@ -6,25 +6,26 @@
 
 
 def for_endpoint(current: state.State, serves: str) -> state.State:
-    """Return the sections about one model or service, at the same revision.
+    """Return the sections of one model or service, at the same revision.
 
-    With each change the whole state would go to each agent, of which it uses
-    a few sections: at 2,000 sections and 1,900 changes a day some 8 KB a
-    second for each agent, where a node may spend 2 KB on all control.
+    Sending each agent the complete state after each change, although it uses
+    only a few sections, would take some 8 KB per second and agent at 2,000
+    sections and 1,900 changes a day; a node may spend 2 KB per second on all
+    control traffic.
 
-    An excerpt is for an agent's own use. It must never be folded or passed
-    on, since others would take it for the whole state of its revision.
+    An excerpt must never be folded or forwarded: the receiver would take it
+    for the complete state of its revision.
     """
     names = {
         schema.header(schema.MODEL, serves),
         schema.header(schema.SERVICE, serves),
     }
-    kept = {
+    sections_by_name = {
         name: section
         for name, section in current.sections_by_name.items()
         if name in names or _is_version_of(name, section, serves)
     }
-    return state.State(current.revision, kept)
+    return state.State(current.revision, sections_by_name)
 
 
 def _is_version_of(name: str, section: state.Section, model: str) -> bool:
--- a/clementinepass/configuration/fold.py
+++ b/clementinepass/configuration/fold.py
@@ -1,7 +1,7 @@
-"""The fold: from a state and the next record to the next state.
+"""The fold: computes the next state from a state and the next record.
 
-Every reader, of whatever version of the software, must fold alike. The
-fold therefore checks expectations only and never what a section means.
+Readers of all software versions must compute the same state. The fold
+therefore checks only expected revisions and never interprets sections.
 """
 
 from __future__ import annotations
@@ -18,39 +18,42 @@
 if typing.TYPE_CHECKING:
     from clementinepass.platform import protocols
 
-#: Revisions after which a publication is too old to be accepted. Bounds how
-#: long traces of removed sections are kept. Part of the record format:
-#: readers with another value would fold differently.
+#: Number of revisions after which a publication is too old to be accepted;
+#: bounds how long removals are remembered. Part of the record format: readers
+#: with another value would compute different states.
 HORIZON = 4000
 
 
 class Reason(enum.Enum):
     """Why the fold rejects a record."""
 
-    #: A section touched or relied on has changed since the check.
+    #: A section that the publication changes or depends on has changed since
+    #: it was checked.
     CHANGED = 'changed'
-    #: A section touched has since become one that others build on.
+    #: Another publication has come to depend on a section that this one
+    #: changes, after this one was checked.
     RELIED_ON = 'relied_on'
-    #: The check is further back than the fold's horizon.
+    #: The publication was checked before the fold's horizon.
     TOO_OLD = 'too_old'
-    #: The record holds no publication, or one from the future.
+    #: The record is no publication, or it was checked at a later revision
+    #: than the current one.
     MALFORMED = 'malformed'
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Rejection:
-    """Why and because of what a record was rejected."""
+    """The reason for a record's rejection, and the conflict behind it."""
 
     reason: Reason
     #: The section in conflict; empty for a malformed record.
     section: str = ''
-    #: The revision of the publication that won; 0 when there is none.
+    #: Revision of the publication that takes precedence; 0 if there is none.
     winner: int = 0
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class FoldResult:
-    """What one record did."""
+    """The effect of one record on the state."""
 
     #: The state after the record.
     state: state.State
@@ -66,22 +69,22 @@
 
 
 def fold(before: state.State, record: protocols.Record) -> FoldResult:
-    """Return what the record at the state's revision does to it."""
+    """Apply the record at the offset that equals the state's revision."""
     revision = record.offset + 1
     try:
         publication = records.Publication.decode(record.payload)
     except errors.MalformedMessageError:
         malformed = Rejection(Reason.MALFORMED)
-        return FoldResult(_advance(before, revision), None, malformed)
-    rejection = _conflict(before, publication)
+        return FoldResult(_advance_revision(before, revision), None, malformed)
+    rejection = _find_conflict(before, publication)
     if rejection is None:
         after = _apply(before, publication, revision)
     else:
-        after = _advance(before, revision)
+        after = _advance_revision(before, revision)
     return FoldResult(after, publication, rejection)
 
 
-def _conflict(
+def _find_conflict(
     before: state.State,
     publication: records.Publication,
 ) -> Rejection | None:
@@ -92,19 +95,20 @@
         return Rejection(Reason.TOO_OLD, min(touched))
     for name, expected in sorted(publication.expected_by_section.items()):
         changed_at = before.changed_at(name)
-        # A section that was set and removed again since the check is as
-        # absent as it was. Yet a publication that arrives late, after its
-        # operator gave up, or arrives twice, must not bring back what others
-        # have removed meanwhile: callers would see an accepted change revert.
-        # Hence the trace of the removal counts besides the expectation.
+        # A section that was set and removed again since the check has the
+        # expected revision 0. A publication that arrives late, after its
+        # operator gave up, or twice must still not restore a section that
+        # others have removed: an accepted change would be reverted. So the
+        # revision of the removal is compared as well.
         stale = changed_at > publication.checked_at
         if stale or before.revision_of(name) != expected:
             return Rejection(Reason.CHANGED, name, changed_at)
     for name in sorted(touched & before.sections_by_name.keys()):
         relied_at = before.sections_by_name[name].relied_at
-        # Two operators, one removing a model and one promising it to a team,
-        # touch no section in common. If both were accepted, the promise
-        # would name nothing. The one that comes later in the log loses.
+        # An operator who removes a model and one who promises it to a team
+        # change no section in common. If both changes were accepted, the
+        # promise would refer to a missing model, so the later record in the
+        # log is rejected.
         if relied_at > publication.checked_at:
             return Rejection(Reason.RELIED_ON, name, relied_at)
     return None
@@ -116,7 +120,7 @@
     revision: int,
 ) -> state.State:
     sections_by_name = dict(before.sections_by_name)
-    removed_at_by_name = _within_horizon(before, revision)
+    removed_at_by_name = _removals_within_horizon(before, revision)
     for name in publication.expected_by_section.keys() & sections_by_name:
         sections_by_name[name] = msgspec.structs.replace(
             sections_by_name[name],
@@ -131,15 +135,17 @@
     return state.State(revision, sections_by_name, removed_at_by_name)
 
 
-def _advance(before: state.State, revision: int) -> state.State:
+def _advance_revision(before: state.State, revision: int) -> state.State:
     return state.State(
         revision,
         before.sections_by_name,
-        _within_horizon(before, revision),
+        _removals_within_horizon(before, revision),
     )
 
 
-def _within_horizon(before: state.State, revision: int) -> dict[str, int]:
+def _removals_within_horizon(
+    before: state.State, revision: int
+) -> dict[str, int]:
     oldest = revision - HORIZON
     return {
         name: removed_at
--- a/clementinepass/configuration/folder.py
+++ b/clementinepass/configuration/folder.py
@@ -1,4 +1,4 @@
-"""The operators' folder of INI files, merged in the order of their names."""
+"""The operators' folder of INI files, merged in file name order."""
 
 from __future__ import annotations
 
@@ -16,7 +16,7 @@
 
 @dataclasses.dataclass(slots=True)
 class Sections:
-    """All sections of a folder, merged, with where each key stands."""
+    """All sections of a folder, merged, with the position of each key."""
 
     by_name: dict[str, reader.Section] = dataclasses.field(
         default_factory=dict,
@@ -27,11 +27,11 @@
         cls,
         documents: typing.Iterable[reader.Document],
     ) -> Sections:
-        """Merge documents; a later one refines an earlier, key by key."""
+        """Merge documents; keys of later documents override earlier ones."""
         merged = cls()
         for document in documents:
             for section in document.sections_by_name.values():
-                merged._refine(section)
+                merged._merge(section)
         return merged
 
     @classmethod
@@ -40,7 +40,10 @@
         values_by_section: typing.Mapping[str, typing.Mapping[str, str]],
         file: str,
     ) -> Sections:
-        """Return sections that stand in no file, such as those in force."""
+        """Return sections from plain values, such as those in force.
+
+        :param file: the name that faults give as the file.
+        """
         merged = cls()
         for name, texts_by_key in values_by_section.items():
             entries_by_key = {
@@ -52,11 +55,11 @@
         return merged
 
     def texts_by_key(self, name: str) -> dict[str, str]:
-        """Return the keys of one section as texts."""
+        """Return the texts of one section by key."""
         entries_by_key = self.by_name[name].entries_by_key
         return {key: entry.text for key, entry in entries_by_key.items()}
 
-    def _refine(self, section: reader.Section) -> None:
+    def _merge(self, section: reader.Section) -> None:
         earlier = self.by_name.get(section.name)
         if earlier is None:
             self.by_name[section.name] = reader.Section(
@@ -77,7 +80,8 @@
     documents = [reader.read(file) for file in _files(path)]
     faults = [fault for document in documents for fault in document.faults]
     if not documents:
-        # A mistyped path must not read as "remove everything".
+        # Otherwise a mistyped path would be taken for an empty configuration,
+        # which removes every section.
         detail = f'holds no {PATTERN} file'
         faults.append(reader.Fault(path.name, 0, path.name, detail))
     raise_faults(faults)
@@ -85,7 +89,7 @@
 
 
 def raise_faults(faults: typing.Sequence[reader.Fault]) -> None:
-    """Raise all faults together, if there are any."""
+    """Raise all faults as one exception group, if there are any."""
     if faults:
         raise ExceptionGroup(
             'the configuration has faults',
@@ -102,5 +106,5 @@
 
 
 def _files(path: pathlib.Path) -> list[pathlib.Path]:
-    found = path.glob(PATTERN)
-    return sorted(file for file in found if not file.name.startswith('.'))
+    files = path.glob(PATTERN)
+    return sorted(file for file in files if not file.name.startswith('.'))
--- a/clementinepass/configuration/follower.py
+++ b/clementinepass/configuration/follower.py
@@ -1,4 +1,4 @@
-"""Follow the configuration's log from the newest point that can be proved."""
+"""Follower of the configuration log, starting from the newest snapshot."""
 
 from __future__ import annotations
 
@@ -16,27 +16,27 @@
 
 
 class Trouble(enum.Enum):
-    """Why a follower's state may be older than what was accepted."""
+    """Reasons why a follower may lack accepted publications."""
 
     NONE = 'none'
-    #: Records expired that no snapshot covers.
+    #: Records have expired that no snapshot covers.
     HOLE = 'hole'
-    #: The log ends before the state: it has lost records.
+    #: The log ends before the state's revision: it has lost records.
     LOG_BEHIND = 'log_behind'
 
 
 class Follower:
-    """Fold the log; safe to use from several threads.
+    """Computes the current state from the log; thread-safe.
 
-    The state never goes back: neither a snapshot, nor a peer, nor a log that
-    lost records takes away what was once in force here.
+    The revision never decreases: neither an old snapshot, nor a peer's older
+    state, nor a log that lost records reverts what was in force here.
     """
 
     __slots__ = (
         '_lock',
         '_log',
         '_observe',
-        '_placed',
+        '_is_initialized',
         '_state',
         'end',
         'trouble',
@@ -47,61 +47,61 @@
         log: protocols.LogService,
         observe: typing.Callable[[fold.FoldResult], None] | None = None,
     ) -> None:
-        """Start from nothing.
+        """Start with the empty state.
 
-        :param observe: called with what each record did, in order.
+        :param observe: called with the result of each record, in order.
         """
         self._log = log
         self._observe = observe
         self._lock = threading.Lock()
         self._state = state.State()
-        self._placed = False
+        self._is_initialized = False
         #: The offset that the log's next record would get, as last read.
         self.end = 0
-        #: Why the state may be older than what was accepted.
+        #: Why the state may lack accepted publications.
         self.trouble = Trouble.NONE
 
     @property
     def current(self) -> state.State:
-        """The newest state that can be proved."""
+        """The newest state folded or adopted so far."""
         return self._state
 
     def poll(self, wait: float = 0) -> state.State:
         """Fold new records, waiting up to ``wait`` seconds for the first.
 
-        :raises PlatformUnavailableError: the log did not answer; the state
-            so far stays in force.
+        :raises PlatformUnavailableError: the log did not answer; the
+            previous state stays in force.
         """
-        if not self._placed:
-            self._jump(0)
-            self._placed = True
-        asked = self._state.revision
+        if not self._is_initialized:
+            self._adopt_snapshot(0)
+            self._is_initialized = True
+        requested_offset = self._state.revision
         try:
             page = self._log.read(
                 records.STREAM,
-                asked,
+                requested_offset,
                 wait=0 if self.trouble is Trouble.HOLE else wait,
             )
         except errors.RecordsExpiredError as expired:
-            self._jump(expired.oldest)
+            self._adopt_snapshot(expired.oldest)
             if self._state.revision < expired.oldest:
-                self._report(Trouble.HOLE)
-                # Only a snapshot or a peer can help; asking again at once
-                # would keep the log busy for nothing.
+                self._set_trouble(Trouble.HOLE)
+                # Only a snapshot or a peer's state closes the gap, so polling
+                # the log at once would only load it.
                 snapshots.wait_for_next(self._log, wait)
         else:
-            self._report(self._take(page, asked))
+            self._set_trouble(self._fold_page(page, requested_offset))
         return self._state
 
     def adopt(self, other: state.State) -> bool:
-        """Take a peer's state if it is newer; tell whether it was."""
+        """Adopt a peer's state if it is newer; return whether it was."""
         with self._lock:
-            newer = other.revision > self._state.revision
-            if newer:
+            is_newer = other.revision > self._state.revision
+            if is_newer:
                 self._state = other
-        return newer
+        return is_newer
 
-    def _jump(self, oldest: int) -> None:
+    def _adopt_snapshot(self, oldest: int) -> None:
         snapshot = snapshots.newest(self._log, oldest)
         if snapshot is not None and self.adopt(snapshot.state):
             logger.info(
@@ -109,15 +109,19 @@
                 snapshot.state.revision,
             )
 
-    def _take(self, page: protocols.RecordPage, asked: int) -> Trouble:
+    def _fold_page(
+        self,
+        page: protocols.RecordPage,
+        requested_offset: int,
+    ) -> Trouble:
         self.end = page.end
         for record in page.records:
             with self._lock:
                 # A peer's state may have been adopted during the read.
                 expected = self._state.revision
                 if record.offset > expected:
-                    # The log skipped records. Folding on would yield a state
-                    # that no other reader has.
+                    # The log skipped records. Folding this one would yield a
+                    # state that differs from all other readers'.
                     return Trouble.HOLE
                 if record.offset < expected:
                     continue
@@ -125,11 +129,13 @@
                 self._state = result.state
             if self._observe is not None:
                 self._observe(result)
-        # Compared with what was asked for: a peer's state adopted during the
-        # read may be ahead of a page that is sound.
-        return Trouble.LOG_BEHIND if page.end < asked else Trouble.NONE
+        # Compared with the requested offset, not the current revision: a
+        # peer's state adopted during the read may be ahead of a valid page.
+        return (
+            Trouble.LOG_BEHIND if page.end < requested_offset else Trouble.NONE
+        )
 
-    def _report(self, trouble: Trouble) -> None:
+    def _set_trouble(self, trouble: Trouble) -> None:
         if trouble is not self.trouble and trouble is not Trouble.NONE:
             logger.error(
                 'configuration stays at revision {}: {}',
--- a/clementinepass/configuration/history.py
+++ b/clementinepass/configuration/history.py
@@ -1,4 +1,4 @@
-"""What became of the publications that the log still keeps."""
+"""Outcomes of the publications that the log still retains."""
 
 from __future__ import annotations
 
@@ -14,12 +14,13 @@
 
 ACCEPTED = 'accepted'
 REJECTED = 'rejected'
-#: The record is older than the point from which the fold can be proved.
+#: The outcome can't be determined: the record precedes the oldest state that
+#: retained records and snapshots prove.
 UNPROVED = 'unproved'
 
 
 class Event(msgspec.Struct, frozen=True):
-    """One record and what it did."""
+    """A record of the log and its outcome."""
 
     revision: int
     #: Empty for a record that holds no publication.
@@ -27,31 +28,31 @@
     operator: str
     message: str
     outcome: str
-    #: Why and because of which revision it was rejected.
+    #: Reason and conflicting revision of a rejection; empty otherwise.
     detail: str
     sections: tuple[str, ...]
 
 
 def read(log: protocols.LogService) -> list[Event]:
-    """Return an event for each record kept, the oldest first.
+    """Return an event for each retained record, oldest first.
 
     :raises PlatformUnavailableError: the log did not answer.
     """
-    kept = list(_kept_records(log))
-    oldest = kept[0].offset if kept else 0
+    retained = list(_retained_records(log))
+    oldest = retained[0].offset if retained else 0
     current = _earliest_state(log, oldest)
     events = []
-    for record in kept:
+    for record in retained:
         if current is None or record.offset < current.revision:
-            events.append(_unproved(record))
+            events.append(_unproved_event(record))
             continue
         result = fold.fold(current, record)
         current = result.state
-        events.append(_folded(result))
+        events.append(_folded_event(result))
     return events
 
 
-def _kept_records(
+def _retained_records(
     log: protocols.LogService,
 ) -> typing.Iterator[protocols.Record]:
     offset = 0
@@ -74,15 +75,15 @@
     if oldest == 0:
         return state.State()
     states = [snapshot.state for snapshot in snapshots.read_all(log)]
-    usable = [found for found in states if found.revision >= oldest]
+    usable = [candidate for candidate in states if candidate.revision >= oldest]
     return min(usable, key=_revision, default=None)
 
 
-def _revision(found: state.State) -> int:
-    return found.revision
+def _revision(candidate: state.State) -> int:
+    return candidate.revision
 
 
-def _unproved(record: protocols.Record) -> Event:
+def _unproved_event(record: protocols.Record) -> Event:
     try:
         publication = records.Publication.decode(record.payload)
     except errors.MalformedMessageError:
@@ -90,7 +91,7 @@
     return _event(record.offset + 1, publication, UNPROVED, '')
 
 
-def _folded(result: fold.FoldResult) -> Event:
+def _folded_event(result: fold.FoldResult) -> Event:
     revision = result.state.revision
     rejection = result.rejection
     if rejection is None:
--- a/clementinepass/configuration/records.py
+++ b/clementinepass/configuration/records.py
@@ -6,33 +6,33 @@
 
 from clementinepass import errors
 
-#: Holds publications.
+#: Name of the stream that holds publications.
 STREAM = 'configuration'
-#: Holds snapshots of the fold.
+#: Name of the stream that holds snapshots of the folded state.
 SNAPSHOT_STREAM = 'configuration-snapshots'
-#: Number of the publications' format, in each record.
+#: Version of the publication format, written in each record.
 FORMAT = 1
 
 
 class Publication(msgspec.Struct, frozen=True, forbid_unknown_fields=True):
-    """One change that an operator asks for."""
+    """A configuration change that an operator requests."""
 
-    #: Unique id, by which a lost answer is resolved.
+    #: Unique id, used to find the record when the append's answer is lost.
     id: str
     operator: str
     message: str
     #: The revision of the state that the change was checked against.
     checked_at: int
-    #: The revision that each section touched or relied on had in that
-    #: state; 0 for a section that was absent.
+    #: Revision, in that state, of each section that the change sets, removes
+    #: or depends on; 0 for an absent section.
     expected_by_section: dict[str, int]
-    #: Keys and texts of each section set, whole.
+    #: All keys and texts of each section that is set.
     set_by_section: dict[str, dict[str, str]]
     removed: tuple[str, ...] = ()
     format: int = FORMAT
 
     def __post_init__(self) -> None:
-        """Refuse publications that contradict themselves."""
+        """Reject publications whose fields contradict each other."""
         if self.format != FORMAT:
             raise ValueError(f'unknown format {self.format}')
         touched = self.touched_sections()
@@ -44,7 +44,7 @@
             raise ValueError('sets and removes the same section')
 
     def touched_sections(self) -> frozenset[str]:
-        """Return the sections set or removed."""
+        """Return the names of the sections that are set or removed."""
         return frozenset(self.set_by_section) | frozenset(self.removed)
 
     def encode(self) -> bytes:
@@ -53,15 +53,15 @@
 
     @classmethod
     def decode(cls, payload: bytes) -> Publication:
-        """Return the publication that a payload holds.
+        """Decode a publication from a record's payload.
 
-        :raises MalformedMessageError: the payload holds none.
+        :raises MalformedMessageError: the payload is not a publication.
         """
         try:
             return msgspec.json.decode(payload, type=cls)
         except (msgspec.DecodeError, UnicodeDecodeError) as failure:
             raise errors.MalformedMessageError(
-                f'no publication: {failure}',
+                f'malformed publication: {failure}',
                 step='decode',
                 peer=STREAM,
             ) from failure
--- a/clementinepass/configuration/schema.py
+++ b/clementinepass/configuration/schema.py
@@ -1,4 +1,4 @@
-"""Kinds of sections in the configuration, with their keys and references."""
+"""Section kinds of the configuration, with their keys and references."""
 
 from __future__ import annotations
 
@@ -12,24 +12,25 @@
 VERSION = 'version'
 PROMISE = 'promise'
 SERVICE = 'service'
-#: Derived by the publisher, never written by operators: who owns a key.
-#: Sorts after the team itself, so that a loser is told of the team first.
+#: Kind of the sections that record which team owns a key; derived by the
+#: publisher, never written by operators. Sorts after ``team``, so that a
+#: rejection names the conflicting team section first.
 KEY_OWNER = 'team-key'
 
-#: Separates kind and name in a section's header.
+#: Separates the kind from the name in a section's header.
 SEPARATOR = ' '
-#: Separates team and target in a promise's name.
+#: Separates the team from the target in a promise's name.
 TARGET_SEPARATOR = '/'
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Key:
-    """One key of a kind of section."""
+    """A key that sections of a kind may have."""
 
     value_type: values.ValueType[typing.Any]
-    #: The default as a file would write it; ``None`` when required.
+    #: The default, as written in a file; ``None`` for a required key.
     default: str | None = None
-    #: The kind of section that the value names; empty for none.
+    #: Kind of the section that the value refers to; empty for none.
     references: str = ''
 
 
@@ -58,28 +59,28 @@
 
 
 def kind_of(section: str) -> str:
-    """Return the kind that a section's header names."""
+    """Return the kind in a section's header."""
     return section.partition(SEPARATOR)[0]
 
 
 def name_of(section: str) -> str:
-    """Return the name that follows the kind in a section's header."""
+    """Return the name in a section's header, without the kind."""
     return section.partition(SEPARATOR)[2]
 
 
 def header(kind: str, name: str) -> str:
-    """Return a section's header from kind and name."""
+    """Return the header of a section of the given kind and name."""
     return f'{kind}{SEPARATOR}{name}'
 
 
 def promise_parts(name: str) -> tuple[str, str]:
-    """Return team and target of a promise's name."""
+    """Split a promise's name into team and target."""
     team, _, target = name.partition(TARGET_SEPARATOR)
     return team, target
 
 
 def is_name(kind: str, name: str) -> bool:
-    """Tell whether a section of this kind may have this name."""
+    """Return whether a name is valid for sections of the given kind."""
     parts = promise_parts(name) if kind == PROMISE else (name,)
     return all(_is_plain_name(part) for part in parts)
 
--- a/clementinepass/configuration/snapshots.py
+++ b/clementinepass/configuration/snapshots.py
@@ -1,7 +1,7 @@
-"""Snapshots of the fold, so that records may expire.
+"""Snapshots of the folded state, so that log records may expire.
 
-Two writers of snapshots are harmless, and so is one that was paused and
-appends an old snapshot late: readers take the highest revision.
+Several concurrent writers are harmless, and so is a paused writer that
+appends an old snapshot late: readers use the one with the highest revision.
 """
 
 from __future__ import annotations
@@ -17,20 +17,20 @@
 if typing.TYPE_CHECKING:
     from clementinepass.platform import protocols
 
-#: Snapshots at the stream's end that are looked at first. Late old ones may
-#: stand there, so the last alone would not do; all would cost a start of
-#: many entries the whole stream each.
-_NEWEST_FIRST = 8
-#: Tries to read a stream whose oldest record expires under way.
-_TRIES = 5
+#: Number of records at the stream's end that are read first. The last record
+#: alone may be an old snapshot that was appended late; reading the complete
+#: stream would be costly when many entries start.
+_TAIL_LENGTH = 8
+#: Read attempts while the stream's oldest records expire concurrently.
+_MAX_READ_ATTEMPTS = 5
 
 
 class Snapshot(msgspec.Struct, frozen=True, forbid_unknown_fields=True):
-    """A state as of its revision."""
+    """A state and the time when its snapshot was written."""
 
     state: state.State
-    #: When it was written, in seconds since 1970; decides nothing but when
-    #: the next is due, so that skewed clocks do no harm.
+    #: Unix time of writing, in seconds; only determines when the next
+    #: snapshot is due, so that clock skew is harmless.
     written_at: float
 
     def encode(self) -> bytes:
@@ -39,45 +39,45 @@
 
     @classmethod
     def decode(cls, payload: bytes) -> Snapshot:
-        """Return the snapshot that a payload holds.
+        """Decode a snapshot from a record's payload.
 
-        :raises MalformedMessageError: the payload holds none.
+        :raises MalformedMessageError: the payload is not a snapshot.
         """
         try:
             return msgspec.json.decode(payload, type=cls)
         except (msgspec.DecodeError, UnicodeDecodeError) as failure:
             raise errors.MalformedMessageError(
-                f'no snapshot: {failure}',
+                f'malformed snapshot: {failure}',
                 step='decode',
                 peer=records.SNAPSHOT_STREAM,
             ) from failure
 
 
-def newest(log: protocols.LogService, wanted: int = 0) -> Snapshot | None:
+def newest(log: protocols.LogService, min_revision: int = 0) -> Snapshot | None:
     """Return the snapshot with the highest revision.
 
-    :param wanted: the revision from which a snapshot is of use; older
-        records of the stream are read when none of the newest reaches it.
+    :param min_revision: lowest useful revision; the complete stream is read
+        if no snapshot near its end reaches this revision.
     :raises PlatformUnavailableError: the log did not answer.
     """
-    bounds = _read_kept(log, 0, limit=1)
-    start = max(bounds.oldest, bounds.end - _NEWEST_FIRST)
-    found = _highest(log, start)
-    if found is None or found.state.revision < wanted:
-        found = _highest(log, bounds.oldest)
-    return found
+    bounds = _read_retained(log, 0, limit=1)
+    start = max(bounds.oldest, bounds.end - _TAIL_LENGTH)
+    snapshot = _newest_from(log, start)
+    if snapshot is None or snapshot.state.revision < min_revision:
+        snapshot = _newest_from(log, bounds.oldest)
+    return snapshot
 
 
 def wait_for_next(log: protocols.LogService, wait: float) -> None:
-    """Return once a snapshot is appended or ``wait`` seconds have passed."""
-    bounds = _read_kept(log, 0, limit=1)
+    """Wait up to ``wait`` seconds until another snapshot is appended."""
+    bounds = _read_retained(log, 0, limit=1)
     log.read(records.SNAPSHOT_STREAM, bounds.end, limit=1, wait=wait)
 
 
 class Snapshotter:
-    """Append a snapshot now and then, before records expire."""
+    """Appends snapshots periodically, before records expire."""
 
-    __slots__ = ('_age', '_every', '_known', '_log', '_now')
+    __slots__ = ('_max_age', '_max_records', '_latest', '_log', '_now')
 
     def __init__(
         self,
@@ -87,60 +87,60 @@
         age: float,
         now: typing.Callable[[], float] = time.time,
     ) -> None:
-        """Set the limits.
+        """Set the log and the limits.
 
-        :param every: records after which a snapshot is due.
-        :param age: seconds after which one is due although few records
-            came, since snapshots expire as well.
-        :param now: returns seconds since 1970.
+        :param every: number of records after which a snapshot is due.
+        :param age: seconds after which a snapshot is due even if there are
+            few new records, since snapshots expire as well.
+        :param now: returns the Unix time in seconds.
         """
         self._log = log
-        self._every = every
-        self._age = age
+        self._max_records = every
+        self._max_age = age
         self._now = now
-        #: The best snapshot known; others may have written a better one.
-        self._known: Snapshot | None = None
+        #: The newest snapshot seen; other writers may have appended newer ones.
+        self._latest: Snapshot | None = None
 
     def append_if_due(self, current: state.State) -> bool:
-        """Append a snapshot if one is due; tell whether it did.
+        """Append a snapshot if one is due; return whether it was appended.
 
         :raises PlatformUnavailableError: the log did not answer; a later
-            call tries again, and a second copy does no harm.
+            call retries, and a duplicate snapshot is harmless.
         """
-        if not self._due(current):
+        if not self._is_due(current):
             return False
-        # Eight entries come here at about the same time. The first to
-        # append spares the others their copy.
-        self._known = newest(self._log)
-        if not self._due(current):
+        # Eight entries reach this point at about the same time. The stream
+        # is read again so that only the first of them appends a snapshot.
+        self._latest = newest(self._log)
+        if not self._is_due(current):
             return False
         snapshot = Snapshot(current, self._now())
         self._log.append(records.SNAPSHOT_STREAM, [snapshot.encode()])
-        self._known = snapshot
+        self._latest = snapshot
         return True
 
-    def _due(self, current: state.State) -> bool:
-        known = self._known
-        if known is None:
+    def _is_due(self, current: state.State) -> bool:
+        latest = self._latest
+        if latest is None:
             return current.revision > 0
-        behind = current.revision - known.state.revision
+        behind = current.revision - latest.state.revision
         if behind < 0:
             return False
-        aged = self._now() - known.written_at >= self._age
-        return behind >= self._every or aged
+        is_aged = self._now() - latest.written_at >= self._max_age
+        return behind >= self._max_records or is_aged
 
 
 def read_all(
     log: protocols.LogService,
     start: int = 0,
 ) -> typing.Iterator[Snapshot]:
-    """Yield the stream's snapshots from an offset or the oldest kept.
+    """Yield the stream's snapshots from an offset or the oldest retained.
 
     :raises PlatformUnavailableError: the log did not answer.
     """
     offset = start
     while True:
-        page = _read_kept(log, offset, limit=_NEWEST_FIRST)
+        page = _read_retained(log, offset, limit=_TAIL_LENGTH)
         for record in page.records:
             snapshot = _decode_or_none(record.payload)
             if snapshot is not None:
@@ -150,8 +150,8 @@
             return
 
 
-def _highest(log: protocols.LogService, start: int) -> Snapshot | None:
-    return max(read_all(log, start), key=_rank, default=None)
+def _newest_from(log: protocols.LogService, start: int) -> Snapshot | None:
+    return max(read_all(log, start), key=_sort_key, default=None)
 
 
 def _decode_or_none(payload: bytes) -> Snapshot | None:
@@ -161,20 +161,21 @@
         return None
 
 
-def _rank(snapshot: Snapshot) -> tuple[int, float]:
-    # Of copies of one revision the newest counts: with the oldest, each
-    # entry would take the revision for due by age and add one more copy.
+def _sort_key(snapshot: Snapshot) -> tuple[int, float]:
+    # Among snapshots of one revision the most recently written one counts.
+    # With the oldest, each entry would find a snapshot due by age and append
+    # another copy.
     return snapshot.state.revision, snapshot.written_at
 
 
-def _read_kept(
+def _read_retained(
     log: protocols.LogService,
     offset: int,
     *,
     limit: int,
 ) -> protocols.RecordPage:
-    """Read from ``offset``, or from the oldest record kept."""
-    for _ in range(_TRIES):
+    """Read from ``offset``, or from the oldest retained record."""
+    for _ in range(_MAX_READ_ATTEMPTS):
         try:
             return log.read(records.SNAPSHOT_STREAM, offset, limit=limit)
         except errors.RecordsExpiredError as expired:
--- a/clementinepass/configuration/state.py
+++ b/clementinepass/configuration/state.py
@@ -1,4 +1,4 @@
-"""The state that folding the log yields, the same for every reader."""
+"""The configuration state that every reader computes from the log."""
 
 from __future__ import annotations
 
@@ -8,50 +8,50 @@
 
 
 class Section(msgspec.Struct, frozen=True, forbid_unknown_fields=True):
-    """One section in force."""
+    """A section in force."""
 
     #: The revision that set the section.
     revision: int
-    #: Keys and their texts.
+    #: Texts by key.
     values: dict[str, str]
-    #: The newest revision that built on this section without changing it.
+    #: The newest revision that depended on this section without changing it.
     relied_at: int = 0
 
 
 class State(msgspec.Struct, frozen=True, forbid_unknown_fields=True):
-    """The configuration as of a revision.
+    """The configuration at a revision.
 
-    A revision is the log offset that follows the last record folded, so
-    that 0 is the state before any record and 0 for a section means that
-    it is absent. It grows with each record, accepted or not.
+    A revision is the log offset that follows the last folded record: the
+    state before any record has revision 0, and a section with revision 0 is
+    absent. The revision grows with each record, accepted or rejected.
     """
 
     revision: int = 0
     sections_by_name: dict[str, Section] = {}
-    #: The revisions that removed sections, kept within the fold's horizon.
+    #: Revisions that removed sections, forgotten after the fold's horizon.
     removed_at_by_name: dict[str, int] = {}
 
     def encode(self) -> bytes:
-        """Return the state as bytes, equal for equal states."""
+        """Encode the state; equal states have equal bytes."""
         return msgspec.json.encode(self, order='deterministic')
 
     @classmethod
     def decode(cls, payload: bytes) -> State:
-        """Return the state that ``encode`` wrote.
+        """Decode a state written by ``encode``.
 
-        :raises MalformedMessageError: the bytes hold no state.
+        :raises MalformedMessageError: the bytes are not a state.
         """
         try:
             return msgspec.json.decode(payload, type=cls)
         except (msgspec.DecodeError, UnicodeDecodeError) as failure:
             raise errors.MalformedMessageError(
-                f'no state: {failure}',
+                f'malformed state: {failure}',
                 step='decode',
                 peer='state',
             ) from failure
 
     def revision_of(self, name: str) -> int:
-        """Return the revision that set a section, 0 when it is absent."""
+        """Return the revision that set a section; 0 if it is absent."""
         section = self.sections_by_name.get(name)
         return section.revision if section else 0
 
--- a/tests/configuration/logs.py
+++ b/tests/configuration/logs.py
@@ -1,4 +1,4 @@
-"""A log in memory that fails on order."""
+"""In-memory log service with fault injection."""
 
 from __future__ import annotations
 
@@ -12,43 +12,43 @@
 
 
 class Fate(enum.Enum):
-    """What becomes of the next append."""
+    """Outcome injected into an append."""
 
     #: The call fails before anything is sent.
     REFUSED = 'refused'
-    #: The records are there, the answer is not.
+    #: The records are appended, but the answer is lost.
     ANSWER_LOST = 'answer lost'
-    #: Neither records nor answer arrive.
+    #: The records are not appended, and there is no answer.
     LOST = 'lost'
-    #: As lost, but the records arrive later.
+    #: As ``LOST``, but the records are appended on ``release``.
     LATE = 'late'
-    #: The records arrive, and once more later.
+    #: The records are appended, and once more on ``release``.
     TWICE = 'twice'
 
 
 class MemoryLog:
-    """Streams in memory; one thread only."""
+    """Streams in memory; not thread-safe."""
 
     def __init__(self) -> None:
         self.payloads: dict[str, list[bytes]] = collections.defaultdict(list)
         self.oldest: dict[str, int] = collections.defaultdict(int)
-        #: While set, no call is answered.
+        #: Whether calls fail because of an outage.
         self.down = False
-        #: Fates of the next appends to a stream, in order.
+        #: Injected outcomes of the next appends by stream, in order.
         self.fates: dict[str, list[Fate]] = collections.defaultdict(list)
-        #: Appends that arrive when released.
+        #: Appends that take effect on ``release``.
         self.delayed: list[tuple[str, list[bytes]]] = []
-        #: Publications that appends were called with.
+        #: Publications passed to ``append``.
         self.attempted: list[bytes] = []
-        #: Called before each publication, to let others go first.
-        self.before_append: typing.Callable[[], None] = _nothing
+        #: Called before each append of a publication, to run a concurrent one.
+        self.before_append: typing.Callable[[], None] = _do_nothing
 
     def append(
         self,
         stream: str,
         payloads: typing.Sequence[bytes],
     ) -> tuple[int, ...]:
-        """Append, or do what the next fate says."""
+        """Append records, or apply the next injected outcome."""
         if stream == records.STREAM:
             self.before_append()
             self.attempted.extend(payloads)
@@ -98,25 +98,25 @@
         stream: str,
         payloads: typing.Sequence[bytes],
     ) -> tuple[int, ...]:
-        """Append for certain."""
+        """Append records without fault injection."""
         first = len(self.payloads[stream])
         self.payloads[stream].extend(payloads)
         return tuple(range(first, first + len(payloads)))
 
     def release(self) -> None:
-        """Let all held appends arrive."""
+        """Apply all delayed appends."""
         for stream, payloads in self.delayed:
             self.land(stream, payloads)
         self.delayed.clear()
 
     def expire(self, stream: str, oldest: int) -> None:
-        """Forget the records below an offset."""
+        """Expire the records below an offset."""
         kept = min(oldest, len(self.payloads[stream]))
         self.oldest[stream] = max(kept, self.oldest[stream])
 
 
-def _nothing() -> None:
-    """Let nobody go first."""
+def _do_nothing() -> None:
+    """Run no concurrent publication."""
 
 
 def _unavailable(
--- a/tests/configuration/samples.py
+++ b/tests/configuration/samples.py
@@ -1,4 +1,4 @@
-"""Configuration that tests begin with."""
+"""Sample configuration and publications for tests."""
 
 from __future__ import annotations
 
@@ -29,7 +29,7 @@
 
 
 def sections(*texts: str) -> folder.Sections:
-    """Merge texts as files ``0.ini``, ``1.ini`` and so on."""
+    """Parse and merge texts as files ``0.ini``, ``1.ini`` and so on."""
     documents = [
         reader.parse(text, f'{number}.ini') for number, text in enumerate(texts)
     ]
@@ -45,7 +45,7 @@
     sets: tuple[str, ...] = (),
     removed: tuple[str, ...] = (),
 ) -> records.Publication:
-    """Return a publication whose sections say who set them."""
+    """Return a publication whose sections contain its id."""
     return records.Publication(
         id=unique_id,
         operator='olga',
--- a/tests/configuration/test_checks.py
+++ b/tests/configuration/test_checks.py
@@ -11,8 +11,8 @@
 from clementinepass.configuration import catalogue, checks, folder, state
 from tests.configuration import samples
 
-#: What is replaced by what, and how the faults must begin.
-_FAULTS = {
+#: Replaced text, its replacement, and the start of each expected fault.
+_FAULT_CASES = {
     'unknown kind': (
         '[service desk]',
         '[servise desk]',
@@ -112,40 +112,40 @@
 
 
 def _faults(
-    action: typing.Callable[..., typing.Any],
+    function: typing.Callable[..., typing.Any],
     *arguments: typing.Any,
 ) -> list[str]:
     try:
-        action(*arguments)
+        function(*arguments)
     except ExceptionGroup as group:
         return [str(fault) for fault in group.exceptions]
     return []
 
 
 class ChecksTest(testtools.TestCase):
-    """All faults come at once, with file, line and key."""
+    """All faults are reported together, with file, line and key."""
 
-    def test_sound(self) -> None:
+    def test_valid_sample(self) -> None:
         """The sample has no fault."""
         checks.check(samples.sections(samples.BASE))
 
     def test_faults(self) -> None:
-        """Each fault is told, and nothing else."""
-        for story, (old, new, expected) in _FAULTS.items():
+        """Exactly the expected faults are reported."""
+        for case, (old, new, expected) in _FAULT_CASES.items():
             text = samples.BASE.replace(old, new, 1)
-            found = _faults(checks.check, samples.sections(text))
-            self.assertEqual(len(expected), len(found), (story, found))
-            for start, fault in zip(expected, found):
-                self.assertTrue(fault.startswith(start), (story, fault))
+            messages = _faults(checks.check, samples.sections(text))
+            self.assertEqual(len(expected), len(messages), (case, messages))
+            for start, fault in zip(expected, messages):
+                self.assertTrue(fault.startswith(start), (case, fault))
 
     def test_only(self) -> None:
-        """Sections that newer software wrote don't hinder a change."""
+        """Unknown sections from newer software don't block a change."""
         newer = f'{samples.BASE}[quota alpha]\nx = 1\n'
         checks.check(samples.sections(newer), only={'team alpha'})
 
 
 class FolderTest(testtools.TestCase):
-    """Files are merged in the order of their names."""
+    """Files are merged in file name order."""
 
     def _read(self, **texts: bytes) -> folder.Sections:
         with tempfile.TemporaryDirectory() as name:
@@ -155,7 +155,7 @@
             return folder.read(pathlib.Path(name))
 
     def test_merge(self) -> None:
-        """A later file refines an earlier one key by key, and is named."""
+        """Later files override single keys; each key records its file."""
         merged = self._read(
             b_ini=b'[model m]\nwave = 10%\n[service s]\n',
             a_ini=b'[model m]\nversion = m-1\nwave = 50%\n',
@@ -172,8 +172,8 @@
         self.assertEqual('a.ini', entries['version'].file)
 
     def test_faults_of_all_files(self) -> None:
-        """Faults of all files come together."""
-        found = _faults(
+        """The faults of all files are reported together."""
+        messages = _faults(
             lambda: self._read(
                 a_ini=b'[a]\nx = \xff\n',
                 b_ini=b'[a]\n[a]\n',
@@ -182,20 +182,20 @@
         )
         self.assertEqual(
             ['a.ini:0', 'b.ini:2', 'c.ini:1'],
-            [':'.join(fault.split(':')[:2]) for fault in found],
+            [':'.join(fault.split(':')[:2]) for fault in messages],
         )
 
     def test_empty(self) -> None:
-        """A folder without files does not read as an empty configuration.
+        """A folder without files is a fault, not an empty configuration.
 
-        An operator mistypes the path; were it taken for a configuration
-        without sections, everything in force would be up for removal.
+        Otherwise a mistyped path would be taken for a configuration without
+        sections, and everything in force would be listed for removal.
         """
         self.assertIn('holds no *.ini file', _faults(self._read)[0])
 
 
 class CatalogueTest(testtools.TestCase):
-    """The catalogue types what it knows and passes over the rest."""
+    """The catalogue parses known sections and ignores the others."""
 
     def _catalogue(self, **more: dict[str, str]) -> catalogue.Catalogue:
         base = samples.sections(samples.BASE)
@@ -208,31 +208,35 @@
         return catalogue.Catalogue.from_state(state.State(9, by_name))
 
     def test_types(self) -> None:
-        """Values carry their units, and names lead to objects."""
-        made = self._catalogue()
-        self.assertEqual('alpha', made.teams_by_key_digest[samples.DIGEST].name)
-        self.assertEqual(0.5, made.models_by_name['m'].wave)
-        self.assertEqual('cd' * 32, made.versions_by_name['m-1'].manifest)
-        desk = made.services_by_name['desk']
+        """Values are parsed with their units; objects are found by name."""
+        built = self._catalogue()
+        self.assertEqual(
+            'alpha', built.teams_by_key_digest[samples.DIGEST].name
+        )
+        self.assertEqual(0.5, built.models_by_name['m'].wave)
+        self.assertEqual('cd' * 32, built.versions_by_name['m-1'].manifest)
+        desk = built.services_by_name['desk']
         self.assertEqual((False, 2), (desk.idempotent, desk.retry_after))
         name = catalogue.PromiseName('alpha', 'm')
-        promise = made.promises_by_team_and_target[name]
+        promise = built.promises_by_team_and_target[name]
         self.assertEqual((4, 0.8), (promise.concurrency, promise.first_token))
-        self.assertEqual(9, made.revision)
+        self.assertEqual(9, built.revision)
 
     def test_newer_software(self) -> None:
-        """Unknown kinds and keys are passed over, unreadable sections named."""
-        made = self._catalogue(
+        """Unknown kinds and keys are ignored, invalid sections listed."""
+        built = self._catalogue(
             quota_alpha={'x': '1'},
             service_new={'idempotent': 'yes', 'colour': 'red'},
             service_odd={'idempotent': 'sometimes'},
             model_odd={'wave': '5%'},
         )
-        self.assertTrue(made.services_by_name['new'].idempotent)
-        self.assertEqual(('model odd', 'service odd'), made.skipped)
-        self.assertIn('m', made.models_by_name)
+        self.assertTrue(built.services_by_name['new'].idempotent)
+        self.assertEqual(('model odd', 'service odd'), built.skipped)
+        self.assertIn('m', built.models_by_name)
 
     def test_key_of_two_teams(self) -> None:
-        """A key belongs to the team that had it first, on every process."""
-        made = self._catalogue(team_aaa={'key_sha256': samples.DIGEST})
-        self.assertEqual('alpha', made.teams_by_key_digest[samples.DIGEST].name)
+        """A key used by two teams belongs to the first, in each process."""
+        built = self._catalogue(team_aaa={'key_sha256': samples.DIGEST})
+        self.assertEqual(
+            'alpha', built.teams_by_key_digest[samples.DIGEST].name
+        )
--- a/tests/configuration/test_excerpt.py
+++ b/tests/configuration/test_excerpt.py
@@ -1,4 +1,4 @@
-"""Tests of what an agent is given."""
+"""Tests of configuration excerpts for agents."""
 
 from __future__ import annotations
 
@@ -9,35 +9,37 @@
 
 
 class ExcerptTest(testtools.TestCase):
-    """An agent sees of its own endpoint what the whole state says."""
+    """An excerpt agrees with the complete state on the agent's endpoint."""
 
     def test_endpoint(self) -> None:
-        """Model, versions and revision are those of the whole state."""
+        """Model, versions and revision equal those of the complete state."""
         sections = samples.sections(
             samples.BASE,
             f'[version n-1]\nmodel = n\nmanifest = {"01" * 32}\n',
         )
-        whole = state.State(
+        complete = state.State(
             9,
             {
                 name: state.Section(number, sections.texts_by_key(name))
                 for number, name in enumerate(sections.by_name, start=1)
             },
         )
-        part = excerpt.for_endpoint(whole, 'm')
-        self.assertEqual(9, part.revision)
+        agent_excerpt = excerpt.for_endpoint(complete, 'm')
+        self.assertEqual(9, agent_excerpt.revision)
         self.assertEqual(
             {'model m', 'version m-1'},
-            set(part.sections_by_name),
+            set(agent_excerpt.sections_by_name),
         )
-        seen = catalogue.Catalogue.from_state(part)
-        known = catalogue.Catalogue.from_state(whole)
-        self.assertEqual(known.models_by_name, seen.models_by_name)
+        excerpt_catalogue = catalogue.Catalogue.from_state(agent_excerpt)
+        complete_catalogue = catalogue.Catalogue.from_state(complete)
         self.assertEqual(
-            known.versions_by_name['m-1'],
-            seen.versions_by_name['m-1'],
+            complete_catalogue.models_by_name, excerpt_catalogue.models_by_name
+        )
+        self.assertEqual(
+            complete_catalogue.versions_by_name['m-1'],
+            excerpt_catalogue.versions_by_name['m-1'],
         )
         self.assertEqual(
             {'service desk'},
-            set(excerpt.for_endpoint(whole, 'desk').sections_by_name),
+            set(excerpt.for_endpoint(complete, 'desk').sections_by_name),
         )
--- a/tests/configuration/test_fold.py
+++ b/tests/configuration/test_fold.py
@@ -14,15 +14,15 @@
 from clementinepass.platform import protocols
 from tests.configuration import samples
 
-#: Publications in log order, each as (arguments of a publication, the
-#: reason, section and winner of its rejection or ``None``).
-_STORIES: dict[str, list[tuple[dict[str, typing.Any], typing.Any]]] = {
+#: Publications in log order, each with its arguments and the reason, section
+#: and winner of its rejection, or ``None`` if it is accepted.
+_SCENARIOS: dict[str, list[tuple[dict[str, typing.Any], typing.Any]]] = {
     'the first of two changes wins': [
         ({'expected': {'a': 0}, 'sets': ('a',)}, None),
         ({'expected': {'a': 0}, 'sets': ('a',)}, ('changed', 'a', 1)),
         ({'expected': {'a': 1}, 'sets': ('a',), 'checked_at': 1}, None),
     ],
-    'what is relied on must not have changed': [
+    'a changed dependency leads to rejection': [
         ({'expected': {'a': 0}, 'sets': ('a',)}, None),
         ({'expected': {'a': 1}, 'sets': ('a',), 'checked_at': 1}, None),
         (
@@ -30,7 +30,7 @@
             ('changed', 'a', 2),
         ),
     ],
-    'what others have begun to rely on stays': [
+    'a new dependency prevents removal': [
         ({'expected': {'a': 0}, 'sets': ('a',)}, None),
         ({'expected': {'a': 1, 'b': 0}, 'sets': ('b',), 'checked_at': 1}, None),
         (
@@ -39,18 +39,18 @@
         ),
         ({'expected': {'a': 1}, 'removed': ('a',), 'checked_at': 3}, None),
     ],
-    'two that rely on one section do not conflict': [
+    'publications with one dependency do not conflict': [
         ({'expected': {'a': 0}, 'sets': ('a',)}, None),
         ({'expected': {'a': 1, 'b': 0}, 'sets': ('b',), 'checked_at': 1}, None),
         ({'expected': {'a': 1, 'c': 0}, 'sets': ('c',), 'checked_at': 1}, None),
     ],
-    'a late append does not bring back what was removed': [
+    'a late append does not restore a removed section': [
         ({'expected': {'a': 0}, 'sets': ('a',)}, None),
         ({'expected': {'a': 1}, 'removed': ('a',), 'checked_at': 1}, None),
         ({'expected': {'a': 0}, 'sets': ('a',)}, ('changed', 'a', 2)),
         ({'expected': {'a': 0}, 'sets': ('a',), 'checked_at': 2}, None),
     ],
-    'a check of the future is malformed': [
+    'a check at a future revision is malformed': [
         (
             {'expected': {'a': 0}, 'sets': ('a',), 'checked_at': 1},
             ('malformed', '', 0),
@@ -61,22 +61,22 @@
 
 def _fold_all(payloads: list[bytes]) -> list[fold.FoldResult]:
     current = state.State()
-    folded = []
+    results = []
     for offset, payload in enumerate(payloads):
-        folded.append(fold.fold(current, protocols.Record(offset, payload)))
-        current = folded[-1].state
-    return folded
+        results.append(fold.fold(current, protocols.Record(offset, payload)))
+        current = results[-1].state
+    return results
 
 
 class FoldTest(testtools.TestCase):
-    """The fold accepts what was checked against the present, in log order."""
+    """The fold accepts publications without conflicts, in log order."""
 
-    def test_stories(self) -> None:
-        """Each publication is accepted, or told what it lost to."""
-        for story, steps in _STORIES.items():
+    def test_scenarios(self) -> None:
+        """Each publication is accepted or rejected with its conflict."""
+        for scenario, publications in _SCENARIOS.items():
             payloads = [
                 samples.publication(str(number), **arguments).encode()
-                for number, (arguments, _) in enumerate(steps)
+                for number, (arguments, _) in enumerate(publications)
             ]
             found = [
                 result.rejection
@@ -87,86 +87,90 @@
                 )
                 for result in _fold_all(payloads)
             ]
-            self.assertEqual([outcome for _, outcome in steps], found, story)
+            self.assertEqual(
+                [outcome for _, outcome in publications], found, scenario
+            )
 
-    def test_doubled_record(self) -> None:
-        """An append that lands twice is applied once.
+    def test_duplicate_record(self) -> None:
+        """A record that is appended twice is applied once.
 
-        The network repeats an append while another operator removes the
-        section in between: callers must not see the section come back.
+        The network duplicates an append, and another operator removes the
+        section in between: the duplicate must not restore it.
         """
-        once = samples.publication('x', {'a': 0}, sets=('a',)).encode()
-        gone = samples.publication(
+        publication = samples.publication('x', {'a': 0}, sets=('a',)).encode()
+        removal = samples.publication(
             'y',
             {'a': 1},
             removed=('a',),
             checked_at=1,
         ).encode()
-        last = _fold_all([once, gone, once])[-1]
-        self.assertEqual({}, last.state.sections_by_name)
-        self.assertEqual(3, last.state.revision)
+        last_result = _fold_all([publication, removal, publication])[-1]
+        self.assertEqual({}, last_result.state.sections_by_name)
+        self.assertEqual(3, last_result.state.revision)
 
     def test_horizon(self) -> None:
-        """Traces of removed sections are forgotten only when harmless.
+        """A late append does not restore a section after the horizon.
 
-        An append held up for thousands of revisions lands after the trace
-        is gone; it must still not bring the removed section back.
+        An append is delayed for thousands of revisions, until the section's
+        removal is forgotten: it must then be rejected as too old.
         """
-        late = samples.publication('x', {'a': 0}, sets=('a',)).encode()
-        gone = samples.publication(
+        delayed = samples.publication('x', {'a': 0}, sets=('a',)).encode()
+        removal = samples.publication(
             'y',
             {'a': 1},
             removed=('a',),
             checked_at=1,
         ).encode()
-        for noise, reason in (
+        for record_count, reason in (
             (fold.HORIZON - 2, fold.Reason.CHANGED),
             (fold.HORIZON - 1, fold.Reason.TOO_OLD),
             (fold.HORIZON, fold.Reason.TOO_OLD),
         ):
-            last = _fold_all([late, gone, *([b''] * noise), late])[-1]
-            self.assertEqual(reason, last.rejection.reason)
-        self.assertEqual({}, last.state.removed_at_by_name)
+            last_result = _fold_all(
+                [delayed, removal, *([b''] * record_count), delayed]
+            )[-1]
+            self.assertEqual(reason, last_result.rejection.reason)
+        self.assertEqual({}, last_result.state.removed_at_by_name)
 
     def test_malformed(self) -> None:
-        """A record that is no publication changes the revision alone."""
-        sound = samples.publication('x', {'a': 0}, sets=('a',))
-        broken = [
+        """A malformed record changes only the revision."""
+        valid = samples.publication('x', {'a': 0}, sets=('a',))
+        invalid_payloads = [
             b'',
             b'\xff',
             b'[]',
             b'{}',
-            sound.encode()[:-1],
-            sound.encode().replace(b'"format":1', b'"format":2'),
-            sound.encode().replace(b'{', b'{"extra":1,', 1),
+            valid.encode()[:-1],
+            valid.encode().replace(b'"format":1', b'"format":2'),
+            valid.encode().replace(b'{', b'{"extra":1,', 1),
             msgspec.json.encode(
-                msgspec.structs.asdict(sound) | {'expected_by_section': {}},
+                msgspec.structs.asdict(valid) | {'expected_by_section': {}},
             ),
             msgspec.json.encode(
-                msgspec.structs.asdict(sound) | {'removed': ['a']},
+                msgspec.structs.asdict(valid) | {'removed': ['a']},
             ),
             msgspec.json.encode(
-                msgspec.structs.asdict(sound) | {'set_by_section': {}},
+                msgspec.structs.asdict(valid) | {'set_by_section': {}},
             ),
         ]
-        for payload in broken:
+        for payload in invalid_payloads:
             result = _fold_all([payload])[0]
             self.assertEqual(fold.Reason.MALFORMED, result.rejection.reason)
             self.assertEqual(state.State(1), result.state)
 
 
 class DecodersTest(testtools.TestCase):
-    """Decoders raise their typed error only."""
+    """Decoders raise only ``MalformedMessageError``."""
 
     @given(st.binary(max_size=80))
     def test_any_bytes(self, payload: bytes) -> None:
-        """Any bytes are decoded or refused by the typed error."""
+        """Arbitrary bytes are decoded or rejected with the typed error."""
         self._decode_all(payload)
 
     @given(st.data())
     def test_mutations(self, data: st.DataObject) -> None:
-        """Sound messages with a part replaced are decoded or refused."""
-        sound = data.draw(
+        """Mutated valid messages are decoded or rejected."""
+        valid = data.draw(
             st.sampled_from(
                 [
                     samples.publication('x', {'a': 0}, sets=('a',)).encode(),
@@ -177,13 +181,15 @@
                 ],
             ),
         )
-        start = data.draw(st.integers(0, len(sound)))
+        start = data.draw(st.integers(0, len(valid)))
         length = data.draw(st.integers(0, 8))
-        junk = data.draw(st.binary(max_size=8) | st.sampled_from(_JUNK))
-        self._decode_all(sound[:start] + junk + sound[start + length :])
+        replacement = data.draw(
+            st.binary(max_size=8) | st.sampled_from(_REPLACEMENTS)
+        )
+        self._decode_all(valid[:start] + replacement + valid[start + length :])
 
     def test_deep_nesting(self) -> None:
-        """Nesting without end is refused."""
+        """Very deep nesting is rejected."""
         self._decode_all(b'[' * 200_000)
         self._decode_all(b'{"id":' * 200_000)
 
@@ -199,16 +205,28 @@
         ),
     )
     def test_state_round_trip(self, by_name: dict[str, state.Section]) -> None:
-        """A state survives encoding, whatever its texts."""
+        """Decoding an encoded state yields an equal state."""
         original = state.State(9, by_name, {'gone': 4})
         self.assertEqual(original, state.State.decode(original.encode()))
 
     def _decode_all(self, payload: bytes) -> None:
-        for kind in (records.Publication, state.State, snapshots.Snapshot):
+        for message_type in (
+            records.Publication,
+            state.State,
+            snapshots.Snapshot,
+        ):
             try:
-                kind.decode(payload)
+                message_type.decode(payload)
             except errors.MalformedMessageError:
                 continue
 
 
-_JUNK = [b'null', b'-1', b'1e999', b'9' * 40, b'""', b'{}', b'"\\ud800"']
+_REPLACEMENTS = [
+    b'null',
+    b'-1',
+    b'1e999',
+    b'9' * 40,
+    b'""',
+    b'{}',
+    b'"\\ud800"',
+]
--- a/tests/configuration/test_publisher.py
+++ b/tests/configuration/test_publisher.py
@@ -20,7 +20,7 @@
 
 
 class _SteppingClock(clock.ManualClock):
-    """Move on with each look, so that time limits are reached."""
+    """Advances by a second at each reading, so that timeouts expire."""
 
     def now(self) -> float:
         self.advance(1)
@@ -28,10 +28,10 @@
 
 
 class PublisherTest(testtools.TestCase):
-    """A publication is reported as what became of it, or as unknown."""
+    """Publishing reports the actual outcome, or that it is unknown."""
 
     def setUp(self) -> None:
-        """Begin with the sample in force."""
+        """Publish the sample configuration."""
         super().setUp()
         self.log = logs.MemoryLog()
         self._publish(samples.BASE)
@@ -42,13 +42,13 @@
         removed: tuple[str, ...] = (),
         base: int | None = None,
     ) -> publisher.Accepted:
-        made = publisher.Publisher(
+        new_publisher = publisher.Publisher(
             self.log,
             timeout=4,
             monotonic=_SteppingClock(),
             sleep=lambda _: None,
         )
-        return made.publish(
+        return new_publisher.publish(
             samples.sections(*texts),
             removed,
             operator='olga',
@@ -57,10 +57,10 @@
         )
 
     def test_lost_answer(self) -> None:
-        """A lost answer is resolved by reading, never by a second append.
+        """After a lost answer the record is searched for, not appended again.
 
-        The log takes the record, its answer is lost. The operator must be
-        told the truth, and the log must hold the record once.
+        The log appends the record, but its answer is lost. The operator must
+        get the actual outcome, and the log must contain the record once.
         """
         self.log.fates[records.STREAM] = [logs.Fate.ANSWER_LOST]
         accepted = self._publish(_TEAM)
@@ -68,10 +68,11 @@
         self.assertEqual(2, len(self.log.payloads[records.STREAM]))
 
     def test_late_append(self) -> None:
-        """An append that may still land is reported as unknown, by its id.
+        """An append that may still take effect is reported as unknown.
 
-        The append is held up beyond the time limit. The operator is told
-        the id; the record lands, and the history shows what became of it.
+        The append is delayed beyond the timeout, and the error names the
+        publication's id. The record is appended later, and the history shows
+        its outcome.
         """
         self.log.fates[records.STREAM] = [logs.Fate.LATE]
         unknown = self.assertRaises(
@@ -80,18 +81,18 @@
             _TEAM,
         )
         events = history.read(self.log)
-        self.assertNotIn(unknown.publication_id, [one.id for one in events])
+        self.assertNotIn(unknown.publication_id, [event.id for event in events])
         self.log.release()
         last = history.read(self.log)[-1]
         self.assertEqual(unknown.publication_id, last.id)
         self.assertEqual(history.ACCEPTED, last.outcome)
 
     def test_late_append_after_the_repeat(self) -> None:
-        """A late append changes nothing once others have gone on.
+        """A late append is rejected after later changes to its section.
 
-        An operator whose outcome was unknown publishes again, and a
-        colleague removes the team. The first append lands only now: callers
-        of the removed team must not come back.
+        After an unknown outcome an operator publishes again, and another
+        removes the team. Only then does the first append take effect: it must
+        not restore the removed team.
         """
         self.log.fates[records.STREAM] = [logs.Fate.LATE]
         self.assertRaises(errors.OutcomeUnknownError, self._publish, _TEAM)
@@ -103,7 +104,7 @@
         self.assertIn('changed at 3', events[-1].detail)
 
     def test_refused_append(self) -> None:
-        """What was never sent is no unknown outcome."""
+        """An append that was not sent has no unknown outcome."""
         self.log.fates[records.STREAM] = [logs.Fate.REFUSED]
         failure = self.assertRaises(
             errors.PlatformUnavailableError,
@@ -113,14 +114,16 @@
         self.assertFalse(failure.sent)
 
     def test_outage_before_the_check(self) -> None:
-        """An outage that ends in time doesn't turn the operator away."""
+        """An outage that ends before the timeout does not fail the call."""
         self.log.down = True
 
         def end_outage(_: float) -> None:
             self.log.down = False
 
-        made = publisher.Publisher(self.log, timeout=4, sleep=end_outage)
-        accepted = made.publish(
+        new_publisher = publisher.Publisher(
+            self.log, timeout=4, sleep=end_outage
+        )
+        accepted = new_publisher.publish(
             samples.sections(_TEAM),
             (),
             operator='olga',
@@ -129,7 +132,7 @@
         self.assertEqual(2, accepted.revision)
 
     def test_outage_beyond_the_timeout(self) -> None:
-        """An outage that lasts is told, and nothing is appended."""
+        """An outage beyond the timeout is an error; nothing is appended."""
         self.log.down = True
         failure = self.assertRaises(
             errors.PlatformUnavailableError,
@@ -139,11 +142,11 @@
         self.assertEqual('read', failure.step)
         self.assertEqual([], self.log.attempted[1:])
 
-    def test_loser_is_told(self) -> None:
-        """The loser of a race learns section, revision, operator, message."""
+    def test_rejection_names_the_conflict(self) -> None:
+        """A rejection names section, revision, operator and message."""
         rival = publisher.Publisher(self.log)
 
-        def slip_in() -> None:
+        def publish_rival_change() -> None:
             self.log.before_append = lambda: None
             rival.publish(
                 samples.sections(_OTHER_TEAM),
@@ -152,8 +155,8 @@
                 message='a rival change',
             )
 
-        self.log.before_append = slip_in
-        lost = self.assertRaises(
+        self.log.before_append = publish_rival_change
+        rejection = self.assertRaises(
             errors.PublicationRejectedError,
             self._publish,
             _TEAM,
@@ -164,27 +167,27 @@
             'pavol',
             'a rival change',
         ):
-            self.assertIn(fragment, lost.detail)
+            self.assertIn(fragment, rejection.detail)
 
     def test_base(self) -> None:
-        """A folder made before another's change doesn't overwrite it."""
+        """A change based on an older revision doesn't overwrite a newer one."""
         self._publish(_TEAM)
-        lost = self.assertRaises(
+        rejection = self.assertRaises(
             errors.PublicationRejectedError,
             self._publish,
             _OTHER_TEAM,
             base=1,
         )
-        self.assertIn('changed at revision 2, after 1', lost.detail)
+        self.assertIn('changed at revision 2, after 1', rejection.detail)
         self.assertEqual(3, self._publish(_OTHER_TEAM, base=2).revision)
 
     def test_nothing_to_change(self) -> None:
-        """Publishing what is in force appends nothing."""
+        """Publishing the configuration in force appends nothing."""
         self.assertEqual(publisher.Accepted(1), self._publish(samples.BASE))
         self.assertEqual(1, len(self.log.payloads[records.STREAM]))
 
     def test_faults(self) -> None:
-        """Nothing is appended when the result would have faults."""
+        """Nothing is appended if the resulting configuration has faults."""
         for text, removed in (
             (samples.BASE, ('team alpha',)),
             (_TEAM, ('team alpha',)),
@@ -201,10 +204,10 @@
 
 
 class SnapshotsTest(testtools.TestCase):
-    """Snapshots carry the state past the expiry of records."""
+    """Snapshots preserve the state when log records expire."""
 
     def setUp(self) -> None:
-        """Begin with thirty records."""
+        """Append thirty records."""
         super().setUp()
         self.log = logs.MemoryLog()
         self.now = 0.0
@@ -225,7 +228,7 @@
         return follower.Follower(self.log).poll()
 
     def test_due(self) -> None:
-        """One of several writers appends, by count or by age."""
+        """One of several writers appends a snapshot, by count or by age."""
         first, second = self._snapshotter(), self._snapshotter()
         current = self._current()
         self.assertEqual(
@@ -239,49 +242,49 @@
         current = self._current()
         self.assertTrue(second.append_if_due(current))
         self.assertFalse(first.append_if_due(current))
-        # Few records come, yet snapshots expire like all records.
+        # Without new records one is due by age, since snapshots expire too.
         self.now = 60
         self.assertTrue(first.append_if_due(current))
         self.assertFalse(second.append_if_due(current))
 
     def test_no_snapshot_of_nothing(self) -> None:
-        """An entry that could read nothing yet appends nothing."""
+        """An entry that has read no records appends no snapshot."""
         self.assertFalse(self._snapshotter().append_if_due(state.State()))
 
     def test_expiry_behind_many_late_snapshots(self) -> None:
-        """Old snapshots written late don't hide the newest one.
+        """Old snapshots appended late don't hide the newest one.
 
-        Entries that were paused append old snapshots after the newest,
-        more of them than a new process looks at first; records expire.
+        Paused entries append more old snapshots after the newest than a new
+        process reads first, and the log's records expire.
         """
         self._snapshotter().append_if_due(self._current())
-        late = snapshots.Snapshot(state.State(2), 0).encode()
-        self.log.land(records.SNAPSHOT_STREAM, [late, b'junk'] * 9)
+        old_snapshot = snapshots.Snapshot(state.State(2), 0).encode()
+        self.log.land(records.SNAPSHOT_STREAM, [old_snapshot, b'junk'] * 9)
         self.log.expire(records.STREAM, 30)
         reader = follower.Follower(self.log)
         self.assertEqual(30, reader.poll().revision)
         self.assertIs(follower.Trouble.NONE, reader.trouble)
 
-    def test_hole(self) -> None:
-        """A hole is said so, and a peer or a later snapshot ends it."""
-        behind = follower.Follower(self.log)
-        behind.poll()
+    def test_expired_records_without_snapshot(self) -> None:
+        """Expired records are reported until a peer's state covers them."""
+        lagging = follower.Follower(self.log)
+        lagging.poll()
         self._append(10)
-        ahead = self._current()
+        newer_state = self._current()
         self.log.expire(records.STREAM, 35)
-        self.assertEqual(30, behind.poll().revision)
-        self.assertIs(follower.Trouble.HOLE, behind.trouble)
+        self.assertEqual(30, lagging.poll().revision)
+        self.assertIs(follower.Trouble.HOLE, lagging.trouble)
         self.assertRaises(
             errors.RecordsExpiredError,
             publisher.Publisher(self.log).current,
         )
-        self.assertTrue(behind.adopt(ahead))
-        self.assertFalse(behind.adopt(state.State(39)))
-        behind.poll()
-        self.assertIs(follower.Trouble.NONE, behind.trouble)
+        self.assertTrue(lagging.adopt(newer_state))
+        self.assertFalse(lagging.adopt(state.State(39)))
+        lagging.poll()
+        self.assertIs(follower.Trouble.NONE, lagging.trouble)
 
     def test_log_lost_records(self) -> None:
-        """A log that was emptied takes nothing out of force, and is told."""
+        """The state survives a log that lost records, and it is reported."""
         reader = follower.Follower(self.log)
         reader.poll()
         del self.log.payloads[records.STREAM][10:]
@@ -289,11 +292,11 @@
         self.assertIs(follower.Trouble.LOG_BEHIND, reader.trouble)
 
     def test_adoption_during_a_read(self) -> None:
-        """A peer's state that arrives during a read is no sign of loss.
+        """A peer's state adopted during a read doesn't indicate lost records.
 
-        A read waits at the log while a peer passes on a newer state; the
-        page that then comes ends before it. Nothing has been lost, and
-        nothing is folded twice.
+        While a read waits for the log, a peer sends a newer state, so the
+        page ends before the current revision. No records are lost, and none
+        is folded twice.
         """
         reader = follower.Follower(self.log)
         reader.poll()
@@ -310,7 +313,7 @@
         self.assertIs(follower.Trouble.NONE, reader.trouble)
 
     def test_history_after_expiry(self) -> None:
-        """The history says what it can't prove."""
+        """The history marks outcomes that can't be determined."""
         self._snapshotter().append_if_due(self._current())
         self._append(2)
         self.log.expire(records.STREAM, 29)
--- a/tests/configuration/test_races.py
+++ b/tests/configuration/test_races.py
@@ -1,4 +1,4 @@
-"""A search over schedules of operators, followers, snapshots and faults."""
+"""Property tests of concurrent operators, followers, snapshots and faults."""
 
 from __future__ import annotations
 
@@ -34,13 +34,13 @@
 
 
 class Edit(typing.NamedTuple):
-    """One operator's change: sections to set and to remove."""
+    """An operator's change: sections to set and to remove."""
 
     sets: dict[str, dict[str, str]]
     removed: tuple[str, ...] = ()
 
 
-#: Edits that operators try; few, so that they often meet.
+#: Edits that operators publish; few, so that they often conflict.
 _EDITS = st.sampled_from(
     [
         Edit(_TEAM),
@@ -68,12 +68,12 @@
 _FOLLOWERS = st.integers(0, 2)
 
 
-def _nothing() -> None:
-    """Let nobody slip in."""
+def _do_nothing() -> None:
+    """Run no concurrent publication."""
 
 
 class _TickingClock(clock.ManualClock):
-    """Move on with each look, so that time limits are reached."""
+    """Advances by a second at each reading, so that timeouts expire."""
 
     def now(self) -> float:
         self.advance(1)
@@ -81,15 +81,15 @@
 
 
 class Races(stateful.RuleBasedStateMachine):
-    """Whatever the order of events, all readers agree and none goes back."""
+    """In any order of events all readers agree and no revision decreases."""
 
     def __init__(self) -> None:
         super().__init__()
         self.log = logs.MemoryLog()
         self.publishers = [self._publisher() for _ in range(3)]
         self.followers = [follower.Follower(self.log) for _ in range(3)]
-        self.seen = [state.State() for _ in self.followers]
-        self.truth = [fold.FoldResult(state.State(), None, None)]
+        self.last_seen_states = [state.State() for _ in self.followers]
+        self.expected_results = [fold.FoldResult(state.State(), None, None)]
         self.paused: list[snapshots.Snapshot] = []
 
     def _publisher(self) -> publisher.Publisher:
@@ -100,18 +100,20 @@
             sleep=lambda _: None,
         )
 
-    def _fold_truth(self) -> None:
+    def _fold_expected(self) -> None:
         payloads = self.log.payloads[_STREAM]
-        while len(self.truth) <= len(payloads):
-            offset = len(self.truth) - 1
+        while len(self.expected_results) <= len(payloads):
+            offset = len(self.expected_results) - 1
             record = protocols.Record(offset, payloads[offset])
-            self.truth.append(fold.fold(self.truth[-1].state, record))
+            self.expected_results.append(
+                fold.fold(self.expected_results[-1].state, record)
+            )
 
-    def _results(self, unique_id: str) -> list[fold.FoldResult]:
-        self._fold_truth()
+    def _results_of(self, unique_id: str) -> list[fold.FoldResult]:
+        self._fold_expected()
         return [
             result
-            for result in self.truth
+            for result in self.expected_results
             if result.publication and result.publication.id == unique_id
         ]
 
@@ -120,7 +122,7 @@
 
     @stateful.initialize(seeded=st.booleans())
     def seed(self, seeded: bool) -> None:
-        """Begin with objects that others can build on, or with nothing."""
+        """Publish objects that others can depend on, or nothing."""
         if seeded:
             self._publish(0, Edit(_TEAM | _MODEL), None)
 
@@ -137,25 +139,25 @@
         fate: logs.Fate | None,
         rival: Edit | None,
     ) -> None:
-        """Publish; a rival slips in between the check and the append."""
+        """Publish, with a rival publication between check and append."""
         other = (operator + 1) % len(self.publishers)
 
-        def slip_in() -> None:
+        def publish_rival() -> None:
             if rival is not None:
                 self._publish(other, rival, None)
 
-        self._publish(operator, edit, fate, slip_in)
+        self._publish(operator, edit, fate, publish_rival)
 
     def _publish(
         self,
         operator: int,
         edit: Edit,
         fate: logs.Fate | None,
-        slip_in: typing.Callable[[], None] = _nothing,
+        publish_rival: typing.Callable[[], None] = _do_nothing,
     ) -> None:
 
         def before_append() -> None:
-            slip_in()
+            publish_rival()
             self.log.attempted.clear()
             self.log.fates[_STREAM] = [fate] if fate else []
 
@@ -169,58 +171,58 @@
                 message='a change',
             )
         except errors.PublicationRejectedError as rejected:
-            result = self._results(self._attempted_id())[0]
+            result = self._results_of(self._attempted_id())[0]
             assert result.rejection.section in rejected.detail
             assert str(result.rejection.winner) in rejected.detail
             assert ' by operator ' in rejected.detail
         except errors.OutcomeUnknownError as unknown:
-            known = self._results(unknown.publication_id)
-            assert not known or self.log.down
+            results = self._results_of(unknown.publication_id)
+            assert not results or self.log.down
         except (ExceptionGroup, errors.RecordsExpiredError):
             assert not self.log.attempted
         except errors.PlatformUnavailableError as failure:
             if self.log.attempted:
                 assert not failure.sent
-                assert not self._results(self._attempted_id())
+                assert not self._results_of(self._attempted_id())
         else:
             if accepted.id:
-                result = self._results(accepted.id)[0]
+                result = self._results_of(accepted.id)[0]
                 assert result.accepted
                 assert result.state.revision == accepted.revision
         finally:
-            self.log.before_append = _nothing
+            self.log.before_append = _do_nothing
             self.log.fates[_STREAM] = []
 
     @stateful.rule(payload=st.binary(max_size=9))
     def append_junk(self, payload: bytes) -> None:
-        """Let something foreign write to the stream."""
+        """Append a malformed record to the stream."""
         self.log.land(_STREAM, [payload])
 
     @stateful.rule()
     def release(self) -> None:
-        """Let appends that were held up arrive."""
+        """Apply delayed appends."""
         self.log.release()
 
     @stateful.rule(down=st.booleans())
     def outage(self, down: bool) -> None:
-        """Begin or end an outage of the log."""
+        """Start or end an outage of the log."""
         self.log.down = down
 
     @stateful.rule(share=st.floats(0, 1))
     def expire(self, share: float) -> None:
-        """Let the oldest records expire."""
+        """Expire the oldest records."""
         end = len(self.log.payloads[_STREAM])
         self.log.expire(_STREAM, int(share * end))
 
     @stateful.rule(share=st.floats(0, 1))
     def expire_snapshots(self, share: float) -> None:
-        """Let the oldest snapshots expire."""
+        """Expire the oldest snapshots."""
         end = len(self.log.payloads[records.SNAPSHOT_STREAM])
         self.log.expire(records.SNAPSHOT_STREAM, int(share * end))
 
     @stateful.rule(number=_FOLLOWERS)
     def snapshot(self, number: int) -> None:
-        """Let one of several entries append a snapshot, without a lease."""
+        """Append a snapshot as one of several entries, without a lease."""
         snapshotter = snapshots.Snapshotter(
             self.log,
             every=1,
@@ -237,13 +239,13 @@
     @stateful.precondition(lambda self: self.paused)
     @stateful.rule(data=st.data())
     def late_snapshot(self, data: st.DataObject) -> None:
-        """Let a writer that was paused append an old snapshot."""
+        """Append an old snapshot, as a writer that was paused."""
         paused = data.draw(st.sampled_from(self.paused))
         self.log.land(records.SNAPSHOT_STREAM, [paused.encode()])
 
     @stateful.rule(number=_FOLLOWERS)
     def poll(self, number: int) -> None:
-        """Let a follower read."""
+        """Poll a follower."""
         try:
             self.followers[number].poll()
         except errors.PlatformUnavailableError:
@@ -251,58 +253,62 @@
 
     @stateful.rule(number=_FOLLOWERS, other=_FOLLOWERS)
     def adopt(self, number: int, other: int) -> None:
-        """Pass a state between peers, as bytes."""
+        """Send a state from one peer to another, as bytes."""
         payload = self.followers[other].current.encode()
         self.followers[number].adopt(state.State.decode(payload))
 
     @stateful.rule(number=_FOLLOWERS)
     def replace(self, number: int) -> None:
-        """Replace an instance: its process keeps nothing."""
+        """Replace an instance; its process loses all state."""
         self.followers[number] = follower.Follower(self.log)
-        self.seen[number] = state.State()
+        self.last_seen_states[number] = state.State()
 
-    def _newest_provable(self) -> int:
-        """Return the revision that the kept records and snapshots prove."""
+    def _newest_provable_revision(self) -> int:
+        """Return the newest revision computable from retained records."""
         oldest = self.log.oldest[_STREAM]
-        kept = self.log.payloads[records.SNAPSHOT_STREAM]
-        kept = kept[self.log.oldest[records.SNAPSHOT_STREAM] :]
-        decoded = [snapshots.Snapshot.decode(payload) for payload in kept]
-        best = max((found.state.revision for found in decoded), default=0)
-        return best if best < oldest else len(self.log.payloads[_STREAM])
+        retained = self.log.payloads[records.SNAPSHOT_STREAM]
+        retained = retained[self.log.oldest[records.SNAPSHOT_STREAM] :]
+        decoded = [snapshots.Snapshot.decode(payload) for payload in retained]
+        newest = max((found.state.revision for found in decoded), default=0)
+        return newest if newest < oldest else len(self.log.payloads[_STREAM])
 
     @stateful.invariant()
-    def agree(self) -> None:
-        """Each follower has the one state of its revision; none goes back."""
-        self._fold_truth()
+    def followers_agree(self) -> None:
+        """All followers agree on each revision, and no revision decreases."""
+        self._fold_expected()
         for number, current in enumerate(f.current for f in self.followers):
-            assert current == self.truth[current.revision].state
-            assert current.revision >= self.seen[number].revision
-            self.seen[number] = current
+            assert current == self.expected_results[current.revision].state
+            assert current.revision >= self.last_seen_states[number].revision
+            self.last_seen_states[number] = current
 
     @stateful.invariant()
-    def sound(self) -> None:
-        """No race leaves a reference dangling or a key with two owners."""
+    def references_are_valid(self) -> None:
+        """No race leaves a dangling reference or a key with two owners."""
         in_force = {
             name: values
-            for name, values in self.truth[-1].state.values_by_section().items()
+            for name, values in self.expected_results[-1]
+            .state.values_by_section()
+            .items()
             if not name.startswith('team-key ')
         }
         checks.check(folder.Sections.from_values(in_force, 'in force'))
 
     def teardown(self) -> None:
-        """After the outage all followers arrive, or say why they can't."""
+        """Check that followers reach the log's end or report expired records."""
         self.log.down = False
         self.log.release()
-        self._fold_truth()
+        self._fold_expected()
         end = len(self.log.payloads[_STREAM])
-        proved = self._newest_provable()
+        provable_revision = self._newest_provable_revision()
         for reader in self.followers:
             for _ in range(_TRIES):
                 reader.poll()
-            hole = reader.trouble is follower.Trouble.HOLE
-            assert hole == (reader.current.revision < self.log.oldest[_STREAM])
-            assert hole or reader.current.revision == end
-            assert reader.current.revision >= proved
+            has_hole = reader.trouble is follower.Trouble.HOLE
+            assert has_hole == (
+                reader.current.revision < self.log.oldest[_STREAM]
+            )
+            assert has_hole or reader.current.revision == end
+            assert reader.current.revision >= provable_revision
 
 
 RacesTest = Races.TestCase
