--- a/clementinepass/configuration/excerpt.py
+++ b/clementinepass/configuration/excerpt.py
@@ -20,12 +20,12 @@
         schema.header(schema.MODEL, serves),
         schema.header(schema.SERVICE, serves),
     }
-    sections_by_name = {
+    selected_sections = {
         name: section
         for name, section in current.sections_by_name.items()
         if name in names or _is_version_of(name, section, serves)
     }
-    return state.State(current.revision, sections_by_name)
+    return state.State(current.revision, selected_sections)
 
 
 def _is_version_of(name: str, section: state.Section, model: str) -> bool:
--- a/clementinepass/configuration/history.py
+++ b/clementinepass/configuration/history.py
@@ -15,7 +15,7 @@
 ACCEPTED = 'accepted'
 REJECTED = 'rejected'
 #: The outcome can't be determined: the record precedes the oldest state that
-#: retained records and snapshots prove.
+#: can be computed from the retained records and snapshots.
 UNPROVED = 'unproved'
 
 
--- a/clementinepass/configuration/snapshots.py
+++ b/clementinepass/configuration/snapshots.py
@@ -29,7 +29,7 @@
     """A state and the time when its snapshot was written."""
 
     state: state.State
-    #: Unix time of writing, in seconds; only determines when the next
+    #: Time of writing, in seconds since 1970; only determines when the next
     #: snapshot is due, so that clock skew is harmless.
     written_at: float
 
@@ -92,7 +92,7 @@
         :param every: number of records after which a snapshot is due.
         :param age: seconds after which a snapshot is due even if there are
             few new records, since snapshots expire as well.
-        :param now: returns the Unix time in seconds.
+        :param now: returns the seconds since 1970.
         """
         self._log = log
         self._max_records = every
--- a/tests/configuration/test_fold.py
+++ b/tests/configuration/test_fold.py
@@ -97,14 +97,14 @@
         The network duplicates an append, and another operator removes the
         section in between: the duplicate must not restore it.
         """
-        publication = samples.publication('x', {'a': 0}, sets=('a',)).encode()
+        duplicate = samples.publication('x', {'a': 0}, sets=('a',)).encode()
         removal = samples.publication(
             'y',
             {'a': 1},
             removed=('a',),
             checked_at=1,
         ).encode()
-        last_result = _fold_all([publication, removal, publication])[-1]
+        last_result = _fold_all([duplicate, removal, duplicate])[-1]
         self.assertEqual({}, last_result.state.sections_by_name)
         self.assertEqual(3, last_result.state.revision)
 
--- a/tests/configuration/test_publisher.py
+++ b/tests/configuration/test_publisher.py
@@ -247,11 +247,11 @@
         self.assertTrue(first.append_if_due(current))
         self.assertFalse(second.append_if_due(current))
 
-    def test_no_snapshot_of_nothing(self) -> None:
+    def test_no_snapshot_of_empty_state(self) -> None:
         """An entry that has read no records appends no snapshot."""
         self.assertFalse(self._snapshotter().append_if_due(state.State()))
 
-    def test_expiry_behind_many_late_snapshots(self) -> None:
+    def test_many_late_snapshots(self) -> None:
         """Old snapshots appended late don't hide the newest one.
 
         Paused entries append more old snapshots after the newest than a new
