--- a/clementinepass/membership/entries.py
+++ b/clementinepass/membership/entries.py
@@ -1,4 +1,4 @@
-"""Rank entries for a caller, and leave in step with kept answers."""
+"""Ranking of entries for callers, and draining of an entry."""
 
 from __future__ import annotations
 
@@ -9,15 +9,15 @@
 
 from clementinepass.platform import protocols
 
-#: Seconds for which a caller may keep the ranked entries.
+#: Seconds for which a caller may cache the ranked entries.
 DEFAULT_MAX_AGE = 10
-#: Seconds beyond ``max-age`` for which a leaving entry goes on accepting:
-#: covers the answer's way to the caller and clocks that run apart.
+#: Seconds after ``max-age`` for which a draining entry still accepts requests;
+#: covers the transit of the ranking to the caller and clock drift.
 DEFAULT_MARGIN = 5.0
 
 
 class OfferedEntry(typing.NamedTuple):
-    """One address for a caller to use."""
+    """Entry offered to a caller."""
 
     address: str
     failure_domain: str
@@ -31,15 +31,17 @@
     failure_domain: str,
     region: str,
 ) -> tuple[OfferedEntry, ...]:
-    """Order entries: nearest first, callers spread among equally near ones.
+    """Return the entries, nearest first, in an order of the caller's own.
 
-    Rendezvous hashing gives each caller an order of its own that changes
-    only where an entry comes or goes, so a team's callers don't all move
-    when one entry is replaced.
+    Rendezvous hashing spreads callers among equally near entries. A caller's
+    order changes only where an entry is added or removed, so a team's
+    callers do not all move when one entry is replaced.
 
-    :param caller: what tells callers apart, such as address and team.
-    :param failure_domain: the caller's, or that of the entry asked.
-    :param region: likewise.
+    :param caller: identifies the caller, for example by address and team.
+    :param failure_domain: the caller's failure domain, or that of the entry
+        that answers.
+    :param region: the caller's region, or that of the entry that answers.
+    :returns: the ranked entries.
     """
     ranked = sorted(
         entries,
@@ -60,32 +62,36 @@
 
 
 @dataclasses.dataclass(slots=True)
-class Leaving:
-    """Tell how long a leaving entry still takes callers' requests.
+class EntryDrain:
+    """Period in which a draining entry still accepts requests.
 
-    Callers that asked just before it announced its leaving may keep its
-    address for ``max_age``; refusing them would fail requests for nothing.
+    Callers that fetched the ranking just before the drain was announced may
+    cache the entry's address for ``max_age``; rejecting them would fail
+    requests needlessly.
+
+    :param max_age: seconds for which callers may cache the ranking.
+    :param margin: seconds added to ``max_age``.
     """
 
     max_age: float = DEFAULT_MAX_AGE
     margin: float = DEFAULT_MARGIN
-    _began: float | None = None
+    _announced_at: float | None = None
 
     @property
-    def announced(self) -> bool:
-        """Tell whether the entry has announced that it leaves."""
-        return self._began is not None
-
-    def begin(self, now: float) -> None:
-        """Announce it; a second announcement changes nothing."""
-        if self._began is None:
-            self._began = now
-
-    def accepts(self, now: float) -> bool:
-        """Tell whether new requests are still taken."""
-        if self._began is None:
+    def is_announced(self) -> bool:
+        """Return whether the entry has announced that it drains."""
+        return self._announced_at is not None
+
+    def announce(self, now: float) -> None:
+        """Start the drain at ``now``; repeated calls have no effect."""
+        if self._announced_at is None:
+            self._announced_at = now
+
+    def accepts_requests(self, now: float) -> bool:
+        """Return whether the entry still accepts new requests."""
+        if self._announced_at is None:
             return True
-        return now < self._began + self.max_age + self.margin
+        return now < self._announced_at + self.max_age + self.margin
 
 
 def _distance(
