--- a/clementinepass/configuration/history.py
+++ b/clementinepass/configuration/history.py
@@ -23,7 +23,7 @@
     """A record of the log and its outcome."""
 
     revision: int
-    #: Empty for a record that holds no publication.
+    #: Empty for a record that is not a publication.
     id: str
     operator: str
     message: str
--- a/tests/configuration/logs.py
+++ b/tests/configuration/logs.py
@@ -59,7 +59,7 @@
             self.delayed.append((stream, list(payloads)))
         if fate in {Fate.LATE, Fate.LOST}:
             raise _unavailable('append')
-        offsets = self.land(stream, payloads)
+        offsets = self.append_directly(stream, payloads)
         if fate is Fate.ANSWER_LOST:
             raise _unavailable('append')
         return offsets
@@ -93,7 +93,7 @@
             ),
         )
 
-    def land(
+    def append_directly(
         self,
         stream: str,
         payloads: typing.Sequence[bytes],
@@ -106,7 +106,7 @@
     def release(self) -> None:
         """Apply all delayed appends."""
         for stream, payloads in self.delayed:
-            self.land(stream, payloads)
+            self.append_directly(stream, payloads)
         self.delayed.clear()
 
     def expire(self, stream: str, oldest: int) -> None:
--- a/tests/configuration/test_publisher.py
+++ b/tests/configuration/test_publisher.py
@@ -214,7 +214,7 @@
         self._append(30)
 
     def _append(self, count: int) -> None:
-        self.log.land(records.STREAM, [b'junk'] * count)
+        self.log.append_directly(records.STREAM, [b'junk'] * count)
 
     def _snapshotter(self) -> snapshots.Snapshotter:
         return snapshots.Snapshotter(
@@ -259,7 +259,9 @@
         """
         self._snapshotter().append_if_due(self._current())
         old_snapshot = snapshots.Snapshot(state.State(2), 0).encode()
-        self.log.land(records.SNAPSHOT_STREAM, [old_snapshot, b'junk'] * 9)
+        self.log.append_directly(
+            records.SNAPSHOT_STREAM, [old_snapshot, b'junk'] * 9
+        )
         self.log.expire(records.STREAM, 30)
         reader = follower.Follower(self.log)
         self.assertEqual(30, reader.poll().revision)
--- a/tests/configuration/test_races.py
+++ b/tests/configuration/test_races.py
@@ -196,7 +196,7 @@
     @stateful.rule(payload=st.binary(max_size=9))
     def append_junk(self, payload: bytes) -> None:
         """Append a malformed record to the stream."""
-        self.log.land(_STREAM, [payload])
+        self.log.append_directly(_STREAM, [payload])
 
     @stateful.rule()
     def release(self) -> None:
@@ -241,7 +241,7 @@
     def late_snapshot(self, data: st.DataObject) -> None:
         """Append an old snapshot, as a writer that was paused."""
         paused = data.draw(st.sampled_from(self.paused))
-        self.log.land(records.SNAPSHOT_STREAM, [paused.encode()])
+        self.log.append_directly(records.SNAPSHOT_STREAM, [paused.encode()])
 
     @stateful.rule(number=_FOLLOWERS)
     def poll(self, number: int) -> None:
