--- a/clementinepass/configuration/catalogue.py
+++ b/clementinepass/configuration/catalogue.py
@@ -92,7 +92,7 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Catalogue:
-    """All objects of one revision."""
+    """The objects that the state of one revision describes."""
 
     revision: int
     teams_by_name: dict[str, Team]
@@ -120,7 +120,7 @@
         self._skipped: list[str] = []
 
     def build(self) -> Catalogue:
-        """Return the catalogue."""
+        """Parse all sections of the state."""
         teams = self._build_all(schema.TEAM, _team)
         models = self._build_all(schema.MODEL, _model)
         versions = self._build_all(schema.VERSION, _version)
@@ -227,7 +227,11 @@
 
 
 def _first_by_key_digest(teams: list[Team]) -> dict[str, Team]:
-    """Map keys to teams; of two teams with one key the first owns it."""
+    """Map key digests to teams; a shared key maps to the oldest team section.
+
+    If both sections have the same revision, the first name decides, so that
+    all processes assign a key to the same team.
+    """
     newest_first = sorted(teams, key=_claim_order, reverse=True)
     return {team.key_digest: team for team in newest_first}
 
--- a/clementinepass/configuration/changes.py
+++ b/clementinepass/configuration/changes.py
@@ -56,9 +56,9 @@
         """Add the derived sections that record which team owns a key.
 
         Two operators who give two teams the same key at the same time change
-        no section in common, and callers would be assigned to the wrong team.
-        Both publications set the derived section of the key, so the later
-        one is rejected.
+        no team section in common. If both changes were accepted, callers
+        would be assigned to the wrong team. Both publications set the derived
+        section of the key, so the later one is rejected.
         """
         in_force = {
             name: values
--- a/clementinepass/configuration/checks.py
+++ b/clementinepass/configuration/checks.py
@@ -1,4 +1,8 @@
-"""Semantic checks, made before publishing and never in the fold."""
+"""Semantic checks, made before publishing and never in the fold.
+
+The checks may differ between software versions, while all readers must fold
+the log to the same state.
+"""
 
 from __future__ import annotations
 
@@ -7,6 +11,7 @@
 from clementinepass.configuration import folder, schema
 from clementinepass.ini import reader
 
+#: Kinds of the sections that a promise may have as its target.
 _NAMED_TARGETS = (schema.MODEL, schema.SERVICE)
 
 
--- a/clementinepass/configuration/excerpt.py
+++ b/clementinepass/configuration/excerpt.py
@@ -13,8 +13,9 @@
     sections and 1,900 changes a day; a node may spend 2 KB per second on all
     control traffic.
 
-    An excerpt must never be folded or forwarded: the receiver would take it
-    for the complete state of its revision.
+    An excerpt is for the agent's own use only. It must never be folded or
+    forwarded: the receiver would take it for the complete state of its
+    revision.
     """
     names = {
         schema.header(schema.MODEL, serves),
--- a/clementinepass/configuration/follower.py
+++ b/clementinepass/configuration/follower.py
@@ -86,8 +86,8 @@
             self._adopt_snapshot(expired.oldest)
             if self._state.revision < expired.oldest:
                 self._set_trouble(Trouble.HOLE)
-                # Only a snapshot or a peer's state closes the gap, so polling
-                # the log at once would only load it.
+                # Only a snapshot or a peer's state closes the gap. Polling
+                # again at once would put load on the log service in vain.
                 snapshots.wait_for_next(self._log, wait)
         else:
             self._set_trouble(self._fold_page(page, requested_offset))
@@ -129,8 +129,9 @@
                 self._state = result.state
             if self._observe is not None:
                 self._observe(result)
-        # Compared with the requested offset, not the current revision: a
-        # peer's state adopted during the read may be ahead of a valid page.
+        # The page's end is compared with the requested offset, not with the
+        # current revision, because a peer's state that was adopted during the
+        # read may be ahead of a valid page.
         return (
             Trouble.LOG_BEHIND if page.end < requested_offset else Trouble.NONE
         )
--- a/clementinepass/configuration/publisher.py
+++ b/clementinepass/configuration/publisher.py
@@ -24,10 +24,12 @@
 if typing.TYPE_CHECKING:
     from clementinepass.platform import protocols
 
+#: File name in faults of sections that the operator did not pass.
 _IN_FORCE = 'configuration in force'
 #: Seconds between read attempts during an outage of the log.
 _RETRY_SECONDS = 0.2
-#: Longest wait of one read in seconds, so that the timeout is respected.
+#: Longest wait of a single read in seconds; the timeout is checked between
+#: reads.
 _MAX_WAIT_SECONDS = 1
 _STEP = 'publish'
 #: Errors after which a read is retried.
@@ -170,8 +172,8 @@
                     raise
                 return
             except errors.MalformedMessageError:
-                # Here as above, the append may have taken effect although
-                # its answer was lost or malformed. A second append could
+                # After a lost answer (the case above) or a malformed one,
+                # the append may have taken effect. A second append could
                 # apply the change again after others have reverted it, so
                 # the record is searched for by its id instead.
                 return
--- a/clementinepass/configuration/snapshots.py
+++ b/clementinepass/configuration/snapshots.py
@@ -21,7 +21,8 @@
 #: alone may be an old snapshot that was appended late; reading the complete
 #: stream would be costly when many entries start.
 _TAIL_LENGTH = 8
-#: Read attempts while the stream's oldest records expire concurrently.
+#: Number of reads that are retried after the record at their offset has
+#: expired; one more read raises the error.
 _MAX_READ_ATTEMPTS = 5
 
 
@@ -87,7 +88,7 @@
         age: float,
         now: typing.Callable[[], float] = time.time,
     ) -> None:
-        """Set the log and the limits.
+        """Set the log and when snapshots are due.
 
         :param every: number of records after which a snapshot is due.
         :param age: seconds after which a snapshot is due even if there are
--- a/tests/configuration/logs.py
+++ b/tests/configuration/logs.py
@@ -27,7 +27,7 @@
 
 
 class MemoryLog:
-    """Streams in memory; not thread-safe."""
+    """Log service that keeps its streams in memory; not thread-safe."""
 
     def __init__(self) -> None:
         self.payloads: dict[str, list[bytes]] = collections.defaultdict(list)
--- a/tests/configuration/test_checks.py
+++ b/tests/configuration/test_checks.py
@@ -235,7 +235,7 @@
         self.assertIn('m', built.models_by_name)
 
     def test_key_of_two_teams(self) -> None:
-        """A key used by two teams belongs to the first, in each process."""
+        """A key of two teams belongs to the one whose section is older."""
         built = self._catalogue(team_aaa={'key_sha256': samples.DIGEST})
         self.assertEqual(
             'alpha', built.teams_by_key_digest[samples.DIGEST].name
--- a/tests/configuration/test_publisher.py
+++ b/tests/configuration/test_publisher.py
@@ -104,7 +104,7 @@
         self.assertIn('changed at 3', events[-1].detail)
 
     def test_refused_append(self) -> None:
-        """An append that was not sent has no unknown outcome."""
+        """An append that was not sent fails without an unknown outcome."""
         self.log.fates[records.STREAM] = [logs.Fate.REFUSED]
         failure = self.assertRaises(
             errors.PlatformUnavailableError,
@@ -228,7 +228,7 @@
         return follower.Follower(self.log).poll()
 
     def test_due(self) -> None:
-        """One of several writers appends a snapshot, by count or by age."""
+        """Only one of several writers appends a snapshot that is due."""
         first, second = self._snapshotter(), self._snapshotter()
         current = self._current()
         self.assertEqual(
@@ -242,7 +242,7 @@
         current = self._current()
         self.assertTrue(second.append_if_due(current))
         self.assertFalse(first.append_if_due(current))
-        # Without new records one is due by age, since snapshots expire too.
+        # Snapshots expire too, so without new records the next is due by age.
         self.now = 60
         self.assertTrue(first.append_if_due(current))
         self.assertFalse(second.append_if_due(current))
@@ -254,8 +254,9 @@
     def test_many_late_snapshots(self) -> None:
         """Old snapshots appended late don't hide the newest one.
 
-        Paused entries append more old snapshots after the newest than a new
-        process reads first, and the log's records expire.
+        Entries that were paused append more old snapshots after the newest
+        one than a starting process reads at first. The log's older records
+        have expired, so the process depends on the newest snapshot.
         """
         self._snapshotter().append_if_due(self._current())
         old_snapshot = snapshots.Snapshot(state.State(2), 0).encode()
@@ -286,7 +287,7 @@
         self.assertIs(follower.Trouble.NONE, lagging.trouble)
 
     def test_log_lost_records(self) -> None:
-        """The state survives a log that lost records, and it is reported."""
+        """A log that lost records is reported and does not revert the state."""
         reader = follower.Follower(self.log)
         reader.poll()
         del self.log.payloads[records.STREAM][10:]
