--- a/clementinepass/configuration/checks.py
+++ b/clementinepass/configuration/checks.py
@@ -12,7 +12,7 @@
 from clementinepass.ini import reader
 
 #: Kinds of the sections that a promise may have as its target.
-_NAMED_TARGETS = (schema.MODEL, schema.SERVICE)
+_TARGET_KINDS = (schema.MODEL, schema.SERVICE)
 
 
 def check(
@@ -44,13 +44,13 @@
         names.add(schema.header(schema.TEAM, team))
         # The target must not change from a model to a service or back.
         names.update(
-            schema.header(other_kind, target) for other_kind in _NAMED_TARGETS
+            schema.header(other_kind, target) for other_kind in _TARGET_KINDS
         )
-    if kind in _NAMED_TARGETS:
+    if kind in _TARGET_KINDS:
         # A name belongs to either a model or a service, never to both.
         names.update(
             schema.header(other_kind, plain_name)
-            for other_kind in _NAMED_TARGETS
+            for other_kind in _TARGET_KINDS
         )
     return names - {name}
 
@@ -142,7 +142,7 @@
             self._add_fault(
                 section, section.name, f'there is no [{referenced}]'
             )
-        targets = [schema.header(kind, target) for kind in _NAMED_TARGETS]
+        targets = [schema.header(kind, target) for kind in _TARGET_KINDS]
         if not any(name in self._by_name for name in targets):
             detail = f'there is neither [{targets[0]}] nor [{targets[1]}]'
             self._add_fault(section, section.name, detail)
