--- a/tests/configuration/test_races.py
+++ b/tests/configuration/test_races.py
@@ -23,6 +23,8 @@
 from tests.configuration import logs
 
 _STREAM = records.STREAM
+#: Timeout of the publishers in seconds, of which their clock advances one at
+#: each reading; also the number of polls that end a run.
 _TRIES = 4
 _KEYS = ('ab' * 32, 'cd' * 32)
 _TEAM = {'team a': {'key_sha256': _KEYS[0]}}
