--- a/tests/configuration/test_races.py
+++ b/tests/configuration/test_races.py
@@ -23,6 +23,8 @@
 from tests.configuration import logs
 
 _STREAM = records.STREAM
+#: Timeout of the publishers in seconds, of which their clock advances one at
+#: each reading; also the number of polls that end a run.
 _TRIES = 4
 _KEYS = ('ab' * 32, 'cd' * 32)
 _TEAM = {'team a': {'key_sha256': _KEYS[0]}}
@@ -196,7 +198,7 @@
     @stateful.rule(payload=st.binary(max_size=9))
     def append_junk(self, payload: bytes) -> None:
         """Append a malformed record to the stream."""
-        self.log.land(_STREAM, [payload])
+        self.log.append_directly(_STREAM, [payload])
 
     @stateful.rule()
     def release(self) -> None:
@@ -241,7 +243,7 @@
     def late_snapshot(self, data: st.DataObject) -> None:
         """Append an old snapshot, as a writer that was paused."""
         paused = data.draw(st.sampled_from(self.paused))
-        self.log.land(records.SNAPSHOT_STREAM, [paused.encode()])
+        self.log.append_directly(records.SNAPSHOT_STREAM, [paused.encode()])
 
     @stateful.rule(number=_FOLLOWERS)
     def poll(self, number: int) -> None:
