--- a/clementinepass/direct/serving.py
+++ b/clementinepass/direct/serving.py
@@ -22,7 +22,10 @@
 
 
 class Ending(enum.Enum):
-    """Why a request gets no successful answer of an endpoint."""
+    """Why a request gets no successful answer of an endpoint.
+
+    The values stand in log lines and metrics and keep their names.
+    """
 
     #: The entry has no configuration yet.
     STARTING = 'starting'
@@ -81,7 +84,11 @@
 
 
 class AttemptFailure(enum.Enum):
-    """Why an attempt failed."""
+    """Why an attempt failed.
+
+    The values stand in log lines and keep their names. Some equal those of
+    ``channel.Fault``, from which they are made.
+    """
 
     #: The endpoint rejected the request without running it.
     REJECTED = 'turned_away'
